--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -2,7 +2,7 @@
 
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
@@ -690,7 +690,18 @@
 
     /// Whether the peer ends the connection without another byte.
     pub fn ended(&mut self) -> bool {
-        matches!(self.input.read(&mut [0]), Ok(0))
+        at_end(&mut self.input)
+    }
+}
+
+/// Whether a reader ends without another byte. A read with a timeout is not restarted by the kernel after a signal:
+/// the end of a child of this process may interrupt it in any thread.
+pub fn at_end(input: &mut impl Read) -> bool {
+    loop {
+        match input.read(&mut [0]) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            other => return matches!(other, Ok(0)),
+        }
     }
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -520,6 +520,29 @@
     }
 }
 
+/// Guards the waits above: a signal that meets one in the kernel, such as the end of a child of another test, tells
+/// nothing of the peer.
+#[test]
+fn a_wait_for_the_end_of_a_connection_goes_on_after_a_signal() {
+    /// Is interrupted once, then reads what a connection holds.
+    struct InterruptedOnce<'a> {
+        was_interrupted: bool,
+        rest: &'a [u8],
+    }
+
+    impl Read for InterruptedOnce<'_> {
+        fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
+            if !std::mem::replace(&mut self.was_interrupted, true) {
+                return Err(std::io::ErrorKind::Interrupted.into());
+            }
+            self.rest.read(buffer)
+        }
+    }
+
+    assert!(at_end(&mut InterruptedOnce { was_interrupted: false, rest: b"" }), "closed after a signal");
+    assert!(!at_end(&mut InterruptedOnce { was_interrupted: false, rest: b"a byte" }), "still open");
+}
+
 /// Answers each call with this upstream alone, until the balancer has taken that and watches on; the call that was
 /// answered. Where the machine is so busy that an answer comes after the balancer gave it up, there is another call.
 fn answers_next(discovery: &Port, version: u64, upstream: &Upstream) -> Message {
