--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -3,6 +3,7 @@
 
 use super::counters::Counters;
 use super::driver::Input;
+use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -41,17 +42,6 @@
     pub driver: UnboundedSender<Input>,
 }
 
-/// What the driver makes of an order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is in force.
-    Done,
-    /// No upstream of that name was ever listed.
-    Unknown,
-    /// It could not be kept for the process that comes after this one.
-    NotKept,
-}
-
 type Reply = Response<Full<Bytes>>;
 
 /// Listens, and serves for as long as the process runs.
@@ -150,14 +140,27 @@
 }
 
 async fn order_about(id: &str, offline: bool, door: &Door) -> Reply {
-    let (answer, answered) = oneshot::channel();
-    door.driver.send(Input::Ordered { uid: id.to_owned(), offline, answer }).ok();
-    match timeout(ORDER_PATIENCE, answered).await {
-        Ok(Ok(Verdict::Done)) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
-        Ok(Ok(Verdict::Unknown)) => text(StatusCode::NOT_FOUND, "no such upstream was ever listed\n"),
-        Ok(Ok(Verdict::NotKept)) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
-        Ok(Err(_)) | Err(_) => text(StatusCode::SERVICE_UNAVAILABLE, "not in force yet\n"),
+    let order = Order { uid: id.to_owned(), offline };
+    match verdict_on(order, door).await {
+        Some(Verdict::Done) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
+        Some(Verdict::Unknown) => text(StatusCode::NOT_FOUND, "no such upstream was ever listed\n"),
+        Some(Verdict::NotKept) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
+        None => text(StatusCode::SERVICE_UNAVAILABLE, "not in force\n"),
+    }
+}
+
+/// What becomes of an order; `None` if that takes too long, and then it never comes into force.
+async fn verdict_on(order: Order, door: &Door) -> Option<Verdict> {
+    let claim = OrderClaim::default();
+    let (answer, mut answered) = oneshot::channel();
+    door.driver.send(Input::Ordered(OrderRequest { order, claim: claim.clone(), answer })).ok();
+    if let Ok(verdict) = timeout(ORDER_PATIENCE, &mut answered).await {
+        return verdict.ok();
+    }
+    if claim.claim() {
+        return None;
     }
+    answered.await.ok() // it is just being committed: neither yes nor no would be true before the end of that
 }
 
 fn text(status: StatusCode, text: &'static str) -> Reply {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,12 +1,12 @@
 //! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
 
-use super::admin::Verdict;
 use super::body::{Budget, Payload, Reply, Rest, STALL};
 use super::config::Config;
 use super::counters::{self, Counters};
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
-use super::handover::{Bans, Shared};
+use super::orders::{OfflineList, Order, OrderRequest, Verdict};
+use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
@@ -61,7 +61,9 @@
     /// Lists have to be asked for at another address.
     ListMoved,
     /// An operator takes an upstream out, or puts it back.
-    Ordered { uid: String, offline: bool, answer: oneshot::Sender<Verdict> },
+    Ordered(OrderRequest),
+    /// The folder that processes share was looked at, or an order was carried out there.
+    Folder(FolderEvent),
 }
 
 /// A caller's request.
@@ -158,8 +160,8 @@
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
     /// What is shared with the process before or after this one, and the upstreams taken out by hand.
-    shared: Shared,
-    bans: Bans,
+    shared: Option<SharedFolder>,
+    offline: OfflineList,
     /// Another process of this balancer serves beside this one.
     overlapping: bool,
     /// The names of upstreams that were listed, the latest last.
@@ -220,12 +222,13 @@
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, budget): (Arc<Counters>, Arc<Budget>),
-        shared: Shared,
+        shared: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
         let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
         let idle = Idle::new(Duration::from_nanos(config.settings.conn_idle), config.limits.upstreams);
+        let (shared, folder_state) = shared.unzip();
         let mut driver = Self {
             balancer,
             clock,
@@ -234,7 +237,7 @@
             ready,
             counters,
             shared,
-            bans: Bans::new(),
+            offline: OfflineList::new(),
             overlapping: false,
             former: VecDeque::new(),
             requests: HashMap::new(),
@@ -249,11 +252,13 @@
             pending: VecDeque::new(),
             config,
         };
-        driver.follow(); // before anything can be sent
+        if let Some(state) = folder_state {
+            driver.on_folder_state(state); // before anything can be sent
+        }
         let known = Listing { all: true, ..driver.config.known.clone() };
         driver.on_listed(known);
         driver.set_timer(SWEEP_EVERY, Timer::Sweep);
-        if driver.config.shares() {
+        if driver.shared.is_some() {
             driver.set_timer(FOLLOW_EVERY, Timer::Follow);
         }
         Ok(driver)
@@ -290,9 +295,8 @@
             Input::Listed(listing) => self.on_listed(listing),
             Input::ListFailed => self.tell(Event::ListFailed),
             Input::ListMoved => self.tell(Event::ListMoved),
-            Input::Ordered { uid, offline, answer } => {
-                answer.send(self.on_ordered(&uid, offline)).ok(); // one that left has its order all the same
-            }
+            Input::Ordered(request) => self.on_ordered(request),
+            Input::Folder(event) => self.on_folder(event),
         }
     }
 
@@ -313,7 +317,8 @@
                     self.set_timer(SWEEP_EVERY, Timer::Sweep);
                 }
                 Timer::Follow => {
-                    self.follow();
+                    self.shared.iter_mut().for_each(SharedFolder::check);
+                    self.show_hosts();
                     self.set_timer(FOLLOW_EVERY, Timer::Follow);
                 }
             }
@@ -332,12 +337,29 @@
 
     // ---- Operators ----
 
-    /// Takes over what operators told another process, and shows them how many upstreams are avoided.
-    fn follow(&mut self) {
-        if let Some(bans) = self.shared.changed() {
-            self.enforce(bans);
+    fn on_folder(&mut self, event: FolderEvent) {
+        match event {
+            FolderEvent::Checked(state) => {
+                self.shared.iter_mut().for_each(SharedFolder::checked);
+                self.on_folder_state(state);
+            }
+            FolderEvent::Kept(request, offline) => {
+                self.enforce(offline);
+                self.on_kept(&request.order);
+                request.answer.send(Verdict::Done).ok(); // one that left has its order all the same
+            }
+            FolderEvent::NotKept(request) => {
+                request.answer.send(Verdict::NotKept).ok();
+            }
+        }
+    }
+
+    /// Takes over what operators told another process, and whether one is there.
+    fn on_folder_state(&mut self, state: FolderState) {
+        let FolderState { offline, overlapping } = state;
+        if offline != self.offline {
+            self.enforce(offline);
         }
-        let overlapping = self.shared.overlaps();
         if overlapping != self.overlapping {
             // The descriptors are for both.
             let most = self.config.limits.upstreams;
@@ -353,33 +375,46 @@
         self.counters.set_hosts(self.servers.len(), self.balancer.avoided());
     }
 
-    fn on_ordered(&mut self, uid: &str, offline: bool) -> Verdict {
-        let listed = self.ids.contains_key(uid) || self.former.iter().any(|former| former == uid);
-        if !listed && !self.bans.contains(uid) {
-            return Verdict::Unknown;
-        }
-        match self.shared.change(uid, offline, &self.bans) {
-            Ok(bans) => self.enforce(bans),
-            Err(error) => {
-                super::log(format_args!("an order about upstream {uid} cannot be kept: {error}"));
-                return Verdict::NotKept;
-            }
-        }
-        self.follow();
-        super::log(format_args!("upstream {uid} is {} by hand", if offline { "out" } else { "back" }));
-        Verdict::Done
+    fn on_ordered(&mut self, request: OrderRequest) {
+        let verdict = match &self.shared {
+            _ if !self.was_listed(&request.order.uid) => Verdict::Unknown,
+            Some(shared) => return shared.keep(request),
+            None => Verdict::NotKept,
+        };
+        request.answer.send(verdict).ok();
+    }
+
+    /// Whether an upstream is or was listed, here or in a process before.
+    fn was_listed(&self, uid: &str) -> bool {
+        let is_listed = self.ids.get(uid).is_some_and(|server| self.servers.contains_key(server));
+        is_listed || self.offline.contains(uid) || self.former.iter().any(|former| former == uid)
+    }
+
+    fn on_kept(&mut self, order: &Order) {
+        self.show_hosts();
+        let uid = &order.uid;
+        super::log(format_args!("upstream {uid} is {} by hand", if order.offline { "out" } else { "back" }));
     }
 
-    fn enforce(&mut self, bans: Bans) {
-        let former = std::mem::replace(&mut self.bans, bans.clone());
-        for uid in bans.difference(&former) {
+    fn enforce(&mut self, offline: OfflineList) {
+        let before = std::mem::replace(&mut self.offline, offline.clone());
+        for uid in offline.difference(&before) {
             let server = self.id(uid);
             self.take_back(server);
             self.tell(Event::Offline(server));
         }
-        for uid in former.difference(&bans) {
+        for uid in before.difference(&offline) {
             let server = self.id(uid);
             self.tell(Event::Online(server));
+            self.remember_former(uid, server);
+        }
+    }
+
+    /// An order outlives the entry of its upstream on the list, and the name outlives the order.
+    fn remember_former(&mut self, uid: &str, server: ServerId) {
+        let is_listed = self.servers.contains_key(&server);
+        if !is_listed && !self.former.iter().any(|former| former == uid) {
+            self.former.push_back(uid.to_owned());
         }
     }
 
@@ -408,7 +443,7 @@
         };
         let (named, gone) = (names(false), names(true));
         let (servers, idle, former) = (&mut self.servers, &mut self.idle, &mut self.former);
-        let bans = &self.bans;
+        let offline = &self.offline;
         let mut left = Vec::new();
         self.ids.retain(|uid, server| {
             let stays = !gone.contains(uid.as_str()) && (!listing.all || named.contains(uid.as_str()));
@@ -417,7 +452,7 @@
                 former.push_back(uid.clone());
                 left.push(*server);
             }
-            stays || bans.contains(uid) // what is out by hand is so when it is listed again
+            stays || offline.contains(uid) // what is out by hand is so when it is listed again
         });
         left.into_iter().for_each(|server| self.take_back(server));
         let former = &mut self.former;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,12 +6,18 @@
 mod counters;
 mod discovery;
 mod driver;
+mod durable_file;
 mod gate;
-mod handover;
+mod offline_endpoints;
+mod orders;
+mod process_handover;
 mod server;
+mod shared_folder;
 mod upstream;
 
 use config::Config;
+use driver::Input;
+use shared_folder::{FolderState, SharedFolder};
 use std::fmt;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -70,6 +76,19 @@
     TcpListener::from_std(listener)
 }
 
+/// Opens the folder that is shared with the process before and after this one.
+fn open_shared_folder(
+    config: &Config,
+    driver: mpsc::UnboundedSender<Input>,
+) -> Result<(SharedFolder, FolderState), String> {
+    let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let name = format!("{}-{:x}", std::process::id(), config.seed);
+    let report = move |event| {
+        driver.send(Input::Folder(event)).ok(); // the driver ends only with the program
+    };
+    SharedFolder::open(folder, &name, report).map_err(|error| format!("shared folder: {error}"))
+}
+
 /// Serves until a signal to stop, and then until all that was taken is answered.
 pub async fn run(config: Config) -> Result<(), String> {
     let failed = |what: &str, error: io::Error| format!("{what}: {error}");
@@ -94,8 +113,7 @@
     let (tell, told) = watch::channel(false);
 
     let counters = Arc::new(counters::Counters::new(&config.names.classes));
-    let folder = std::env::var_os("TMPDIR").filter(|_| config.shares()).map(PathBuf::from);
-    let shared = handover::Shared::new(folder, &format!("{}-{:x}", std::process::id(), config.seed));
+    let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let budget = body::Budget::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), budget.clone());
     let driver = driver::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
