--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -2,11 +2,13 @@
 
 use super::admin::Verdict;
 use super::body::{Budget, Payload, Reply, Rest, STALL};
+use super::clock::{Clock, ClockReading};
 use super::config::Config;
 use super::counters::{self, Counters};
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
 use super::handover::{Bans, Shared};
+use super::start_times::{ListOrigin, StartTimes};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
@@ -16,7 +18,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
@@ -164,6 +166,8 @@
     overlapping: bool,
     /// The names of upstreams that were listed, the latest last.
     former: VecDeque<String>,
+    /// When upstreams started that are listed, or were lately.
+    start_times: StartTimes,
     requests: HashMap<RequestId, Open>,
     /// The upstreams that are listed, and the number of the next new one: none is given out twice.
     ids: HashMap<String, ServerId>,
@@ -186,32 +190,6 @@
     in_service: bool,
 }
 
-/// The module's clock: Unix time, that an upstream's start can be told in, but never set back.
-#[derive(Clone, Copy)]
-struct Clock {
-    start: Instant,
-    start_unix: Time,
-}
-
-impl Clock {
-    fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_unix: unix.as_nanos() as Time }
-    }
-
-    fn now(&self) -> Time {
-        self.time(Instant::now())
-    }
-
-    fn time(&self, at: Instant) -> Time {
-        self.start_unix + at.saturating_duration_since(self.start).as_nanos() as Time
-    }
-
-    fn instant(&self, time: Time) -> Instant {
-        self.start + Duration::from_nanos(time.saturating_sub(self.start_unix))
-    }
-}
-
 impl Driver {
     /// A driver that knows the configured list. `ready` turns true once there is an upstream to send to.
     pub fn new(
@@ -237,6 +215,7 @@
             bans: Bans::new(),
             overlapping: false,
             former: VecDeque::new(),
+            start_times: StartTimes::default(),
             requests: HashMap::new(),
             ids: HashMap::new(),
             next_server: 0,
@@ -251,7 +230,7 @@
         };
         driver.follow(); // before anything can be sent
         let known = Listing { all: true, ..driver.config.known.clone() };
-        driver.on_listed(known);
+        driver.on_listed(known, ListOrigin::Configuration);
         driver.set_timer(SWEEP_EVERY, Timer::Sweep);
         if driver.config.shares() {
             driver.set_timer(FOLLOW_EVERY, Timer::Follow);
@@ -287,7 +266,7 @@
             Input::Ended(id, number, finished) => self.on_ended(id, number, finished),
             Input::Probed(server, finished) => self.on_probed(server, finished),
             Input::DescriptorsShort => self.idle.close_all(),
-            Input::Listed(listing) => self.on_listed(listing),
+            Input::Listed(listing) => self.on_listed(listing, ListOrigin::Discovery),
             Input::ListFailed => self.tell(Event::ListFailed),
             Input::ListMoved => self.tell(Event::ListMoved),
             Input::Ordered { uid, offline, answer } => {
@@ -310,6 +289,7 @@
                 Timer::Module(token) => self.tell(Event::Timer(token)),
                 Timer::Sweep => {
                     self.idle.sweep();
+                    self.start_times.learn_clocks(self.clock.read());
                     self.set_timer(SWEEP_EVERY, Timer::Sweep);
                 }
                 Timer::Follow => {
@@ -385,8 +365,11 @@
 
     // ---- Discovery ----
 
-    fn on_listed(&mut self, listing: Listing) {
-        let entries: Vec<ListEntry> = listing.targets.iter().map(|target| self.entry(target)).collect();
+    fn on_listed(&mut self, listing: Listing, origin: ListOrigin) {
+        let reading = self.clock.read();
+        self.start_times.learn_clocks(reading);
+        let entry = |target| self.entry(target, origin, reading);
+        let entries: Vec<ListEntry> = listing.targets.iter().map(entry).collect();
         if listing.all {
             self.tell(Event::List(&entries));
         } else if !entries.is_empty() {
@@ -422,6 +405,17 @@
         left.into_iter().for_each(|server| self.take_back(server));
         let former = &mut self.former;
         former.drain(..former.len().saturating_sub(MOST_FORMER));
+        self.forget_starts();
+    }
+
+    /// Forgets when the upstreams started whose names are forgotten.
+    fn forget_starts(&mut self) {
+        if self.start_times.len() <= self.ids.len() + MOST_FORMER {
+            return;
+        }
+        let former: HashSet<&str> = self.former.iter().map(String::as_str).collect();
+        let ids = &self.ids;
+        self.start_times.retain(|uid| ids.contains_key(uid) || former.contains(uid));
     }
 
     /// Withdraws the attempts that still wait for a connection to an upstream: once it is there, they would be
@@ -438,7 +432,7 @@
         })
     }
 
-    fn entry(&mut self, target: &Target) -> ListEntry {
+    fn entry(&mut self, target: &Target, origin: ListOrigin, reading: ClockReading) -> ListEntry {
         let server = self.id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
@@ -452,6 +446,7 @@
             self.take_back(server);
         }
         self.servers.insert(server, upstream);
+        let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
         let zone = self.config.names.zones.iter().position(|zone| *zone == target.az);
         ListEntry {
             server,
@@ -463,7 +458,7 @@
                 State::Terminated => Lifecycle::Gone,
             },
             size: target.capacity_hint,
-            started: (target.boot_ms > 0).then(|| target.boot_ms.saturating_mul(1_000_000)),
+            started,
         }
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,6 +2,8 @@
 
 mod admin;
 mod body;
+mod clock;
+mod clock_offsets;
 pub mod config;
 mod counters;
 mod discovery;
@@ -9,6 +11,7 @@
 mod gate;
 mod handover;
 mod server;
+mod start_times;
 mod upstream;
 
 use config::Config;
