--- a/fault-injector/src/interpose.rs
+++ b/fault-injector/src/interpose.rs
@@ -7,6 +7,7 @@
 use crate::log;
 use crate::plan::{Call, Fault, Plan, Subject};
 use crate::target::{Address, Descriptor, NewSocket, Paths};
+use crate::wall_clock;
 use libc::{
     c_char, c_int, c_long, c_void, epoll_event, iovec, mode_t, msghdr, size_t, sockaddr, socklen_t, ssize_t,
     syscall,
@@ -25,6 +26,7 @@
 static LOAD: extern "C" fn() = load;
 
 extern "C" fn load() {
+    wall_clock::load();
     let Some(text) = std::env::var_os(VARIABLE) else { return };
     log::open();
     match text.to_string_lossy().parse() {
--- a/fault-injector/src/lib.rs
+++ b/fault-injector/src/lib.rs
@@ -26,6 +26,11 @@
 //! called there. A plan that does not parse ends the process with one line and status 2. Each fault is noted in the
 //! file named by `FAULT_LOG`, if it is set, as a line `call fault`.
 //!
+//! # The wall clock
+//!
+//! `WALL_CLOCK_STEP` names a file with the milliseconds by which the wall clock is ahead (behind, with a minus sign). The
+//! file may be replaced while the program runs, which steps the clock; the monotonic clocks run on.
+//!
 //! # Limits
 //!
 //! - Calls that bypass the C library are out of reach. `rustix` makes its calls itself: of the balancer's, that is the
@@ -43,3 +48,4 @@
 mod log;
 pub mod plan;
 mod target;
+mod wall_clock;
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -13,9 +13,10 @@
 
 use clock::{Clock, ClockReading, PROCESS_START, WallTime};
 use common::process::*;
+use common::wall_clock::WallClock;
 use common::{MS, SECOND};
 use start_times::{ListOrigin, StartTimes};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 use woadstall::api::Time;
 
 const HOUR: i64 = 3_600_000;
@@ -267,10 +268,6 @@
 const MOST_OF_A_COLD_ONE: f64 = 0.3;
 const LEAST_OF_A_WARM_ONE: f64 = 0.22;
 
-fn unix_millis() -> u64 {
-    u64::try_from(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()).unwrap()
-}
-
 fn started_at(uid: &str, upstream: &Upstream, boot_ms: u64) -> String {
     let warm = target(uid, upstream.address, "in_service");
     warm.replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
@@ -278,6 +275,7 @@
 
 /// The program with two equal upstreams, one of which is restarted.
 struct TwoUpstreams {
+    clock: WallClock,
     restarted: Upstream,
     other: Upstream,
     discovery: Discovery,
@@ -286,7 +284,8 @@
 }
 
 impl TwoUpstreams {
-    fn start(environment: &[(&str, String)]) -> Self {
+    fn start() -> Self {
+        let clock = WallClock::new();
         let answering = |body: &'static str| {
             Upstream::start(move |_| {
                 std::thread::sleep(ANSWERED_AFTER);
@@ -298,9 +297,9 @@
         let mut config = config(discovery.address, &in_service(&[&restarted, &other]));
         config["settings"]["Safety"]["StartCapacity"] = START_CAPACITY.into();
         config["settings"]["Safety"]["RampTimeNs"] = u64::try_from(RAMP.as_nanos()).unwrap().into();
-        let program = Program::start_with(&config, environment);
+        let program = Program::start_with(&config, &clock.environment());
         let caller = program.connect();
-        let mut two = Self { restarted, other, discovery, program, caller };
+        let mut two = Self { clock, restarted, other, discovery, program, caller };
         two.list(0);
         two.share_before(Instant::now() + RAMP); // it knows its rate, and has seen both answer
         two
@@ -346,11 +345,65 @@
     std::thread::scope(|scope| {
         for off in [0, HOUR, -HOUR, 5_000, -5_000] {
             scope.spawn(move || {
-                let two = TwoUpstreams::start(&[]);
+                let two = TwoUpstreams::start();
                 two.list(0);
-                two.list(unix_millis().checked_add_signed(off).unwrap());
+                two.list(two.clock.unix_millis().checked_add_signed(off).unwrap());
                 two.assert_brought_up(Instant::now(), &format!("off by {off} ms"));
             });
         }
     });
 }
+
+/// Steps of the wall clock that all machines share, and without one.
+const SHARED_STEPS: [i64; 5] = [0, HOUR, -HOUR, 5_000, -5_000];
+/// How long a start takes to be listed.
+const LISTED_AFTER: Duration = Duration::from_millis(300);
+
+/// Guards slow start in the proxy where the clock of all machines is stepped just before an upstream is restarted.
+#[test]
+fn a_restarted_upstream_gets_its_share_after_a_step_of_the_wall_clock() {
+    std::thread::scope(|scope| {
+        for step in SHARED_STEPS {
+            scope.spawn(move || {
+                let mut two = TwoUpstreams::start();
+                two.clock.step(step);
+                two.list(two.clock.unix_millis());
+                two.assert_brought_up(Instant::now(), &format!("stepped by {step} ms before the start"));
+            });
+        }
+    });
+}
+
+/// The same where the step comes between the start and the list that tells of it. The list before was long ago.
+#[test]
+fn a_restarted_upstream_gets_its_share_where_the_wall_clock_is_stepped_before_the_list() {
+    std::thread::scope(|scope| {
+        for step in SHARED_STEPS {
+            scope.spawn(move || {
+                let mut two = TwoUpstreams::start();
+                let (started, boot_ms) = (Instant::now(), two.clock.unix_millis());
+                std::thread::sleep(LISTED_AFTER);
+                two.clock.step(step);
+                two.list(boot_ms);
+                two.assert_brought_up(started, &format!("stepped by {step} ms after the start"));
+            });
+        }
+    });
+}
+
+/// A start that is known stays where it is, also where a list tells it again after a step.
+#[test]
+fn a_step_within_the_ramp_changes_no_share() {
+    std::thread::scope(|scope| {
+        for step in SHARED_STEPS {
+            scope.spawn(move || {
+                let mut two = TwoUpstreams::start();
+                let (started, boot_ms) = (Instant::now(), two.clock.unix_millis());
+                two.list(boot_ms);
+                two.clock.step(step);
+                two.list(boot_ms);
+                two.assert_brought_up(started, &format!("stepped by {step} ms within the ramp"));
+            });
+        }
+    });
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,6 +4,7 @@
 pub mod chain;
 pub mod fault_injector;
 pub mod process;
+pub mod wall_clock;
 
 use woadstall::Balancer;
 use woadstall::api::*;
