--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub mod chain;
+pub mod operator;
 pub mod process;
 
 use woadstall::Balancer;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -2,70 +2,16 @@
 
 mod common;
 
+use common::operator::*;
 use common::process::*;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
-use std::io::{BufReader, Read, Write};
+use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::AsRawFd;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The address of the door of a program just started.
-fn door(program: &mut Program) -> SocketAddr {
-    program.logged("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap()
-}
-
-fn with_door(discovery: SocketAddr, known: &[String]) -> Value {
-    let mut config = config(discovery, known);
-    config["admin_addr"] = "127.0.0.1:0".into();
-    config
-}
-
-/// Writes this to the door; the answer, if any comes.
-fn say(door: SocketAddr, text: &str) -> Option<Message> {
-    let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(text.as_bytes()).unwrap();
-    Message::read(&mut BufReader::new(stream))
-}
-
-fn call(door: SocketAddr, method: &str, path: &str) -> Message {
-    say(door, &format!("{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n"))
-        .expect("an answer")
-}
-
-fn order(door: SocketAddr, uid: &str, order: &str) -> u16 {
-    call(door, "POST", &format!("/control/upstreams/{uid}/{order}")).status()
-}
-
-fn counters(door: SocketAddr) -> Value {
-    let answer = call(door, "GET", "/control/counters");
-    assert_eq!(answer.status(), 200);
-    serde_json::from_slice(&answer.body).unwrap()
-}
-
-/// Asks for the figures until they are so; they may lag.
-fn counted(door: SocketAddr, so: impl Fn(&Value) -> bool) -> Value {
-    let asked = Instant::now();
-    loop {
-        let figures = counters(door);
-        if so(&figures) {
-            return figures;
-        }
-        assert!(asked.elapsed() < PATIENCE, "{figures}");
-    }
-}
-
-/// A folder that processes share, empty at first.
-fn shared_folder(name: &str) -> PathBuf {
-    let folder =
-        std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    std::fs::remove_dir_all(&folder).ok();
-    std::fs::create_dir_all(&folder).unwrap();
-    folder
-}
-
 #[test]
 fn door_tells_paths_methods_and_heads_apart() {
     let discovery = Discovery::start();
