--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,7 @@
 //! The list of upstreams: a watch on discovery that is taken up again whenever it ends.
 
 use super::config::Config;
+use super::connect::{Reachability, connect};
 use super::driver::Input;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,10 +14,9 @@
 use std::pin::pin;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::io::InspectReader;
 
 /// How long a watch may wait. Nothing but the end of its wait shows that one has fallen silent, and what it misses
@@ -197,9 +197,8 @@
 
 impl Open {
     async fn new(address: SocketAddr) -> Result<Self, Failure> {
-        let tcp =
-            timeout(CONNECT, TcpStream::connect(address)).await.map_err(|_| "no connection in time")??;
-        tcp.set_nodelay(true)?;
+        // There is no other to compare it with.
+        let tcp = connect(address, Instant::now() + CONNECT, &Reachability::default()).await?;
         let (hear, heard) = watch::channel(());
         let tcp = InspectReader::new(tcp, move |_: &[u8]| hear.send_replace(()));
         let (sender, connection) = handshake(TokioIo::new(tcp)).await?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,12 +3,14 @@
 mod admin;
 mod body;
 pub mod config;
+mod connect;
 mod counters;
 mod discovery;
 mod driver;
 mod gate;
 mod handover;
 mod server;
+mod transient;
 mod upstream;
 
 use config::Config;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -5,7 +5,7 @@
 use super::counters::{Counters, End, Taken};
 use super::driver::{Answer, Call, Input};
 use super::gate::{Gate, Idle, Line, MOST_HEAD, Seen, lock};
-use super::upstream::is_local;
+use super::transient::is_shortage;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -287,7 +287,7 @@
                 Ok((tcp, _)) => self.take(tcp, closing),
                 Err(error) => {
                     super::log(format_args!("cannot take a connection: {error}"));
-                    if is_local(&error) {
+                    if is_shortage(&error) {
                         self.close_idle();
                         self.driver.send(Input::DescriptorsShort).ok();
                         sleep(ACCEPT_PAUSE).await;
--- /dev/null
+++ b/src/net/transient.rs
@@ -0,0 +1,68 @@
+//! Failures of system calls that pass: whose they are, and how long to wait before the next try.
+
+use rustix::io::Errno;
+use std::io;
+use std::time::Duration;
+
+/// First pause after a failure, doubling with each up to the longest.
+const FIRST_PAUSE: Duration = Duration::from_millis(2);
+const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+
+/// Whose failure an error is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Origin {
+    /// The own machine lacks something, whatever the peer.
+    Machine,
+    /// The own machine has no way to this peer just now, or does not allow it: no port, route or permission.
+    Route,
+    /// The own network may be at fault, or the peer's.
+    Unclear,
+    /// The peer's.
+    Peer,
+}
+
+/// Whose failure it is that a connection could not be made.
+pub fn origin(error: &io::Error) -> Origin {
+    match Errno::from_io_error(error) {
+        // EAGAIN is a lack of local ports or of room in the routing cache; ENOSPC one of watches in epoll.
+        Some(
+            Errno::AGAIN
+            | Errno::INTR
+            | Errno::MFILE
+            | Errno::NETDOWN
+            | Errno::NFILE
+            | Errno::NOBUFS
+            | Errno::NOMEM
+            | Errno::NOSPC,
+        ) => Origin::Machine,
+        Some(Errno::ACCESS | Errno::ADDRNOTAVAIL | Errno::NETUNREACH | Errno::PERM) => Origin::Route,
+        Some(Errno::HOSTDOWN | Errno::HOSTUNREACH | Errno::TIMEDOUT) => Origin::Unclear,
+        _ => Origin::Peer,
+    }
+}
+
+/// Whether the machine is out of descriptors or of memory for sockets: closing some would help.
+pub fn is_shortage(error: &io::Error) -> bool {
+    let error = Errno::from_io_error(error);
+    matches!(error, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
+}
+
+/// The pauses between tries, each twice as long as the one before.
+pub struct Backoff {
+    next: Duration,
+}
+
+impl Default for Backoff {
+    fn default() -> Self {
+        Self { next: FIRST_PAUSE }
+    }
+}
+
+impl Backoff {
+    /// How long to wait after one more failure.
+    pub fn pause(&mut self) -> Duration {
+        let pause = self.next;
+        self.next = (2 * pause).min(LONGEST_PAUSE);
+        pause
+    }
+}
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,6 +1,7 @@
 //! Connections to upstreams, and attempts on them: one attempt at a time on each.
 
 use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Outgoing, Payload, Room, gather};
+use super::connect::{ConnectError, Reachability, connect};
 use super::gate::{Presence, lock, poll_io};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -20,7 +21,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
-use tokio::time::{Duration, Instant, timeout_at};
+use tokio::time::{Duration, Instant};
 use woadstall::api::{Outcome, ServerId};
 
 /// How long the start of a long answer may be held, for a server that breaks off at once to be found out.
@@ -90,19 +91,27 @@
     New(Slot),
 }
 
+/// What all connections to upstreams share.
+#[derive(Default)]
+struct Links {
+    /// How many are open, or coming up.
+    open: AtomicUsize,
+    reachability: Reachability,
+}
+
 /// A connection that is open, or coming up; it counts until this is dropped.
-pub struct Slot(Arc<AtomicUsize>);
+pub struct Slot(Arc<Links>);
 
 impl Slot {
-    fn take(open: &Arc<AtomicUsize>) -> Self {
-        open.fetch_add(1, Ordering::Relaxed);
-        Self(open.clone())
+    fn take(links: &Arc<Links>) -> Self {
+        links.open.fetch_add(1, Ordering::Relaxed);
+        Self(links.clone())
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::Relaxed);
+        self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -112,14 +121,13 @@
     let mut connection = match means.link {
         Link::Idle(connection) => connection,
         Link::New(slot) => {
-            let end = Instant::now() + means.connect_timeout;
+            let end = (Instant::now() + means.connect_timeout).min(means.until);
             let end = means.begin_by.map_or(end, |begin_by| begin_by.min(end));
-            match timeout_at(end, Connection::open(means.address, slot)).await {
-                Ok(Ok(connection)) => connection,
-                // Our own lack of descriptors or ports says nothing of the upstream.
-                Ok(Err(error)) if is_local(&error) => return Outcome::Moot.into(),
-                Err(_) if is_late() => return Outcome::Moot.into(), // nor does a time that ran out before its own
-                Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed.into(),
+            match Connection::open(means.address, slot, end).await {
+                Ok(connection) => connection,
+                Err(ConnectError::Local(_)) => return Outcome::Moot.into(),
+                Err(ConnectError::TimedOut) if is_late() => return Outcome::Moot.into(), // before its own time was over
+                Err(ConnectError::Peer(_) | ConnectError::TimedOut) => return Outcome::ConnectFailed.into(),
             }
         }
     };
@@ -157,6 +165,7 @@
     let Ok(response) = connection.sender.send_request(request).await else {
         return broken();
     };
+    connection.slot.0.reachability.heard(means.address);
     let (head, mut body) = response.into_parts();
     let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
     let outcome = match head.status {
@@ -191,35 +200,27 @@
     }
 }
 
-/// Whether a connection failed for lack of our own descriptors, ports or memory.
-pub fn is_local(error: &io::Error) -> bool {
-    const ENFILE: i32 = 23;
-    const EMFILE: i32 = 24;
-    const ENOBUFS: i32 = 105;
-    matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
-        || matches!(error.kind(), ErrorKind::AddrNotAvailable | ErrorKind::OutOfMemory)
-}
-
 /// A connection to an upstream. Dropping it closes it.
 pub struct Connection {
     sender: SendRequest<Outgoing<Taken>>,
     tcp: Arc<TcpStream>,
     progress: Arc<Progress>,
     task: AbortHandle,
-    _slot: Slot,
+    slot: Slot,
 }
 
 impl Connection {
-    async fn open(address: SocketAddr, slot: Slot) -> io::Result<Self> {
-        let tcp = TcpStream::connect(address).await?;
-        tcp.set_nodelay(true)?;
+    /// Connects by a time.
+    async fn open(address: SocketAddr, slot: Slot, end: Instant) -> Result<Self, ConnectError> {
+        let tcp = connect(address, end, &slot.0.reachability).await?;
         let (tcp, progress) = (Arc::new(tcp), Arc::new(Progress::default()));
         let socket = Socket { tcp: tcp.clone(), progress: progress.clone() };
         let builder = &mut Builder::new();
         let builder = builder.max_buf_size(READ_BUFFER);
-        let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
+        let handshake = builder.handshake(TokioIo::new(socket)).await;
+        let (sender, connection) = handshake.map_err(|error| ConnectError::Peer(io::Error::other(error)))?;
         let task = tokio::spawn(connection).abort_handle();
-        Ok(Self { sender, tcp, progress, task, _slot: slot })
+        Ok(Self { sender, tcp, progress, task, slot })
     }
 
     /// The connection after its answer: ready again unless its upstream closes it, which it has said by now, or is
@@ -324,7 +325,7 @@
 pub struct Idle {
     keep: Duration,
     most: usize,
-    open: Arc<AtomicUsize>,
+    links: Arc<Links>,
     idle: HashMap<ServerId, Vec<(Instant, Connection)>>,
 }
 
@@ -332,13 +333,13 @@
     /// Connections are kept for less than `limit`, and no more than `most` are open, idle or not.
     pub fn new(limit: Duration, most: usize) -> Self {
         let keep = limit - IDLE_MARGIN.min(limit / 2);
-        Self { keep, most, open: Arc::default(), idle: HashMap::new() }
+        Self { keep, most, links: Arc::default(), idle: HashMap::new() }
     }
 
     /// Changes how many may be open, and closes idle ones that are too many then.
     pub fn limit(&mut self, most: usize) {
         self.most = most;
-        while self.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
+        while self.links.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
     }
 
     /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
@@ -348,7 +349,7 @@
                 return Some(Link::Idle(connection));
             }
         }
-        self.make_room().then(|| Link::New(Slot::take(&self.open)))
+        self.make_room().then(|| Link::New(Slot::take(&self.links)))
     }
 
     /// Keeps a connection for the next attempt.
@@ -376,7 +377,7 @@
 
     /// Whether one more connection may be opened, after closing the one idle for longest if need be.
     fn make_room(&mut self) -> bool {
-        let full = |idle: &Self| idle.open.load(Ordering::Relaxed) >= idle.most;
+        let full = |idle: &Self| idle.links.open.load(Ordering::Relaxed) >= idle.most;
         if full(self) {
             self.close_oldest();
         }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,26 +4,193 @@
 
 use common::fault_injector::Faults;
 use common::process::*;
+use std::time::{Duration, Instant};
 
 /// Calls made where one in three of the system calls fails.
 const CALLS: usize = 90;
+/// Seeds that the share is drawn with, one program each.
+const ONE_IN_THREE: &str = "share=0.33:seed=7";
 
-/// Starts the program before one upstream, with faults.
-fn start(faults: &Faults) -> (Program, Upstream) {
-    let upstream = Upstream::start(|_| Act::Answer(ok("served")));
-    let config = config(refusing(), &in_service(&[&upstream]));
-    (Program::start_with(&config, &faults.environment()), upstream)
+/// An upstream that takes one request on each connection.
+fn closing_upstream() -> Upstream {
+    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nserved";
+    Upstream::start(|_| Act::AnswerAndClose(answer.to_owned()))
+}
+
+/// Starts the program before upstreams, with faults.
+fn start(faults: &Faults, upstreams: &[&Upstream]) -> Program {
+    Program::start_with(&config(refusing(), &in_service(upstreams)), &faults.environment())
+}
+
+/// Requests of a class that an upstream has seen.
+fn requests_of(class: &str, upstream: &Upstream) -> usize {
+    let path = format!(" /{class}?");
+    let is_one = |seen: &Seen| matches!(seen, Seen::Request(request) if request.first_line.contains(&path));
+    upstream.seen.try_iter().filter(is_one).count()
+}
+
+/// Ends the program, and tells whether it held anything against an upstream.
+fn blamed_an_upstream(program: Program) -> bool {
+    program.terminate();
+    let (status, log) = program.end();
+    assert!(status.success(), "{log}");
+    log.contains("breaker")
 }
 
 /// Guards callers where the connection at the head of the backlog is gone: whoever comes next is served all the same.
 #[test]
 fn connections_of_callers_fail_for_a_moment() {
     for error in ["ECONNABORTED", "EPROTO", "ENETDOWN", "EPERM"] {
-        let faults = Faults::new(format!("accept:{error}:share=0.33:seed=7"));
-        let (program, _upstream) = start(&faults);
+        let faults = Faults::new(format!("accept:{error}:{ONE_IN_THREE}"));
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let program = start(&faults, &[&upstream]);
         for _ in 0..CALLS {
             assert_eq!(program.call("look").status(), 200, "{error}");
         }
         assert!(faults.injected("accept", error) > CALLS / 6, "{error} was hardly injected");
     }
 }
+
+/// Guards callers and upstreams where a third of all tries to connect fails: the next try does.
+#[test]
+fn connections_to_upstreams_fail_for_a_moment() {
+    let errors = [
+        ("connect", "EADDRNOTAVAIL"),
+        ("connect", "EAGAIN"),
+        ("connect", "EHOSTUNREACH"),
+        ("connect", "EINTR"),
+        ("connect", "ENETDOWN"),
+        ("connect", "ENETUNREACH"),
+        ("connect", "ENOBUFS"),
+        ("connect", "EPERM"),
+        ("connect", "ETIMEDOUT"),
+        ("socket", "EMFILE"),
+        ("socket", "ENFILE"),
+        ("socket", "ENOMEM"),
+        ("setsockopt", "ENOBUFS"),
+    ];
+    for (call, error) in errors {
+        let faults = Faults::new(format!("{call}:{error}:on=inet:from=9:{ONE_IN_THREE}"));
+        let (one, two) = (closing_upstream(), closing_upstream());
+        let program = start(&faults, &[&one, &two]);
+        for at in 0..CALLS {
+            let class = ["look", "pay", "post"][at % 3];
+            assert_eq!(program.call(class).status(), 200, "{call} {error}");
+        }
+        assert!(faults.injected(call, error) > CALLS / 6, "{call} {error} was hardly injected");
+        let posts = [&one, &two].map(|upstream| requests_of("post", upstream));
+        assert_eq!(posts.iter().sum::<usize>(), CALLS / 3, "{call} {error}: each ran once");
+        assert!(!blamed_an_upstream(program), "{call} {error}");
+    }
+}
+
+/// Guards requests, their attempts and the processor where nothing can be connected to for a while.
+#[test]
+fn a_failure_that_lasts_is_waited_out() {
+    for error in ["ENFILE", "ENETUNREACH", "EHOSTUNREACH"] {
+        let upstream = closing_upstream();
+        let port = upstream.address.port();
+        let faults = Faults::new(format!("connect:{error}:count=12:port={port}"));
+        let program = start(&faults, &[&upstream]);
+        let asked = Instant::now();
+        assert_eq!(program.call("post").status(), 200, "{error}");
+        // Without pauses it would have been over within a millisecond, and with it all attempts.
+        assert!(asked.elapsed() > Duration::from_millis(500), "{error} after {:?}", asked.elapsed());
+        assert!(!blamed_an_upstream(program), "{error}");
+    }
+}
+
+/// Guards the time of a request and the processor: what does not pass is tried a few times only.
+#[test]
+fn a_failure_that_stays_ends_with_the_request() {
+    let upstream = closing_upstream();
+    let faults = Faults::new(format!("connect:ENOBUFS:port={}", upstream.address.port()));
+    let program = start(&faults, &[&upstream]);
+    let asked = Instant::now();
+    let answer = program.connect().call("look", "1", "").expect("an answer");
+    assert!(matches!(answer.status(), 502 | 503), "{answer:?}");
+    assert!(asked.elapsed() < Duration::from_millis(1500), "it took {:?}", asked.elapsed());
+    assert!(faults.injected("connect", "ENOBUFS") < 40, "the tries had no pause");
+    assert_eq!(upstream.requests(), 0);
+    assert!(!blamed_an_upstream(program));
+}
+
+/// Guards the others' callers: an upstream that alone is out of reach is passed over like any that is down.
+#[test]
+fn an_upstream_that_alone_is_out_of_reach_is_at_fault() {
+    for error in ["EHOSTUNREACH", "ETIMEDOUT"] {
+        let (lost, sound) = (closing_upstream(), closing_upstream());
+        let faults = Faults::new(format!("connect:{error}:port={}", lost.address.port()));
+        let program = start(&faults, &[&lost, &sound]);
+        // Beside a call that waits for the one, others are answered by the other.
+        std::thread::scope(|scope| {
+            for _ in 0..4 {
+                scope.spawn(|| (0..CALLS).for_each(|_| assert_eq!(program.call("look").status(), 200)));
+            }
+        });
+        assert_eq!(lost.requests(), 0);
+        assert!(blamed_an_upstream(program), "{error}");
+    }
+}
+
+/// Guards rule `lost`: an attempt that waits for the own machine ends with its caller.
+#[test]
+fn who_leaves_while_a_connection_is_tried_again_is_not_served() {
+    let upstream = closing_upstream();
+    let faults = Faults::new(format!("connect:ENFILE:count=10:port={}", upstream.address.port()));
+    let program = start(&faults, &[&upstream]);
+    for way in WAYS {
+        let mut caller = program.connect();
+        let before = faults.injected("connect", "ENFILE");
+        caller.send("post", LONG, "body");
+        eventually("a try", || faults.injected("connect", "ENFILE") > before);
+        caller.leave(way);
+        program.all_callers_left();
+        eventually("its end is taken in", || program.connections() == 0);
+    }
+    // One that stays finds what is left of the failures, and is the only one to be served.
+    assert_eq!(program.call("post").status(), 200);
+    assert_eq!(upstream.requests(), 1);
+}
+
+/// Guards keyed work: once the window of a repeat is over, no connection that comes up late takes it.
+#[test]
+fn no_repeat_begins_behind_its_window_after_failures() {
+    const WINDOW: Duration = Duration::from_millis(300);
+    for failures in [9, 12, 15, 18, 30] {
+        let (tell, begun) = std::sync::mpsc::channel();
+        let upstream = Upstream::start(move |_| {
+            tell.send(Instant::now()).ok();
+            Act::Do(std::sync::Arc::new(|_| {}))
+        });
+        let port = upstream.address.port();
+        let faults = Faults::new(format!("connect:ENFILE:from=2:count={failures}:port={port}"));
+        let mut config = config(refusing(), &in_service(&[&upstream]));
+        config["settings"]["Classes"][1]["WindowNs"] = (WINDOW.as_nanos() as u64).into();
+        let program = Program::start_with(&config, &faults.environment());
+        let asked = Instant::now();
+        assert_eq!(program.call("pay").status(), 502);
+        assert!(asked.elapsed() < 3 * WINDOW, "it took {:?}", asked.elapsed());
+        assert!(faults.injected("connect", "ENFILE") >= 5, "it was tried again");
+        drop(program);
+        let begun: Vec<Instant> = begun.try_iter().collect();
+        let last = begun.last().unwrap().duration_since(begun[0]);
+        assert!(last < WINDOW + Duration::from_millis(150), "the last of {} after {last:?}", begun.len());
+    }
+}
+
+/// Guards the list of upstreams: discovery is not down because no connection to it could be made here.
+#[test]
+fn connections_to_discovery_fail_for_a_moment() {
+    for error in ["EADDRNOTAVAIL", "EHOSTUNREACH", "EMFILE", "ENETUNREACH"] {
+        let (discovery, upstream) = (Discovery::start(), closing_upstream());
+        let faults = Faults::new(format!("connect:{error}:count=4:port={}", discovery.address.port()));
+        let program = Program::start_with(&config(discovery.address, &[]), &faults.environment());
+        discovery.publish(&in_service(&[&upstream]));
+        eventually("the upstream is listed", || program.call("look").status() == 200);
+        assert_eq!(faults.injected("connect", error), 4);
+        program.terminate();
+        let (_, log) = program.end();
+        assert!(!log.contains("discovery failed"), "{error}: {log}");
+    }
+}
