--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -20,12 +20,16 @@
 /// How long a scenario lasts on virtual time.
 const LENGTH: u64 = 12 * SECOND;
 /// Requests a second, on average.
-const RATE: f64 = 400.0;
-/// Requests a second in the burst, which is more than the endpoints can do.
-const BURST_RATE: f64 = 4000.0;
+const BUSY: f64 = 400.0;
+/// So few requests a second that connections are idle in between.
+const SPARSE: f64 = 30.0;
+/// How many times the rate is in the burst, which is more than the endpoints can do.
+const BURST_RISE: f64 = 10.0;
 const BURST: std::ops::Range<u64> = 7 * SECOND..8 * SECOND;
 /// While this lasts, some endpoints fail, reject, or take no connections.
-const FAULTS: std::ops::Range<u64> = 3 * SECOND..5 * SECOND;
+const FAULTS: std::ops::Range<u64> = 2 * SECOND..6 * SECOND;
+/// Idle connections are cut after this time while the faults last.
+const REAPED_AFTER: u64 = 300 * MS;
 
 /// What happens next in the world around the module.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -83,6 +87,7 @@
 struct World {
     balancer: Balancer,
     may_cancel: bool,
+    rate: f64,
     rng: fastrand::Rng,
     now: u64,
     order: u64,
@@ -90,15 +95,18 @@
     calls: HashMap<u32, Call>,
     next_id: u32,
     in_flight: [u32; ENDPOINTS as usize],
+    /// When an attempt ended last at each endpoint.
+    idle_since: [u64; ENDPOINTS as usize],
     list: Vec<ListEntry>,
     digest: Digest,
     seen: Seen,
 }
 
 impl World {
-    fn new(settings: Settings, seed: u64) -> Self {
+    fn new(settings: Settings, rate: f64, seed: u64) -> Self {
         let mut world = Self {
             may_cancel: settings.may_cancel,
+            rate,
             balancer: Balancer::new(settings, seed, SECOND).unwrap(),
             rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
             now: SECOND,
@@ -107,6 +115,7 @@
             calls: HashMap::new(),
             next_id: 0,
             in_flight: [0; ENDPOINTS as usize],
+            idle_since: [SECOND; ENDPOINTS as usize],
             list: zones(ZONES, ENDPOINTS / u32::from(ZONES)),
             digest: Digest::new(),
             seen: Seen::default(),
@@ -156,7 +165,8 @@
     // ---- Clients ----
 
     fn on_arrival(&mut self) {
-        let rate = if BURST.contains(&self.since_start()) { BURST_RATE } else { RATE };
+        let rise = if BURST.contains(&self.since_start()) { BURST_RISE } else { 1.0 };
+        let rate = self.rate * rise;
         let gap = (-self.rng.f64().max(1e-9).ln() / rate * SECOND as f64) as u64;
         self.after(gap, Due::Arrival);
         let id = self.next_id;
@@ -211,9 +221,10 @@
         if FAULTS.contains(&self.since_start()) {
             match endpoint {
                 0 if chance < 0.9 => return Outcome::Error,
-                1 if class == UNSAFE => return Outcome::Full,
+                1 if class == UNSAFE || class == KEYED_ALL => return Outcome::Full,
                 2 if chance < 0.8 => return Outcome::ConnectFailed,
                 3 if chance < 0.7 => return Outcome::Reset,
+                6.. if self.is_reaped(endpoint) => return Outcome::Reset,
                 _ => {}
             }
         }
@@ -226,6 +237,12 @@
         }
     }
 
+    /// Whether the connections to an endpoint have been idle for so long that something between cuts them.
+    fn is_reaped(&self, endpoint: u32) -> bool {
+        let at = endpoint as usize;
+        self.in_flight[at] == 0 && self.now - self.idle_since[at] > REAPED_AFTER
+    }
+
     fn on_attempt_over(&mut self, id: u32, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some((endpoint, sent, outcome)) = call.in_flight.filter(|_| call.attempts == attempt + 1) else {
@@ -241,6 +258,7 @@
         let closed = call.closed || matches!(outcome, Outcome::Ok | Outcome::Declined);
         call.closed = closed;
         self.in_flight[endpoint as usize] -= 1;
+        self.idle_since[endpoint as usize] = self.now;
         let spent = call.streaming;
         let elapsed = self.now - sent;
         let end = End { attempt, outcome, elapsed, closed, spent, load: None };
@@ -357,8 +375,8 @@
     }
 }
 
-fn play(name: &str, settings: Settings) -> (String, Seen) {
-    let (digest, seen) = World::new(settings, 17).run();
+fn play(name: &str, settings: Settings, rate: f64) -> (String, Seen) {
+    let (digest, seen) = World::new(settings, rate, 17).run();
     (format!("{name} {digest:016x} {}", seen.actions), seen)
 }
 
@@ -371,13 +389,15 @@
 /// Guards the decisions over a change that should not alter any.
 #[test]
 fn actions_are_those_that_were_recorded() {
-    let polled = Settings { ask_discovery: true, cross_price: 0.02, conn_idle: SECOND / 2, ..busy() };
+    let polled =
+        Settings { ask_discovery: true, siblings: 40, cross_price: 0.02, conn_idle: SECOND / 2, ..busy() };
     let queried = Settings { report_inflight: Some(0), load_by_probe: true, worth_by_work: true, ..busy() };
     let deeper = Settings { tier: 1, may_cancel: false, passes_deadline: false, ..busy() };
-    let (pushed_line, pushed) = play("pushed", busy());
-    let (polled_line, polled) = play("polled", polled);
-    let (queried_line, queried) = play("queried", queried);
-    let (deeper_line, deeper) = play("deeper", deeper);
+    let (pushed_line, pushed) = play("pushed", busy(), BUSY);
+    let (polled_line, polled) = play("polled", polled, BUSY);
+    let (queried_line, queried) = play("queried", queried, BUSY);
+    let (deeper_line, deeper) = play("deeper", deeper, BUSY);
+    let (sparse_line, sparse) = play("sparse", busy(), SPARSE);
     for seen in [&pushed, &polled, &queried, &deeper] {
         assert!(seen.retries > 50 && seen.breaker_openings > 0 && seen.closed_idle > 20, "{seen:?}");
     }
@@ -385,6 +405,7 @@
         assert!(seen.rejected > 100 && seen.shedding_began > 0 && seen.cancelled > 20, "{seen:?}");
     }
     assert!(polled.watches > 0 && queried.queries > 1000 && pushed.failed > 0, "{polled:?} {queried:?}");
-    let played = [pushed_line, polled_line, queried_line, deeper_line].join("\n");
+    assert!(sparse.closed_idle > 20 && sparse.retries > 0, "{sparse:?}");
+    let played = [pushed_line, polled_line, queried_line, deeper_line, sparse_line].join("\n");
     assert_eq!(played, RECORDED.trim_end(), "now:\n{played}\n");
 }
