--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,6 +5,7 @@
 mod clock;
 mod clock_offsets;
 pub mod config;
+mod connect;
 mod counters;
 mod discovery;
 mod driver;
@@ -16,6 +17,7 @@
 mod server;
 mod shared_folder;
 mod start_times;
+mod transient;
 mod upstream;
 
 use config::Config;
