--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -5,7 +5,7 @@
 use super::counters::{Counters, End, Taken};
 use super::driver::{Answer, Call, Input};
 use super::gate::{Gate, Idle, Line, MOST_HEAD, Seen, lock};
-use super::transient::is_shortage;
+use super::transient::{Backoff, is_shortage};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -44,8 +44,6 @@
 /// looked at. Together they stay under the 3 s after which one that sends nothing whole is owed an end.
 const PATIENCE: Duration = Duration::from_millis(2500);
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Wait after a connection could not be taken for lack of descriptors: the next try would fail alike.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 /// Part of the room that connections without a call may fill, as one over this.
 const UNCALLED: usize = 2;
 /// A new connection may bring its call a little later.
@@ -155,6 +153,19 @@
     }
 }
 
+/// Connections that could not be taken, in a row.
+struct Failing {
+    since: Instant,
+    failures: u32,
+    backoff: Backoff,
+}
+
+impl Default for Failing {
+    fn default() -> Self {
+        Self { since: Instant::now(), failures: 0, backoff: Backoff::default() }
+    }
+}
+
 /// Tells the driver that a caller has gone, unless it got its answer.
 struct Owed<'a>(Option<RequestId>, &'a UnboundedSender<Input>);
 
@@ -249,10 +260,17 @@
     /// Takes what waits in the backlog, and closes the listener. Who comes later is taken as well, as nobody can tell,
     /// but no more than a backlog holds.
     async fn take_rest(self: Arc<Self>, listener: TcpListener, closing: watch::Receiver<bool>) {
+        let mut backoff = Backoff::default();
         for _ in 0..MOST_BACKLOG {
             self.has_room().await;
-            let Ok(Ok((tcp, _))) = timeout(LAST_LOOK, listener.accept()).await else { return };
-            self.take(tcp, &closing);
+            match timeout(LAST_LOOK, listener.accept()).await {
+                Ok(Ok((tcp, _))) => {
+                    backoff = Backoff::default();
+                    self.take(tcp, &closing);
+                }
+                Ok(Err(_)) => sleep(backoff.pause()).await, // others wait behind the one that failed
+                Err(_) => return,
+            }
         }
     }
 
@@ -281,22 +299,45 @@
     }
 
     async fn accept(self: &Arc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
+        let mut failing: Option<Failing> = None;
         loop {
             self.has_room().await;
             match listener.accept().await {
-                Ok((tcp, _)) => self.take(tcp, closing),
+                Ok((tcp, _)) => {
+                    failing = None;
+                    self.take(tcp, closing);
+                }
                 Err(error) => {
                     super::log(format_args!("cannot take a connection: {error}"));
+                    let failing = failing.get_or_insert_default();
                     if is_shortage(&error) {
-                        self.close_idle();
-                        self.driver.send(Input::DescriptorsShort).ok();
-                        sleep(ACCEPT_PAUSE).await;
+                        self.make_room(failing);
                     }
+                    failing.failures += 1;
+                    sleep(failing.backoff.pause()).await;
                 }
             }
         }
     }
 
+    /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request on
+    /// the way is closed for a lack of a moment.
+    fn make_room(&self, failing: &Failing) {
+        if failing.failures == 0 {
+            return;
+        }
+        self.driver.send(Input::DescriptorsShort).ok();
+        let is_lasting = failing.since.elapsed() > NEWLY;
+        self.close_idle_where(|idle, since| {
+            is_lasting
+                || match idle {
+                    Idle::Resting | Idle::Strange => true,
+                    Idle::Silent => since.elapsed() > NEWLY,
+                    Idle::Begun => false,
+                }
+        });
+    }
+
     /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
     /// that is soon.
     async fn has_room(&self) {
@@ -315,6 +356,11 @@
     /// a call have a part of the room, and where they fill it, one of them goes: a crowd pushes out nobody but
     /// itself. One that is closed may be writing just now; its caller knows then that its request was not taken.
     fn close_idle(&self) -> bool {
+        self.close_idle_where(|_, _| true)
+    }
+
+    /// The same among those of which this holds.
+    fn close_idle_where(&self, may_go: impl Fn(Idle, Instant) -> bool) -> bool {
         let callers = lock(&self.callers);
         let staying = callers.values().filter(|caller| !caller.leaving.load(Ordering::Relaxed));
         let idle: Vec<_> =
@@ -329,7 +375,8 @@
             Idle::Begun => 3,
             Idle::Resting => 4,
         };
-        let goes = idle.into_iter().min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
+        let candidates = idle.into_iter().filter(|((idle, since), _)| may_go(*idle, *since));
+        let goes = candidates.min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
         let Some((_, caller)) = goes else { return false };
         caller.leaving.store(true, Ordering::Relaxed);
         caller.close.notify_one();
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -8,7 +8,9 @@
 
 /// Calls made where one in three of the system calls fails.
 const CALLS: usize = 90;
-/// Seeds that the share is drawn with, one program each.
+/// Longer than new connections are taken after a signal to stop.
+const AT_THE_END: Duration = Duration::from_secs(5);
+/// Which calls fail where a part does.
 const ONE_IN_THREE: &str = "share=0.33:seed=7";
 
 /// An upstream that takes one request on each connection.
@@ -51,6 +53,46 @@
     }
 }
 
+/// Guards who has just connected: a lack of a moment closes nobody whose request may be on its way.
+#[test]
+fn a_new_caller_outlasts_a_lack_of_descriptors() {
+    for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
+        let faults = Faults::new(format!("accept:{error}:from=2:count=4"));
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let program = start(&faults, &[&upstream]);
+        let mut caller = program.connect();
+        eventually("no connection can be taken", || faults.injected("accept", error) == 4);
+        caller.send("look", LONG, "");
+        assert_eq!(caller.answer().expect("an answer").status(), 200, "{error}");
+        assert_eq!(program.call("look").status(), 200, "{error}");
+    }
+}
+
+/// Guards the backlog at the end: connections wait behind the one that has failed.
+#[test]
+fn the_backlog_is_taken_at_the_end_whatever_fails_in_it() {
+    const WAITING: usize = 8;
+    for _ in 0..4 {
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let faults = Faults::new(format!("accept:ECONNABORTED:from=3:{ONE_IN_THREE}"));
+        let program = start(&faults, &[&upstream]);
+        assert_eq!(program.call("look").status(), 200);
+        program.terminate();
+        program.has_taken_signals();
+        program.pause();
+        // Longer than new connections are waited for: what comes now is in the backlog when that is over.
+        let mut callers: Vec<Caller> = (0..WAITING).map(|_| program.connect()).collect();
+        callers.iter_mut().for_each(|caller| caller.send("look", LONG, ""));
+        std::thread::sleep(AT_THE_END);
+        program.go_on();
+        for caller in &mut callers {
+            assert_eq!(caller.answer().expect("an answer").status(), 200);
+        }
+        let (status, log) = program.end();
+        assert!(status.success(), "{log}");
+    }
+}
+
 /// Guards callers and upstreams where a third of all tries to connect fails: the next try does.
 #[test]
 fn connections_to_upstreams_fail_for_a_moment() {
