--- /dev/null
+++ b/src/net/closing.rs
@@ -0,0 +1,122 @@
+//! How a connection to a client ends: what is still owed on it is answered, and the close resets nothing that the
+//! client has yet to read.
+
+use super::gate::{Line, lock};
+use rustix::io::Errno;
+use socket2::SockRef;
+use std::mem::MaybeUninit;
+use std::net::Shutdown;
+use std::time::Duration;
+use tokio::io::Interest;
+use tokio::time::timeout;
+
+/// How long a connection stays half open behind its last answer for the client to read that.
+pub const LINGER: Duration = Duration::from_millis(500);
+/// Bytes of an answered request that are read and dropped at most: more would be taken for work on it.
+const MOST_DISCARDED: u64 = 1 << 20;
+/// Bytes of it that are read at a time.
+const DISCARD_BUFFER: usize = 8 << 10;
+
+const REQUEST_TIMEOUT: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const BAD_GATEWAY: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.500\r\nContent-Length: 0\r\n\r\n";
+
+/// Why a connection is not served any longer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Ending {
+    /// Its last answer is written, or the client has gone.
+    Done,
+    /// The client takes too long.
+    Overdue,
+    /// Its place is needed for another client.
+    NoRoom,
+    /// The process ends.
+    Shutdown,
+    /// Its task has panicked.
+    Panicked,
+}
+
+/// What is owed on a connection that is not served any longer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Owed {
+    /// No request has begun, or the answer to it has.
+    Nothing,
+    /// An answer to a request that has not come whole.
+    ToPartial,
+    /// An answer to a whole request.
+    ToWhole,
+}
+
+impl Line {
+    /// Ends a connection: answers what is owed, ends the sending, and waits until the client has read that, unless its
+    /// place is needed.
+    pub async fn close(&self, ending: Ending, place_needed: impl Future<Output = ()>) {
+        let owed = lock(&self.seen).owed();
+        if ending != Ending::Done {
+            self.answer_directly(ending, owed);
+        }
+        if lock(&self.seen).resets || !self.holds_unread() {
+            return;
+        }
+        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error is an end as well
+        let outstanding = lock(&self.seen).lingers().min(MOST_DISCARDED);
+        // What has come already is read in any case.
+        let linger = if ending == Ending::NoRoom { Duration::ZERO } else { LINGER };
+        tokio::select! {
+            biased;
+            _ = timeout(linger, self.drained(outstanding)) => {}
+            () = place_needed => {}
+        }
+    }
+
+    /// Writes a final answer beside the HTTP library, that has written none and will not.
+    fn answer_directly(&self, ending: Ending, owed: Owed) {
+        let answer = match (owed, ending) {
+            (Owed::Nothing, _) => return,
+            (Owed::ToWhole, _) => BAD_GATEWAY, // it may have run
+            (Owed::ToPartial, Ending::Overdue) => REQUEST_TIMEOUT,
+            (Owed::ToPartial, _) => SERVICE_UNAVAILABLE,
+        };
+        self.tcp.try_write(answer).ok(); // a client that has just gone needs none
+    }
+
+    /// Whether a close would reset the connection, now or when the rest of the present request comes.
+    fn holds_unread(&self) -> bool {
+        let gone = self.peeked() == Some(0);
+        let seen = lock(&self.seen);
+        !gone && !seen.ended() && seen.outstanding() > 0 || self.has_bytes()
+    }
+
+    /// Bytes that the kernel holds, one at most: also those that the runtime has not heard of. `None` for no byte and
+    /// no end.
+    fn peeked(&self) -> Option<usize> {
+        match SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]) {
+            Ok(bytes) => Some(bytes),
+            Err(error) if error.raw_os_error() == Some(Errno::AGAIN.raw_os_error()) => None,
+            Err(_) => Some(0),
+        }
+    }
+
+    /// Whether the kernel holds bytes that were not read.
+    pub fn has_bytes(&self) -> bool {
+        self.peeked().is_some_and(|bytes| bytes > 0)
+    }
+
+    /// Reads what is left of the answered request, and waits for the client's end. What follows that request is left
+    /// unread, so that its client knows that it was not taken.
+    async fn drained(&self, mut outstanding: u64) {
+        let mut buffer = [0; DISCARD_BUFFER];
+        while outstanding > 0 && self.tcp.readable().await.is_ok() {
+            let most = usize::try_from(outstanding).unwrap_or(usize::MAX).min(DISCARD_BUFFER);
+            match self.tcp.try_read(&mut buffer[..most]) {
+                Ok(0) => return,
+                Ok(bytes) => outstanding = outstanding.saturating_sub(bytes as u64),
+                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+                Err(_) => return,
+            }
+        }
+        self.tcp.ready(Interest::PRIORITY).await.ok(); // shows the client's end, whatever stands in front of it
+    }
+}
--- a/src/net/gate.rs
+++ b/src/net/gate.rs
@@ -1,11 +1,11 @@
 //! A caller's socket: hands hyper one request at a time, and notes what hyper does not tell.
 
+use super::closing::Owed;
 use bytes::{Buf, BytesMut};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice};
-use std::mem::MaybeUninit;
 use std::net::Shutdown;
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -53,6 +53,8 @@
     Resting,
     /// A part of a head has come.
     Begun,
+    /// Its last answer is written, and its client has not read that yet.
+    Lingering,
 }
 
 /// What is known of a caller's connection.
@@ -75,6 +77,10 @@
     /// Answers that it was given, to whatever.
     answers: u32,
     answered: bool,
+    /// The answer to the present request has begun.
+    responding: bool,
+    /// Nothing more is read or answered.
+    lingering: bool,
     /// Bytes that had come in all when the present head was whole.
     head_came: u64,
     /// How long more was waited for since then, and since when it is now.
@@ -107,6 +113,8 @@
             asked: false,
             answers: 0,
             answered: false,
+            responding: false,
+            lingering: false,
             head_came: 0,
             waited: Duration::ZERO,
             waiting_since: None,
@@ -121,6 +129,9 @@
     /// What a connection without an open request is at, and since when nothing has come; `None` with one open.
     pub fn idle(&self) -> Option<(Idle, Instant)> {
         let latest = self.reads.back().map_or(self.since, |(_, at)| self.since.max(*at));
+        if self.lingering {
+            return Some((Idle::Lingering, latest));
+        }
         let idle = match (self.ahead.is_empty(), self.asked) {
             (true, false) if self.answers > 0 => Idle::Strange,
             (true, false) => Idle::Silent,
@@ -141,7 +152,8 @@
 
     /// Whether the body of the present request comes fast enough. While nobody reads it, that is not its fault.
     fn comes_on(&self) -> bool {
-        let waited = self.waited + self.waiting_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let silence = self.waiting_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let waited = self.waited + silence;
         let least = BODY_RATE * waited.saturating_sub(BODY_START).as_secs_f64();
         self.phase != Phase::Head && (self.came - self.head_came) as f64 >= least
     }
@@ -164,6 +176,54 @@
         self.arrived
     }
 
+    /// The answer to the present request begins.
+    pub fn responds(&mut self) {
+        self.responding = true;
+    }
+
+    /// What a connection is owed that is not served any longer. Behind an answer that its client does not take, there
+    /// is no place for another.
+    pub fn owed(&self) -> Owed {
+        match self.phase {
+            _ if self.ended || self.stuck_since.is_some() => Owed::Nothing,
+            Phase::Head if self.ahead.is_empty() => Owed::Nothing,
+            Phase::Head => Owed::ToPartial,
+            _ if self.responding => Owed::Nothing,
+            Phase::Passing(_) | Phase::Unbounded => Owed::ToPartial,
+            Phase::Whole => Owed::ToWhole,
+        }
+    }
+
+    /// How much of the present request may still come, as far as that is known.
+    pub fn outstanding(&self) -> u64 {
+        match self.phase {
+            Phase::Head if self.ahead.is_empty() => 0,
+            Phase::Head | Phase::Unbounded => u64::MAX,
+            Phase::Passing(left) => left.saturating_sub(self.ahead.len() as u64),
+            Phase::Whole => 0,
+        }
+    }
+
+    /// The connection is kept for its client to read the last answer; how much of its request may still come.
+    pub fn lingers(&mut self) -> u64 {
+        self.lingering = true;
+        self.outstanding()
+    }
+
+    /// Whether more has come than the present request.
+    pub fn holds_more(&self) -> bool {
+        match self.phase {
+            Phase::Passing(left) => self.ahead.len() as u64 > left,
+            Phase::Unbounded => false,
+            Phase::Head | Phase::Whole => !self.ahead.is_empty(),
+        }
+    }
+
+    /// The client has ended its sending.
+    pub fn ended(&self) -> bool {
+        self.ended
+    }
+
     /// The present request has its answer; the next may go to hyper. Only calls make a caller.
     pub fn answered(&mut self, is_call: bool) {
         self.answered = true;
@@ -229,6 +289,7 @@
         let chunked = named("transfer-encoding").next().is_some();
         let body = named("content-length").next().map(|header| whole_number(header.value));
         (self.both_lengths, self.answered) = (chunked && body.is_some(), false);
+        self.responding = false;
         (self.head_came, self.waited) = (self.came - (self.ahead.len() - length) as u64, Duration::ZERO);
         self.phase = match body.unwrap_or(Some(0)) {
             Some(body) if !chunked => Phase::Passing(body.saturating_add(length as u64)),
@@ -273,19 +334,21 @@
 /// A caller's socket, as it is seen beside hyper.
 #[derive(Clone)]
 pub struct Line {
-    tcp: Arc<TcpStream>,
+    pub(super) tcp: Arc<TcpStream>,
     pub seen: Arc<Mutex<Seen>>,
 }
 
 impl Line {
-    /// Whether a request has begun to come that hyper knows nothing of yet, or may any moment on a new connection:
-    /// closed now, it would get no answer.
-    pub fn expects(&self, newly: Duration) -> bool {
-        let idle = lock(&self.seen).idle();
-        let begun = matches!(idle, Some((Idle::Begun, _)));
-        let is_new = matches!(idle, Some((Idle::Silent, since)) if since.elapsed() < newly);
-        let peeked = SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]);
-        begun || is_new || idle.is_some() && peeked.is_ok_and(|bytes| bytes > 0)
+    /// Whether the connection may be closed between requests: none has begun to come, none may come any moment on a new
+    /// connection, and the last answer is written.
+    pub fn may_close(&self, newly: Duration) -> bool {
+        let seen = lock(&self.seen);
+        let rests = match seen.idle() {
+            Some((Idle::Silent, since)) => since.elapsed() >= newly,
+            Some((Idle::Strange | Idle::Resting, _)) => seen.stuck_since.is_none(),
+            Some((Idle::Begun | Idle::Lingering, _)) | None => false,
+        };
+        rests && !self.has_bytes()
     }
 
     /// The socket as an attempt looks at it.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,12 +2,14 @@
 
 mod admin;
 mod body;
+mod closing;
 pub mod config;
 mod counters;
 mod discovery;
 mod driver;
 mod gate;
 mod handover;
+mod panic;
 mod server;
 mod upstream;
 
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,10 +1,12 @@
 //! The callers' side: takes connections, reads and checks requests, writes answers.
 
 use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Payload, Reply, Rest, Room, gather};
+use super::closing::{Ending, LINGER};
 use super::config::Config;
 use super::counters::{Counters, End, Taken};
 use super::driver::{Answer, Call, Input};
 use super::gate::{Gate, Idle, Line, MOST_HEAD, Seen, lock};
+use super::panic::catch_panic;
 use super::upstream::is_local;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -79,6 +81,8 @@
     leaving: AtomicBool,
     /// The answer to what comes now might come too late: it is refused.
     refusing: AtomicBool,
+    /// The process ends: whatever is open is answered now.
+    ending: AtomicBool,
 }
 
 /// A caller's connection.
@@ -90,7 +94,7 @@
     leaving: AtomicBool,
     /// It is to be closed between requests.
     close: Notify,
-    /// It is to be closed as it is.
+    /// It is to be looked at: it may be overdue, or the process ends.
     cut: Notify,
 }
 
@@ -109,49 +113,86 @@
 }
 
 impl Place {
-    async fn serve(self, gate: Gate, mut closing: watch::Receiver<bool>) {
-        let service = service_fn(async |request: Request<Incoming>| {
-            let is_call = self.server.class(&request).is_some();
-            let mut reply = match self.caller.surplus {
-                true => self.server.refuse_surplus(&request),
-                false => self.server.reply(request, &self.caller.line).await,
-            };
-            let mut seen = lock(&self.caller.line.seen);
-            if seen.is_last() || seen.both_lengths() || self.server.leaving.load(Ordering::Relaxed) {
-                reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            }
-            if reply.body().is_whole() {
-                seen.answered(is_call);
-            }
-            Ok::<_, Infallible>(reply)
-        });
-        let connection = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
-            .keep_alive(!self.caller.surplus)
-            .serve_connection(TokioIo::new(gate), service);
+    /// Serves a connection to its end. A panic ends this connection alone, and not without an answer.
+    async fn serve(self, gate: Gate, closing: watch::Receiver<bool>) {
+        let ending = catch_panic(self.exchange(gate, closing)).await.unwrap_or(Ending::Panicked);
+        if ending == Ending::Panicked {
+            super::log(format_args!("the task of a client's connection has panicked"));
+        }
+        self.caller.line.close(ending, self.caller.close.notified()).await;
+    }
+
+    /// Has requests answered until the connection is not to be served any longer.
+    async fn exchange(&self, gate: Gate, mut closing: watch::Receiver<bool>) -> Ending {
+        let line = &self.caller.line;
+        let service =
+            service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(self.respond(request).await));
+        let connection =
+            http1::Builder::new().max_buf_size(READ_BUFFER).serve_connection(TokioIo::new(gate), service);
         let mut connection = std::pin::pin!(connection);
-        tokio::select! {
-            biased; // a request that has come is read before its connection is closed between requests
-            _ = connection.as_mut() => return,
-            () = self.caller.cut.notified() => return,
-            () = async { drop(closing.wait_for(|close| *close).await) } => {
-                // One that has begun to come gets its answer, and with that the connection ends.
-                while self.caller.line.expects(NEWLY) {
+        // How long a connection on which nothing has come is kept, once it is to be closed between requests.
+        let mut closes = None;
+        loop {
+            if closes.is_some_and(|newly| line.may_close(newly)) {
+                connection.as_mut().graceful_shutdown();
+            }
+            tokio::select! {
+                biased; // a request that has come is read before its connection is closed between requests
+                _ = connection.as_mut() => return Ending::Done,
+                () = self.caller.cut.notified() => {
+                    // What has come in this moment is read first.
+                    let turn = if line.has_bytes() { LOOK_EVERY / 10 } else { Duration::ZERO };
                     tokio::select! {
                         biased;
-                        _ = connection.as_mut() => return,
-                        () = self.caller.cut.notified() => return,
-                        () = sleep(LOOK_EVERY / 10) => {}
+                        _ = connection.as_mut() => return Ending::Done,
+                        () = sleep(turn) => {}
                     }
+                    if self.server.ending.load(Ordering::Relaxed) {
+                        return Ending::Shutdown;
+                    }
+                    if lock(&line.seen).overdue(PATIENCE) {
+                        return Ending::Overdue;
+                    }
+                }
+                () = async { drop(closing.wait_for(|close| *close).await) }, if closes.is_none() => {
+                    closes = Some(NEWLY);
                 }
+                () = self.caller.close.notified() => {
+                    if matches!(lock(&line.seen).idle(), Some((Idle::Begun, _))) {
+                        return Ending::NoRoom;
+                    }
+                    closes = Some(Duration::ZERO);
+                }
+                () = sleep(LOOK_EVERY / 10), if closes.is_some() => {}
             }
-            () = self.caller.close.notified() => {}
         }
-        connection.as_mut().graceful_shutdown();
-        tokio::select! {
-            _ = connection => {}
-            () = self.caller.cut.notified() => {}
+    }
+
+    async fn respond(&self, request: Request<Incoming>) -> Response<Reply> {
+        let is_call = self.server.class(&request).is_some();
+        let mut reply = match self.caller.surplus {
+            true => self.server.refuse_surplus(&request),
+            false => self.server.reply(request, &self.caller.line).await,
+        };
+        let mut seen = lock(&self.caller.line.seen);
+        // One that has begun to come behind this one was read: it is answered before the connection ends.
+        let closes = self.closes() && !seen.holds_more();
+        // What is left of a request that was answered early is not waited for.
+        let is_early = reply.body().is_whole() && seen.outstanding() > 0;
+        if closes || is_early || seen.is_last() || seen.both_lengths() {
+            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
+        seen.responds();
+        if reply.body().is_whole() {
+            seen.answered(is_call);
+        }
+        reply
+    }
+
+    /// Whether the connection is to end with an answer.
+    fn closes(&self) -> bool {
+        let leaving = self.caller.leaving.load(Ordering::Relaxed);
+        self.caller.surplus || leaving || self.server.leaving.load(Ordering::Relaxed)
     }
 }
 
@@ -188,6 +229,7 @@
             left: Notify::new(),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
+            ending: AtomicBool::new(false),
         }
     }
 
@@ -244,6 +286,14 @@
         timeout(longest.max(PATIENCE + LOOK_EVERY) + LAST_ANSWERS, answered).await.ok();
         rest.inspect(JoinHandle::abort);
         looking.abort();
+        server.end_all().await;
+    }
+
+    /// Answers what is still open when the process ends: dropped with its task, it would get no answer.
+    async fn end_all(&self) {
+        self.ending.store(true, Ordering::Relaxed);
+        lock(&self.callers).values().for_each(|caller| caller.cut.notify_one());
+        timeout(LOOK_EVERY + LINGER, self.all_left()).await.ok();
     }
 
     /// Takes what waits in the backlog, and closes the listener. Who comes later is taken as well, as nobody can tell,
@@ -317,12 +367,14 @@
     fn close_idle(&self) -> bool {
         let callers = lock(&self.callers);
         let staying = callers.values().filter(|caller| !caller.leaving.load(Ordering::Relaxed));
+        let idle = staying.filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller)));
+        // One beyond the room that lingers holds no place in it.
         let idle: Vec<_> =
-            staying.filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller))).collect();
+            idle.filter(|((idle, _), caller)| *idle != Idle::Lingering || !caller.surplus).collect();
         let uncalled = idle.iter().filter(|((idle, _), _)| *idle != Idle::Resting).count();
         let crowded = uncalled > self.config.limits.callers / UNCALLED;
         let rank = |idle, since: Instant| match idle {
-            Idle::Strange => 0,
+            Idle::Strange | Idle::Lingering => 0,
             Idle::Silent if since.elapsed() > NEWLY => 0,
             Idle::Resting if !crowded => 1,
             Idle::Silent => 2,
--- /dev/null
+++ b/tests/connection_close.rs
@@ -0,0 +1,360 @@
+//! Wherever a connection to a client is closed, a request that was read has its answer, and the close resets nothing
+//! that the client has yet to read.
+
+#[path = "../src/net/panic.rs"]
+mod panic;
+
+mod common;
+
+use common::process::*;
+use std::io::{ErrorKind, Read, Write};
+use std::net::Shutdown;
+use std::sync::mpsc::channel;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// A client that sends no whole request is owed an error or a close within this, from its connecting on.
+const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
+/// Connections of clients that the smallest configuration holds.
+const PLACES: usize = 32;
+/// More than the program reads of a request that it refuses by its head.
+const LONG_BODY: usize = 60 << 10;
+
+fn serving(upstream: &Upstream) -> serde_json::Value {
+    config(refusing(), &in_service(&[upstream]))
+}
+
+/// As few descriptors as may be configured.
+fn small(upstream: &Upstream) -> serde_json::Value {
+    let mut config = serving(upstream);
+    config["limits"]["sockets"] = 96.into();
+    config
+}
+
+/// Connections are closed 0.7 s after the signal to stop.
+fn short_lived(upstream: &Upstream) -> serde_json::Value {
+    let mut config = serving(upstream);
+    for class in config["settings"]["Classes"].as_array_mut().unwrap() {
+        class["AimNs"] = 300_000_000_u64.into();
+        class["DeadlineNs"] = 400_000_000_u64.into();
+        class["LateWorth"] = 0.0.into();
+    }
+    config
+}
+
+/// How the program ends a connection.
+#[derive(Debug, PartialEq, Eq)]
+enum End {
+    Fin,
+    Reset,
+    MoreBytes,
+}
+
+fn end(client: &mut Caller) -> End {
+    match client.input.read(&mut [0]) {
+        Ok(0) => End::Fin,
+        Ok(_) => End::MoreBytes,
+        Err(error) if error.kind() == ErrorKind::ConnectionReset => End::Reset,
+        Err(error) => panic!("neither an end nor a byte: {error}"),
+    }
+}
+
+/// Asserts that this answer comes, that it says to be the last, and that the connection then ends in order.
+fn assert_last_answer(client: &mut Caller, status: u16, case: &str) {
+    let answer = client.answer().unwrap_or_else(|| panic!("{case}: no answer"));
+    let connection = answer.headers.get("connection").map(String::as_str);
+    assert_eq!((answer.status(), connection), (status, Some("close")), "{case}");
+    assert_eq!(end(client), End::Fin, "{case}");
+}
+
+// ---- Answers that come before the request is read to its end ----
+
+/// Crossing: the answer is written and the connection closed while the rest of the request lies unread in the kernel, or
+/// comes a moment later.
+#[test]
+fn an_answer_to_a_request_half_read_is_not_reset() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&serving(&upstream));
+    let body = "b".repeat(LONG_BODY);
+    let good = request("post", LONG, &body);
+    let length = format!("Content-Length: {LONG_BODY}");
+    let cases = [
+        (404, good.replace("/post", "/nothing")),
+        (400, good.replace("X-Budget: 60", "X-Budget: x")),
+        (400, good.replace(&length, &format!("{length}\r\nTransfer-Encoding: chunked"))),
+        (413, good.replace(&length, "Content-Length: 100000000")),
+    ];
+    for (status, request) in cases {
+        for late in [0, LONG_BODY / 2] {
+            let case = format!("{status}, {late} bytes come late");
+            let (soon, later) = request.split_at(request.len() - late);
+            let mut client = program.connect();
+            program.pause();
+            client.write(soon);
+            program.go_on();
+            let answer = client.answer().unwrap_or_else(|| panic!("{case}: no answer"));
+            assert_eq!(answer.status(), status, "{case}");
+            client
+                .input
+                .get_mut()
+                .write_all(later.as_bytes())
+                .unwrap_or_else(|error| panic!("{case}: {error}"));
+            assert_eq!(end(&mut client), End::Fin, "{case}");
+        }
+    }
+    assert_eq!(upstream.requests(), 0);
+}
+
+/// Fills all places with requests that their upstream holds; the clients.
+fn fill_with_calls(program: &Program, upstream: &Upstream) -> Vec<Caller> {
+    (0..PLACES)
+        .map(|_| {
+            let mut client = program.connect();
+            client.send("post", LONG, "b");
+            upstream.request();
+            client
+        })
+        .collect()
+}
+
+/// Crossing: a surplus client is refused by the head of its request while its body lies unread in the kernel.
+#[test]
+fn the_refusal_of_a_surplus_client_is_not_reset() {
+    let upstream = Upstream::start(|_| Act::Silence);
+    let program = Program::start(&small(&upstream));
+    let _busy = fill_with_calls(&program, &upstream);
+    for _ in 0..5 {
+        let mut client = program.connect();
+        program.pause();
+        client.send("post", LONG, &"b".repeat(LONG_BODY));
+        program.go_on();
+        assert_last_answer(&mut client, 503, "surplus");
+    }
+    assert_eq!(upstream.requests(), 0);
+}
+
+/// Crossing: a surplus client's next request is read behind the one that is refused.
+#[test]
+fn a_request_read_behind_a_refused_one_has_its_answer() {
+    let upstream = Upstream::start(|_| Act::Silence);
+    let program = Program::start(&small(&upstream));
+    let _busy = fill_with_calls(&program, &upstream);
+    let mut client = program.connect();
+    client.write(&format!("{}{}", request("look", LONG, ""), request("look", LONG, "")));
+    assert_eq!(client.answer().expect("the first refusal").status(), 503);
+    assert_last_answer(&mut client, 503, "the second refusal");
+}
+
+// ---- Overdue ----
+
+/// Crossing: a client stops within a request and stays.
+#[test]
+fn a_client_that_stops_within_a_request_has_its_error_in_time() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&serving(&upstream));
+    let short = request("pay", LONG, "body");
+    let chunked = request("post", LONG, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    let parts = [
+        ("one byte", &short[..1]),
+        ("half a head", &short[..60]),
+        ("half a body", &short[..short.len() - 2]),
+        ("no chunk", &chunked[..]),
+    ];
+    std::thread::scope(|scope| {
+        for (case, part) in parts {
+            let mut client = program.connect();
+            let connected = Instant::now();
+            client.write(part);
+            scope.spawn(move || {
+                assert_last_answer(&mut client, 408, case);
+                assert!(connected.elapsed() < BAD_CLIENT_LIMIT, "{case} took {:?}", connected.elapsed());
+            });
+        }
+    });
+}
+
+/// Crossing: the last bytes of a request come around the moment in which its client is overdue.
+#[test]
+fn a_request_that_comes_whole_as_its_client_is_overdue_has_an_answer() {
+    const CLIENTS: u32 = 100;
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&serving(&upstream));
+    let whole = request("look", LONG, "");
+    let (soon, last) = whole.split_at(whole.len() - 2);
+    std::thread::scope(|scope| {
+        for number in 0..CLIENTS {
+            let mut client = program.connect();
+            // All are overdue between 2.5 and 2.6 s after they have come.
+            let completes =
+                Instant::now() + Duration::from_millis(2480) + number * Duration::from_micros(1400);
+            client.write(&soon.replace("9b1f03aa", &format!("{number:08x}")));
+            scope.spawn(move || {
+                std::thread::sleep(completes.saturating_duration_since(Instant::now()));
+                client.input.get_mut().write_all(last.as_bytes()).ok(); // it may be answered already
+                let status = client.answer().expect("a final answer").status();
+                assert!([200, 408].contains(&status), "{status}");
+                if status == 408 {
+                    assert_eq!(end(&mut client), End::Fin);
+                }
+            });
+        }
+    });
+}
+
+// ---- Places that are needed for others ----
+
+/// Crossing: a connection on which a request has begun is closed for a new one.
+#[test]
+fn a_request_begun_on_a_connection_whose_place_is_needed_is_refused() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&small(&upstream));
+    let whole = request("look", LONG, "");
+    let mut begun: Vec<Caller> = (0..PLACES).map(|_| program.connect()).collect();
+    for client in &mut begun {
+        client.write(&whole[..30]);
+    }
+    // Each head is seen before the next client comes.
+    assert_eq!(program.call("look").status(), 200);
+    let mut refused = begun.remove(0);
+    assert_last_answer(&mut refused, 503, "the one begun first");
+}
+
+/// Crossing: a client begins to write on a resting connection in the moment in which that is closed for a new one.
+#[test]
+fn a_request_begun_on_a_resting_connection_that_is_closed_has_an_answer() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&small(&upstream));
+    let mut resting: Vec<Caller> = (0..PLACES).map(|_| program.connect()).collect();
+    for client in &mut resting {
+        assert_eq!(client.call("look", LONG, "").expect("served").status(), 200);
+    }
+    program.pause();
+    let requests: Vec<String> = (0..PLACES).map(|_| request("look", LONG, "")).collect();
+    for (client, request) in resting.iter_mut().zip(&requests) {
+        client.write(&request[..30]);
+    }
+    let mut new: Vec<Caller> = (0..8).map(|_| program.connect()).collect();
+    new.iter_mut().for_each(|client| client.send("look", LONG, ""));
+    program.go_on();
+    for client in &mut new {
+        assert!([200, 503].contains(&client.answer().expect("an answer").status()));
+    }
+    for (client, request) in resting.iter_mut().zip(&requests) {
+        client.input.get_mut().write_all(&request.as_bytes()[30..]).ok(); // it may be answered already
+        let answer = client.answer().expect("a final answer");
+        assert!([200, 503].contains(&answer.status()));
+    }
+}
+
+// ---- A signal to stop ----
+
+/// Crossing: the second of two requests is read while the answer to the first, that did not say to be the last, is still
+/// passed on when connections are closed.
+#[test]
+fn a_request_read_behind_an_answer_that_goes_on_has_its_answer() {
+    const LENGTH: usize = 200_000;
+    let (go_on, held) = channel::<()>();
+    let held = Arc::new(Mutex::new(held));
+    let upstream = Upstream::start(move |message| match message.first_line.starts_with("POST") {
+        false => Act::Answer(ok("")),
+        true => {
+            let held = held.clone();
+            Act::Do(Arc::new(move |stream| {
+                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
+                stream.write_all(head.as_bytes()).unwrap();
+                stream.write_all(&[b'a'; LENGTH / 2]).unwrap();
+                held.lock().unwrap().recv().ok();
+                stream.write_all(&[b'a'; LENGTH / 2]).unwrap();
+            }))
+        }
+    });
+    let program = Program::start(&short_lived(&upstream));
+    let mut idle = program.connect();
+    assert_eq!(idle.call("look", "0.4", "").expect("served").status(), 200);
+    let mut client = program.connect();
+    client.send("post", "0.4", "b");
+    client.input.get_mut().peek(&mut [0]).expect("the answer begins");
+    client.send("look", "0.4", "");
+    program.terminate();
+    assert_eq!(end(&mut idle), End::Fin, "connections are closed between requests");
+    std::thread::sleep(Duration::from_millis(300)); // also those that go on are told of it
+    go_on.send(()).unwrap();
+    let first = client.answer().expect("the first answer");
+    assert_eq!((first.status(), first.body.len()), (200, LENGTH));
+    assert_last_answer(&mut client, 503, "the second");
+    assert!(program.end().0.success());
+}
+
+/// Crossing: a request is still open when the process ends.
+#[test]
+fn a_request_that_is_open_when_the_process_ends_has_its_answer() {
+    let upstream = Upstream::start(|_| Act::Silence);
+    let program = Program::start(&short_lived(&upstream));
+    let mut client = program.connect();
+    client.send("post", LONG, "b");
+    upstream.request();
+    program.terminate();
+    let answer = client.answer().expect("a final answer");
+    assert_eq!(answer.status(), 502);
+    assert_eq!(end(&mut client), End::Fin);
+    assert!(program.end().0.success());
+}
+
+/// Crossing: a request lies in the kernel as a whole, or in part, when its resting connection is closed at the end.
+#[test]
+fn a_request_in_the_kernel_as_connections_are_closed_has_its_answer() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let program = Program::start(&short_lived(&upstream));
+    let mut resting: Vec<Caller> = (0..20).map(|_| program.connect()).collect();
+    for client in &mut resting {
+        assert_eq!(client.call("look", "0.4", "").expect("served").status(), 200);
+    }
+    program.terminate();
+    program.has_taken_signals();
+    program.pause();
+    let requests: Vec<String> = (0..20).map(|_| request("look", "0.4", "")).collect();
+    for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
+        client.write(&request[..if number % 2 == 0 { request.len() } else { 30 }]);
+    }
+    std::thread::sleep(Duration::from_secs(1)); // beyond what is still served
+    program.go_on();
+    for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
+        if number % 2 == 1 {
+            client.write(&request[30..]);
+        }
+        let answer = client.answer().expect("a final answer");
+        assert!([200, 503].contains(&answer.status()));
+        assert_eq!(end(client), End::Fin);
+    }
+    assert!(program.end().0.success());
+}
+
+// ---- Clients that end their sending, and panics ----
+
+/// A client that ends its sending behind its request counts as gone, and its connection ends.
+#[test]
+fn a_client_that_ends_its_sending_is_gone() {
+    let upstream = Upstream::start(|_| Act::Silence);
+    let program = Program::start(&serving(&upstream));
+    let mut client = program.connect();
+    client.send("post", LONG, "b");
+    upstream.request();
+    client.input.get_ref().shutdown(Shutdown::Write).unwrap();
+    assert_eq!(end(&mut client), End::Fin);
+    upstream.closed();
+}
+
+#[test]
+fn a_panic_ends_a_future_without_ending_its_task() {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    let panics = async {
+        tokio::task::yield_now().await;
+        panic!("on purpose");
+    };
+    assert_eq!(runtime.block_on(panic::catch_panic(panics)), None::<()>);
+    let yields = async {
+        tokio::task::yield_now().await;
+        7
+    };
+    assert_eq!(runtime.block_on(panic::catch_panic(yields)), Some(7));
+}
