--- a/src/net/gate.rs
+++ b/src/net/gate.rs
@@ -24,6 +24,8 @@
 /// A body has to come at this rate, in bytes a second, beyond a first while: half of what the slowest caller makes.
 const BODY_RATE: f64 = 32e3;
 const BODY_START: Duration = Duration::from_millis(700);
+/// How long a client may pause within a body: one that has stopped is owed its error, however much it sent before.
+const MOST_SILENCE: Duration = Duration::from_secs(2);
 /// How long a caller may take over the next piece of its answer.
 const READ_PATIENCE: Duration = Duration::from_secs(15);
 /// Reads so close to each other count as one.
@@ -155,7 +157,7 @@
         let silence = self.waiting_since.map_or(Duration::ZERO, |since| since.elapsed());
         let waited = self.waited + silence;
         let least = BODY_RATE * waited.saturating_sub(BODY_START).as_secs_f64();
-        self.phase != Phase::Head && (self.came - self.head_came) as f64 >= least
+        self.phase != Phase::Head && silence < MOST_SILENCE && (self.came - self.head_came) as f64 >= least
     }
 
     /// Whether the present request says its length in both ways: it may hide another one.
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -153,11 +153,13 @@
     let upstream = Upstream::start(|_| Act::Answer(ok("")));
     let program = Program::start(&serving(&upstream));
     let short = request("pay", LONG, "body");
+    let long = request("post", LONG, &"b".repeat(100_000));
     let chunked = request("post", LONG, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let parts = [
         ("one byte", &short[..1]),
         ("half a head", &short[..60]),
         ("half a body", &short[..short.len() - 2]),
+        ("most of a long body", &long[..long.len() - 9]),
         ("no chunk", &chunked[..]),
     ];
     std::thread::scope(|scope| {
