--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -4,6 +4,7 @@
 use super::gate::{Line, lock};
 use rustix::io::Errno;
 use socket2::SockRef;
+use std::io::ErrorKind;
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
 use std::time::Duration;
@@ -54,8 +55,8 @@
     /// place is needed.
     pub async fn close(&self, ending: Ending, place_needed: impl Future<Output = ()>) {
         let owed = lock(&self.seen).owed();
-        if ending != Ending::Done {
-            self.answer_directly(ending, owed);
+        if let Some(answer) = final_answer(ending, owed) {
+            timeout(LINGER, self.write_whole(answer)).await.ok();
         }
         if lock(&self.seen).resets || !self.holds_unread() {
             return;
@@ -71,15 +72,15 @@
         }
     }
 
-    /// Writes a final answer beside the HTTP library, that has written none and will not.
-    fn answer_directly(&self, ending: Ending, owed: Owed) {
-        let answer = match (owed, ending) {
-            (Owed::Nothing, _) => return,
-            (Owed::ToWhole, _) => BAD_GATEWAY, // it may have run
-            (Owed::ToPartial, Ending::Overdue) => REQUEST_TIMEOUT,
-            (Owed::ToPartial, _) => SERVICE_UNAVAILABLE,
-        };
-        self.tcp.try_write(answer).ok(); // a client that has just gone needs none
+    /// Writes an answer beside the HTTP library, that has written none and will not.
+    async fn write_whole(&self, mut answer: &[u8]) {
+        while !answer.is_empty() && self.tcp.writable().await.is_ok() {
+            match self.tcp.try_write(answer) {
+                Ok(written) => answer = &answer[written..],
+                Err(error) if is_passing(error.kind()) => {}
+                Err(_) => return, // a client that has just gone needs none
+            }
+        }
     }
 
     /// Whether a close would reset the connection, now or when the rest of the present request comes.
@@ -113,10 +114,25 @@
             match self.tcp.try_read(&mut buffer[..most]) {
                 Ok(0) => return,
                 Ok(bytes) => outstanding = outstanding.saturating_sub(bytes as u64),
-                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+                Err(error) if is_passing(error.kind()) => {}
                 Err(_) => return,
             }
         }
         self.tcp.ready(Interest::PRIORITY).await.ok(); // shows the client's end, whatever stands in front of it
     }
 }
+
+/// The answer that a connection gets before it ends, if it is owed one.
+fn final_answer(ending: Ending, owed: Owed) -> Option<&'static [u8]> {
+    match (owed, ending) {
+        (Owed::Nothing, _) | (_, Ending::Done) => None,
+        (Owed::ToWhole, _) => Some(BAD_GATEWAY), // it may have run
+        (Owed::ToPartial, Ending::Overdue) => Some(REQUEST_TIMEOUT),
+        (Owed::ToPartial, _) => Some(SERVICE_UNAVAILABLE),
+    }
+}
+
+/// Whether the same call may do next time.
+fn is_passing(error: ErrorKind) -> bool {
+    matches!(error, ErrorKind::WouldBlock | ErrorKind::Interrupted)
+}
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -6,6 +6,7 @@
 
 mod common;
 
+use common::fault_injector::Faults;
 use common::process::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
@@ -331,6 +332,58 @@
     assert!(program.end().0.success());
 }
 
+// ---- System calls that fail ----
+
+/// Crossing: `accept` fails for a moment while the backlog is taken at the end.
+#[test]
+fn a_backlog_at_the_end_is_answered_where_connections_fail() {
+    const WAITING: usize = 50;
+    for error in ["ECONNABORTED", "EMFILE"] {
+        let upstream = Upstream::start(|_| Act::Answer(ok("")));
+        let faults = Faults::new(format!("accept:{error}:share=0.5:seed=3"));
+        let program = Program::start_with(&short_lived(&upstream), &faults.environment());
+        program.terminate();
+        program.has_taken_signals();
+        program.pause();
+        let mut waiting: Vec<Caller> = (0..WAITING).map(|_| program.connect()).collect();
+        waiting.iter_mut().for_each(|client| client.send("look", LONG, ""));
+        std::thread::sleep(Duration::from_secs(1)); // beyond what is still served
+        program.go_on();
+        for client in &mut waiting {
+            let answer = client.answer().unwrap_or_else(|| panic!("{error}: no answer"));
+            assert!([200, 503].contains(&answer.status()), "{error}");
+        }
+        assert!(program.end().0.success());
+        assert!(faults.injected("accept", error) > WAITING / 4, "{error} was hardly injected");
+    }
+}
+
+/// Crossing: an option of a connection just taken cannot be set.
+#[test]
+fn a_connection_whose_options_cannot_be_set_is_served() {
+    let upstream = Upstream::start(|_| Act::Answer(ok(&"a".repeat(LONG_BODY))));
+    // The first call is for the listener, the second for the client.
+    let faults = Faults::new("setsockopt:EINVAL:on=inet:from=2:count=1");
+    let program = Program::start_with(&serving(&upstream), &faults.environment());
+    let mut client = program.connect();
+    for _ in 0..3 {
+        let answer = client.call("look", LONG, "").expect("an answer");
+        assert_eq!((answer.status(), answer.body.len()), (200, LONG_BODY));
+    }
+    assert_eq!(faults.injected("setsockopt", "EINVAL"), 1);
+}
+
+/// Crossing: the answer to a client that is overdue is written in pieces.
+#[test]
+fn an_answer_at_the_close_is_written_whole() {
+    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let faults = Faults::new("write:short=1:on=inet");
+    let program = Program::start_with(&serving(&upstream), &faults.environment());
+    let mut client = program.connect();
+    client.write("GET /look");
+    assert_last_answer(&mut client, 408, "written in pieces");
+}
+
 // ---- Clients that end their sending, and panics ----
 
 /// A client that ends its sending behind its request counts as gone, and its connection ends.
