--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -301,8 +301,15 @@
     async fn take_rest(self: Arc<Self>, listener: TcpListener, closing: watch::Receiver<bool>) {
         for _ in 0..MOST_BACKLOG {
             self.has_room().await;
-            let Ok(Ok((tcp, _))) = timeout(LAST_LOOK, listener.accept()).await else { return };
-            self.take(tcp, &closing);
+            match timeout(LAST_LOOK, listener.accept()).await {
+                Err(_) => return,
+                Ok(Ok((tcp, _))) => self.take(tcp, &closing),
+                // The others still wait: closing the listener would reset them.
+                Ok(Err(error)) => {
+                    super::log(format_args!("cannot take a connection: {error}"));
+                    sleep(ACCEPT_PAUSE).await;
+                }
+            }
         }
     }
 
