--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -105,15 +105,21 @@
         let (counters, ready, driver) = (counters.clone(), is_ready.clone(), events.clone());
         admin::open(address, admin::Door { counters, ready, driver })?;
     }
-    tokio::spawn(driver.run(inbox));
+    let mut driving = tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
     let server = server::Server::new(config, events, is_ready, counters, budget);
     let mut serving = tokio::spawn(server.run(listener, told, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
+    let mut outcome = Ok(());
     loop {
         tokio::select! {
-            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")),
+            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")).and(outcome),
+            // What is open is answered as failed, and so is what comes until the server has stopped.
+            Err(error) = &mut driving, if outcome.is_ok() => {
+                outcome = Err(format!("the driver stopped: {error}"));
+                stop.send_replace(true);
+            }
             _ = term.recv() => { stop.send_replace(true); }
             _ = int.recv() => { stop.send_replace(true); }
             _ = hup.recv() => reload(&discovery),
