--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,7 +2,11 @@
 
 mod admin;
 mod body;
+mod clock;
+mod clock_offsets;
+mod closing;
 pub mod config;
+mod connect;
 mod counters;
 mod discovery;
 mod driver;
@@ -10,9 +14,12 @@
 mod gate;
 mod offline_endpoints;
 mod orders;
+mod panic;
 mod process_handover;
 mod server;
 mod shared_folder;
+mod start_times;
+mod transient;
 mod upstream;
 
 use config::Config;
@@ -121,15 +128,21 @@
         let (counters, ready, driver) = (counters.clone(), is_ready.clone(), events.clone());
         admin::open(address, admin::Door { counters, ready, driver })?;
     }
-    tokio::spawn(driver.run(inbox));
+    let mut driving = tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
     let server = server::Server::new(config, events, is_ready, counters, budget);
     let mut serving = tokio::spawn(server.run(listener, told, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
+    let mut outcome = Ok(());
     loop {
         tokio::select! {
-            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")),
+            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")).and(outcome),
+            // What is open is answered as failed, and so is what comes until the server has stopped.
+            Err(error) = &mut driving, if outcome.is_ok() => {
+                outcome = Err(format!("the driver stopped: {error}"));
+                stop.send_replace(true);
+            }
             _ = term.recv() => { stop.send_replace(true); }
             _ = int.recv() => { stop.send_replace(true); }
             _ = hup.recv() => reload(&discovery),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,9 @@
 
 pub mod chain;
 pub mod fault_injector;
+pub mod operator;
 pub mod process;
+pub mod wall_clock;
 
 use woadstall::Balancer;
 use woadstall::api::*;
