--- a/src/main.rs
+++ b/src/main.rs
@@ -4,14 +4,13 @@
 
 mod net;
 
+use net::transient::retry_blocking;
 use std::process::ExitCode;
 use tokio::runtime::Builder;
 
 fn main() -> ExitCode {
     let outcome = net::config::Config::load().and_then(|config| {
-        let runtime = Builder::new_current_thread()
-            .enable_all()
-            .build()
+        let runtime = retry_blocking(|| Builder::new_current_thread().enable_all().build())
             .map_err(|error| format!("cannot start the runtime: {error}"))?;
         runtime.block_on(net::run(config))
     });
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -4,6 +4,7 @@
 use super::counters::Counters;
 use super::driver::Input;
 use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
+use super::transient::{Backoff, retry, retry_blocking};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -32,9 +33,6 @@
 const HEAD_PATIENCE: Duration = Duration::from_millis(2500);
 /// How long the driver may take over an order: an answer is owed within a second.
 const ORDER_PATIENCE: Duration = Duration::from_millis(800);
-/// Wait after a connection could not be taken: the next try would fail alike.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-
 /// What the door shows, and whom it asks.
 pub struct Door {
     pub counters: Arc<Counters>,
@@ -47,13 +45,14 @@
 /// Listens, and serves for as long as the process runs.
 pub fn open(address: SocketAddr, door: Door) -> Result<(), String> {
     let failed = |error| format!("`admin_addr` {address}: {error}");
-    let listener = std::net::TcpListener::bind(address).map_err(failed)?;
+    let listener = retry_blocking(|| std::net::TcpListener::bind(address)).map_err(failed)?;
     listener.set_nonblocking(true).map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(failed)?;
+    let runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = retry_blocking(runtime).map_err(failed)?;
     let serving = move || {
         runtime.block_on(async {
-            match TcpListener::from_std(listener) {
+            match retry(|| TcpListener::from_std(listener.try_clone()?)).await {
                 Ok(listener) => serve(listener, Arc::new(door)).await,
                 Err(error) => super::log(format_args!("the operators' door stays shut: {error}")),
             }
@@ -72,9 +71,11 @@
 
 async fn serve(listener: TcpListener, door: Arc<Door>) {
     let mut held: VecDeque<Held> = VecDeque::new();
+    let mut backoff = Backoff::default();
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => {
+                backoff = Backoff::default();
                 held.retain(|held| !held.task.is_finished());
                 if held.len() >= MOST_CONNECTIONS {
                     // The one that has kept its call to itself for longest makes room for a caller.
@@ -90,7 +91,7 @@
             }
             Err(error) => {
                 super::log(format_args!("cannot take an operator's connection: {error}"));
-                sleep(ACCEPT_PAUSE).await;
+                sleep(backoff.pause()).await;
             }
         }
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,9 +1,11 @@
 //! What a balancer is told at its start, from the environment and a JSON file.
 
 use super::discovery::Listing;
+use super::transient::{retry, retry_blocking};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 use std::time::Duration;
@@ -107,12 +109,18 @@
 impl Config {
     /// Reads the file that `LB_CONFIG` names; the error is one line that names the field at fault.
     pub fn load() -> Result<Self, String> {
-        Self::parse(&file()?, variable("LB_LISTEN"), variable("LB_DISCOVERY"))
+        let path = path()?;
+        let text =
+            retry_blocking(|| std::fs::read_to_string(&path)).map_err(|error| unreadable(&path, error))?;
+        Self::parse(&text, variable("LB_LISTEN"), variable("LB_DISCOVERY"))
     }
 
     /// Reads the file once more. What it says of discovery is newer than the environment.
-    pub fn load_again() -> Result<Self, String> {
-        Self::parse(&file()?, variable("LB_LISTEN"), None)
+    pub async fn load_again() -> Result<Self, String> {
+        let path = path()?;
+        let text =
+            retry(|| std::fs::read_to_string(&path)).await.map_err(|error| unreadable(&path, error))?;
+        Self::parse(&text, variable("LB_LISTEN"), None)
     }
 
     /// Whether another process of this balancer, or an operator, may have to be followed.
@@ -160,9 +168,12 @@
     }
 }
 
-fn file() -> Result<String, String> {
-    let path = variable("LB_CONFIG").ok_or("`LB_CONFIG` is not set")?;
-    std::fs::read_to_string(&path).map_err(|error| format!("`LB_CONFIG` {path}: {error}"))
+fn path() -> Result<String, String> {
+    variable("LB_CONFIG").ok_or_else(|| "`LB_CONFIG` is not set".to_owned())
+}
+
+fn unreadable(path: &str, error: io::Error) -> String {
+    format!("`LB_CONFIG` {path}: {error}")
 }
 
 fn variable(name: &str) -> Option<String> {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -17,7 +17,7 @@
 mod server;
 mod shared_folder;
 mod start_times;
-mod transient;
+pub mod transient;
 mod upstream;
 
 use config::Config;
@@ -31,12 +31,15 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
+use transient::retry_blocking;
 
 /// Part of the memory that bodies may fill, as one over this.
 const BODIES: usize = 4;
+/// Connections that wait to be taken, at most.
+const BACKLOG: u32 = 1024;
 /// Lines written in a second at most: in trouble, what they tell of happens many times a second.
 const LOG_LINES: u32 = 20;
 
@@ -58,8 +61,8 @@
 
 /// Takes over a new configuration: where discovery is. All else needs a new start. One that is not sound
 /// changes nothing.
-fn reload(discovery: &watch::Sender<SocketAddr>) {
-    match Config::load_again() {
+async fn reload(discovery: watch::Sender<SocketAddr>) {
+    match Config::load_again().await {
         Ok(config) => {
             log(format_args!("configuration read again, discovery at {}", config.discovery));
             discovery.send_replace(config.discovery);
@@ -78,7 +81,15 @@
     // SAFETY: it is open, and the platform handed it over for this use alone; it is taken once, at the start.
     let listener = unsafe { std::net::TcpListener::from_raw_fd(fd) };
     listener.set_nonblocking(true)?;
-    TcpListener::from_std(listener)
+    retry_blocking(|| TcpListener::from_std(listener.try_clone()?))
+}
+
+/// Binds where callers connect.
+fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
 }
 
 /// Opens the folder that is shared with the process before and after this one.
@@ -102,8 +113,7 @@
     let mut hup = signal(SignalKind::hangup()).map_err(|e| failed("SIGHUP", e))?;
     let listener = match config.listen_fd {
         Some(fd) => inherited(fd).map_err(|error| failed(&format!("`LB_LISTEN_FD` {fd}"), error))?,
-        None => TcpListener::bind(config.listen)
-            .await
+        None => retry_blocking(|| bind(config.listen))
             .map_err(|error| failed(&format!("`listen` {}", config.listen), error))?,
     };
     let address = listener.local_addr().map_err(|error| failed("`listen`", error))?;
@@ -137,7 +147,7 @@
             ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")),
             _ = term.recv() => { stop.send_replace(true); }
             _ = int.recv() => { stop.send_replace(true); }
-            _ = hup.recv() => reload(&discovery),
+            _ = hup.recv() => drop(tokio::spawn(reload(discovery.clone()))),
         }
     }
 }
--- a/src/net/transient.rs
+++ b/src/net/transient.rs
@@ -3,7 +3,7 @@
 use rustix::io::Errno;
 use std::io;
 use std::task::{Context, Poll};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
 /// First pause after a failure, doubling with each up to the longest.
@@ -13,6 +13,12 @@
 /// Pause before a read or write that the machine had no memory for is made again.
 pub const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
+/// How long what the program cannot do without is tried.
+const LASTING: Duration = Duration::from_secs(3);
+/// Errors of files and addresses that may pass, beside those of the machine: a disk that does not answer, an address
+/// that is just being set up.
+const TRANSIENT: [Errno; 4] = [Errno::ADDRNOTAVAIL, Errno::IO, Errno::NETUNREACH, Errno::STALE];
+
 /// Whose failure an error is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
@@ -81,3 +87,48 @@
         pause
     }
 }
+
+/// The tries that something gets before its failure is taken for lasting.
+struct Tries {
+    end: Instant,
+    backoff: Backoff,
+}
+
+impl Tries {
+    fn new() -> Self {
+        Self { end: Instant::now() + LASTING, backoff: Backoff::default() }
+    }
+
+    /// How long to wait before the next one, if there is to be one.
+    fn next_after(&mut self, error: &io::Error) -> Option<Duration> {
+        (is_transient(error) && Instant::now() < self.end).then(|| self.backoff.pause())
+    }
+}
+
+/// Whether what failed may be done a moment later, with nothing changed by anybody's hand.
+fn is_transient(error: &io::Error) -> bool {
+    origin(error) == Origin::Machine
+        || Errno::from_io_error(error).is_some_and(|error| TRANSIENT.contains(&error))
+}
+
+/// Does something at the start, while nobody is served, until it is done or fails for good.
+pub fn retry_blocking<T>(mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut tries = Tries::new();
+    loop {
+        match act() {
+            Ok(done) => return Ok(done),
+            Err(error) => std::thread::sleep(tries.next_after(&error).ok_or(error)?),
+        }
+    }
+}
+
+/// Does something until it is done or fails for good, while others are served.
+pub async fn retry<T>(mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut tries = Tries::new();
+    loop {
+        match act() {
+            Ok(done) => return Ok(done),
+            Err(error) => sleep(tries.next_after(&error).ok_or(error)?).await,
+        }
+    }
+}
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -3,7 +3,11 @@
 mod common;
 
 use common::fault_injector::Faults;
+use common::operator::*;
 use common::process::*;
+use socket2::{Domain, Socket, Type};
+use std::net::SocketAddr;
+use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
 /// Calls made where one in three of the system calls fails.
@@ -302,3 +306,85 @@
         assert!(!log.contains("discovery failed"), "{error}: {log}");
     }
 }
+
+/// A rule for the configuration's file.
+fn of_the_configuration() -> String {
+    format!("path={}/config-", env!("CARGO_TARGET_TMPDIR"))
+}
+
+/// Guards the start: what is short for a moment is there at the next try, also for the operators' door.
+#[test]
+fn the_start_outlasts_failures_of_a_moment() {
+    let plans = [
+        ("open", format!("EMFILE:{}", of_the_configuration())),
+        ("read", format!("EIO:{}", of_the_configuration())),
+        ("socket", "ENFILE:on=inet".to_owned()),
+        ("bind", "EADDRNOTAVAIL".to_owned()),
+        ("listen", "ENOBUFS".to_owned()),
+        ("setsockopt", "ENOMEM:on=inet".to_owned()),
+        ("epoll_ctl", "ENOSPC".to_owned()),
+    ];
+    let upstream = closing_upstream();
+    for (call, rule) in plans {
+        let faults = Faults::new(format!("{call}:{rule}:count=3"));
+        let config = with_door(refusing(), &in_service(&[&upstream]));
+        let mut program = Program::start_with(&config, &faults.environment());
+        let door = door(&mut program);
+        assert_eq!(program.call("look").status(), 200, "{call}");
+        assert_eq!(common::operator::call(door, "GET", "/control/ready").status(), 200, "{call}");
+        assert_eq!(faults.injected(call, rule.split(':').next().unwrap()), 3, "{call}");
+    }
+}
+
+/// Guards the operators: what stays is told in one line, soon.
+#[test]
+fn a_start_that_fails_for_good_says_why() {
+    for (rule, named) in
+        [("bind:EACCES", "`listen`"), ("listen:ENOBUFS", "`listen`"), ("bind:EADDRINUSE", "`listen`")]
+    {
+        let faults = Faults::new(rule);
+        let asked = Instant::now();
+        let (status, log) = run_to_end_with(&config(refusing(), &[]).to_string(), &faults.environment());
+        assert!(!status.success() && log.contains(named), "{rule}: {log}");
+        assert_eq!(log.lines().count(), 1, "{rule}: {log}");
+        assert!(asked.elapsed() < Duration::from_secs(6), "{rule} after {:?}", asked.elapsed());
+    }
+}
+
+/// Guards a hand-over: the inherited socket can't be watched for a moment.
+#[test]
+fn a_new_process_takes_an_inherited_socket_over_after_failures() {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket.listen(128).unwrap();
+    socket.set_cloexec(false).unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
+    let upstream = closing_upstream();
+    let faults = Faults::new(format!("epoll_ctl:ENOSPC:count=3:port={}", address.port()));
+    let mut environment = faults.environment();
+    environment.push(("LB_LISTEN_FD", socket.as_raw_fd().to_string()));
+    let program = Program::start_with(&config(refusing(), &in_service(&[&upstream])), &environment);
+    assert_eq!(program.address, address);
+    assert_eq!(program.call("look").status(), 200);
+    assert_eq!(faults.injected("epoll_ctl", "ENOSPC"), 3);
+}
+
+/// Guards a reload: a signal is not given twice, so the file is read again until it can be.
+#[test]
+fn a_reload_outlasts_failures_of_a_moment() {
+    for (call, error) in [("open", "EMFILE"), ("open", "ENFILE"), ("read", "EIO")] {
+        let rule = of_the_configuration();
+        // The file is opened once at the start; it is read twice, for what it holds and for its end.
+        let from = if call == "open" { 2 } else { 3 };
+        let faults = Faults::new(format!("{call}:{error}:from={from}:count=3:{rule}"));
+        let upstream = closing_upstream();
+        let (old, new) = (Discovery::start(), Discovery::start());
+        let mut settings = config(old.address, &[]);
+        let program = Program::start_with(&settings, &faults.environment());
+        settings["discovery"] = new.address.to_string().into();
+        program.reload(&settings.to_string());
+        new.publish(&in_service(&[&upstream]));
+        assert_eq!(program.call("look").status(), 200, "{call} {error}");
+        assert_eq!(faults.injected(call, error), 3, "{call} {error}");
+    }
+}
