--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -388,3 +388,108 @@
         assert_eq!(faults.injected(call, error), 3, "{call} {error}");
     }
 }
+
+/// Threads of the soak, and what each asks for.
+const SOAKING: usize = 4;
+const SOAKED: usize = 100;
+/// A caller's time in the soak, and how much after it its answer is owed at the latest.
+const SOAK_BUDGET: &str = "2";
+const SOAK_OWED: Duration = Duration::from_millis(2500);
+
+/// All faults at once, each for a small share of the calls.
+fn soak_plan(seed: usize, upstreams: &[&Upstream]) -> String {
+    const CONNECT: [&str; 7] =
+        ["EADDRNOTAVAIL", "EAGAIN", "EHOSTUNREACH", "EINTR", "ENETUNREACH", "EPERM", "ETIMEDOUT"];
+    const SOCKET: [&str; 4] = ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"];
+    const ACCEPT: [&str; 7] = ["ECONNABORTED", "EMFILE", "ENETDOWN", "ENFILE", "ENOBUFS", "EPERM", "EPROTO"];
+    const TRANSFER: [&str; 3] = ["EINTR", "ENOBUFS", "ENOMEM"];
+    const BROKEN: [&str; 2] = ["ETIMEDOUT", "EHOSTUNREACH"];
+
+    let mut faults: Vec<(String, f64)> = Vec::new();
+    faults.extend(CONNECT.map(|error| (format!("connect:{error}"), 0.04)));
+    faults.extend(SOCKET.map(|error| (format!("socket:{error}:on=inet"), 0.03)));
+    faults.extend(ACCEPT.map(|error| (format!("accept:{error}"), 0.04)));
+    for upstream in upstreams {
+        let port = upstream.address.port();
+        for call in ["read", "write"] {
+            faults.extend(BROKEN.map(|error| (format!("{call}:{error}:port={port}"), 0.01)));
+        }
+        faults.push((format!("epoll_ctl:ENOSPC:port={port}"), 0.04));
+    }
+    for call in ["read", "write"] {
+        faults.extend(TRANSFER.map(|error| (format!("{call}:{error}:on=inet"), 0.04)));
+        faults.push((format!("{call}:short=7:on=inet"), 0.3));
+    }
+    faults.push(("epoll_wait:EINTR".to_owned(), 0.1));
+    faults.push(("setsockopt:ENOBUFS:on=inet".to_owned(), 0.05));
+    // Each draws on its own; the program starts in peace.
+    let rule = |(at, (fault, share)): (usize, (String, f64))| {
+        format!("{fault}:share={share}:seed={}:from=20", 100 * seed + at)
+    };
+    faults.into_iter().enumerate().map(rule).collect::<Vec<_>>().join(";")
+}
+
+/// The figures of the operators' door, whose connections are struck like all others.
+fn figures(door: SocketAddr) -> serde_json::Value {
+    let asked = Instant::now();
+    loop {
+        if let Some(answer) = say(door, "GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n") {
+            return serde_json::from_slice(&answer.body).expect("figures");
+        }
+        assert!(asked.elapsed() < PATIENCE, "no figures");
+    }
+}
+
+/// Guards all rules at once: each request gets one answer in its time, unsafe work runs once at most, the counts
+/// agree, and what was opened is closed.
+#[test]
+fn all_failures_together_break_no_rule() {
+    for seed in 1..=3 {
+        let upstreams = [(); 3].map(|()| Upstream::start(|_| Act::Answer(ok("served"))));
+        let faults = Faults::new(soak_plan(seed, &upstreams.each_ref()));
+        let mut config = with_door(refusing(), &in_service(&upstreams.each_ref()));
+        config["settings"]["Limits"]["ConnIdleNs"] = 1_000_000_000_u64.into();
+        let mut program = Program::start_with(&config, &faults.environment());
+        let door = door(&mut program);
+        figures(door);
+        let before = program.descriptors();
+        let statuses: Vec<u16> = std::thread::scope(|scope| {
+            let program = &program;
+            let soak = |_| scope.spawn(move || (0..SOAKED).map(|at| soaked(program, at)).collect::<Vec<_>>());
+            let soaking: Vec<_> = (0..SOAKING).map(soak).collect();
+            soaking.into_iter().flat_map(|thread| thread.join().expect("each answer in time")).collect()
+        });
+        let count = |status| statuses.iter().filter(|&&other| other == status).count();
+        assert!(count(200) > 9 * statuses.len() / 10, "seed {seed}: {} of {}", count(200), statuses.len());
+
+        let figures = figures(door);
+        let sum = |end: &str| {
+            let classes = figures["calls"].as_object().expect("classes").values();
+            classes.map(|class| class[end].as_u64().expect("a count")).sum::<u64>() as usize
+        };
+        assert_eq!((sum("success"), sum("busy"), sum("failure")), (count(200), count(503), count(502)));
+
+        let mut posts = std::collections::HashSet::new();
+        for seen in upstreams.iter().flat_map(|upstream| upstream.seen.try_iter()) {
+            let Seen::Request(request) = seen else { continue };
+            let is_post = request.first_line.contains(" /post?");
+            assert!(!is_post || posts.insert(request.headers["x-call-id"].clone()), "{request:?} ran twice");
+        }
+        eventually("descriptors come back", || program.descriptors() <= before);
+        program.terminate();
+        let (status, log) = program.end();
+        assert!(status.success(), "{log}");
+        assert!(!log.contains("panicked") && !log.contains("left open past its time"), "{log}");
+    }
+}
+
+/// The status of one request's answer, which comes in time.
+fn soaked(program: &Program, at: usize) -> u16 {
+    let class = ["look", "pay", "post"][at % 3];
+    let mut caller = program.connect();
+    let asked = Instant::now();
+    let answer = caller.call(class, SOAK_BUDGET, &"m".repeat(40 * (at % 5))).expect("an answer");
+    assert!(asked.elapsed() < SOAK_OWED, "{class} took {:?}", asked.elapsed());
+    assert!(matches!(answer.status(), 200 | 502 | 503), "{class}: {answer:?}");
+    answer.status()
+}
