--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -132,7 +132,11 @@
         let mut connection = std::pin::pin!(connection);
         // How long a connection on which nothing has come is kept, once it is to be closed between requests.
         let mut closes = None;
+        let mut place_needed = false;
         loop {
+            if place_needed && matches!(lock(&line.seen).idle(), Some((Idle::Begun, _))) {
+                return Ending::NoRoom;
+            }
             if closes.is_some_and(|newly| line.may_close(newly)) {
                 connection.as_mut().graceful_shutdown();
             }
@@ -158,10 +162,7 @@
                     closes = Some(NEWLY);
                 }
                 () = self.caller.close.notified() => {
-                    if matches!(lock(&line.seen).idle(), Some((Idle::Begun, _))) {
-                        return Ending::NoRoom;
-                    }
-                    closes = Some(Duration::ZERO);
+                    (closes, place_needed) = (Some(Duration::ZERO), true);
                 }
                 () = sleep(LOOK_EVERY / 10), if closes.is_some() => {}
             }
@@ -373,11 +374,11 @@
     /// itself. One that is closed may be writing just now; its caller knows then that its request was not taken.
     fn close_idle(&self) -> bool {
         let callers = lock(&self.callers);
-        let staying = callers.values().filter(|caller| !caller.leaving.load(Ordering::Relaxed));
-        let idle = staying.filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller)));
+        let idle = callers.values().filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller)));
         // One beyond the room that lingers holds no place in it.
         let idle: Vec<_> =
             idle.filter(|((idle, _), caller)| *idle != Idle::Lingering || !caller.surplus).collect();
+        // Those on their way out hold their places until they are gone.
         let uncalled = idle.iter().filter(|((idle, _), _)| *idle != Idle::Resting).count();
         let crowded = uncalled > self.config.limits.callers / UNCALLED;
         let rank = |idle, since: Instant| match idle {
@@ -388,7 +389,8 @@
             Idle::Begun => 3,
             Idle::Resting => 4,
         };
-        let goes = idle.into_iter().min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
+        let staying = idle.into_iter().filter(|(_, caller)| !caller.leaving.load(Ordering::Relaxed));
+        let goes = staying.min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
         let Some((_, caller)) = goes else { return false };
         caller.leaving.store(true, Ordering::Relaxed);
         caller.close.notify_one();
