--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -2,19 +2,18 @@
 //! other side has taken the one before: what is held of it does not grow with its length.
 
 use super::gate::lock;
+use super::minimum_rate::MinimumRate;
 use super::upstream::{Connection, Finished};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::fmt;
-use std::future::Future;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use std::time::Duration;
 use tokio::sync::oneshot;
-use tokio::time::{Instant, Sleep, sleep, timeout_at};
+use tokio::time::{Instant, timeout_at};
 use woadstall::api::Outcome;
 
 /// Largest body that is kept whole: a request so that it can be sent again, an answer so that it can be judged
@@ -22,8 +21,6 @@
 pub const MOST_KEPT: usize = 64 << 10;
 /// Largest body either way.
 pub const MOST_BODY: u64 = 34 << 20;
-/// What is passed on and gets no further for so long has ended. Peers may take seconds over a piece.
-pub const STALL: Duration = Duration::from_secs(15);
 
 /// The memory that bodies may fill, all together.
 pub struct Budget {
@@ -253,7 +250,7 @@
 struct Passing {
     body: Incoming,
     connection: Option<Connection>,
-    stall: Pin<Box<Sleep>>,
+    rate: MinimumRate,
     /// Is told how the attempt ended.
     report: Option<Report>,
     _room: Option<Room>,
@@ -268,17 +265,18 @@
 }
 
 impl Reply {
-    /// The start of a body, and the rest of it as it comes over a connection. `report` is told of its end.
+    /// The start of a body, and the rest of it as it comes over a connection. Once its request's time is over, it is
+    /// broken off unless it goes on. `report` is told of its end.
     pub fn passing(
         kept: Bytes,
         body: Incoming,
         connection: Connection,
         room: Option<Room>,
+        deadline: Option<Instant>,
         report: Report,
     ) -> Self {
-        let stall = Box::pin(sleep(STALL));
-        let passing =
-            Passing { body, connection: Some(connection), stall, report: Some(report), _room: room };
+        let rate = MinimumRate::new(deadline);
+        let passing = Passing { body, connection: Some(connection), rate, report: Some(report), _room: room };
         Self { passing: Some(Box::new(passing)), ..Self::from(kept) }
     }
 
@@ -322,7 +320,7 @@
             return match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue }; // trailers end here
-                    self.stall.as_mut().reset(Instant::now() + STALL);
+                    self.rate.received(data.len());
                     if self.body.is_end_stream() {
                         self.done(); // whoever knows the length does not ask for more
                     }
@@ -333,7 +331,7 @@
                     self.done();
                     Poll::Ready(None)
                 }
-                Poll::Pending => match self.stall.as_mut().poll(cx) {
+                Poll::Pending => match self.rate.poll_too_slow(cx) {
                     Poll::Ready(()) => Poll::Ready(Some(Err(self.broken(Outcome::Timeout)))),
                     Poll::Pending => Poll::Pending,
                 },
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,12 +1,13 @@
 //! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
 
 use super::admin::Verdict;
-use super::body::{Budget, Payload, Reply, Rest, STALL};
+use super::body::{Budget, Payload, Reply, Rest};
 use super::config::Config;
 use super::counters::{self, Counters};
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
 use super::handover::{Bans, Shared};
+use super::minimum_rate::IDLE_TIMEOUT;
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
@@ -614,8 +615,10 @@
         self.pending.push_back((id, end));
     }
 
-    /// The answer is passed on as it comes: no time of its request runs any more.
+    /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
     fn on_begun(&mut self, id: RequestId, number: u32, begun: Begun) {
+        let deadline = self.requests.get(&id).and_then(|open| open.deadline);
+        let deadline = deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_answer(id) else {
             return self.on_ended(id, number, Outcome::Cancelled.into());
         };
@@ -627,7 +630,8 @@
             inputs.send(Input::Ended(id, number, finished)).ok();
         });
         let Begun { head, body, connection, room } = begun;
-        let answer = Answer::Served(head.map(|kept| Reply::passing(kept, body, connection, room, report)));
+        let passing = |kept| Reply::passing(kept, body, connection, room, deadline, report);
+        let answer = Answer::Served(head.map(passing));
         if let Some(out) = out {
             out.begun = Some((answer.end(), load));
         }
@@ -753,12 +757,12 @@
     let limit = until.saturating_duration_since(Instant::now());
     let (mut left, mut moved) = (rest.left(), Instant::now());
     loop {
-        let came = timeout(STALL / 10, whole.wait_for(Option::is_some)).await;
+        let came = timeout(IDLE_TIMEOUT / 10, whole.wait_for(Option::is_some)).await;
         match came.map(|came| came.ok().and_then(|came| *came)) {
             Ok(Some(came)) => return sleep_until(came + limit).await,
             Ok(None) => return pending().await, // nobody waits for its end any more
             Err(_) if rest.left() != left => (left, moved) = (rest.left(), Instant::now()),
-            Err(_) if moved.elapsed() > STALL => return,
+            Err(_) if moved.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
         }
     }
--- /dev/null
+++ b/src/net/minimum_rate.rs
@@ -0,0 +1,163 @@
+//! A minimum rate for answers that are streamed: tells one that goes on from one that has stopped or drips.
+
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::time::{Instant, Sleep, sleep_until};
+
+/// Lowest rate, in bytes a second, of an answer that goes on once its request's time is over. The slowest peers that are
+/// named make 64 kB a second; a sixty-fourth of that leaves room for pauses, and a byte now and then stays far below it.
+const LOWEST_RATE: u64 = 1000;
+/// The first window, from the end of the request's time on. With the recheck and a hold-up of the process for 0.1 s it
+/// ends within the half second in which a final answer is owed.
+const FIRST_WINDOW: Duration = Duration::from_millis(350);
+/// Each later window: a long answer may pause, but its rest must not be held back for longer.
+const LATER_WINDOW: Duration = Duration::from_secs(2);
+/// Wait before an answer is found too slow. A process that was held up finds the end of the window before the bytes
+/// that have come meanwhile.
+const RECHECK_AFTER: Duration = Duration::from_millis(20);
+/// An answer, or a request that is passed on, is given up when nothing of it has come for so long, whatever time is left.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Watches the rate of one answer. Only the time in which the upstream is waited for counts: while the caller takes
+/// nothing, the upstream is not asked for more.
+pub struct MinimumRate {
+    /// The window that bytes are counted in; `None` where the end of the request's time is not known.
+    window: Option<Window>,
+    /// Since when the next piece is waited for.
+    waiting_since: Option<Instant>,
+    timer: Pin<Box<Sleep>>,
+}
+
+impl MinimumRate {
+    /// Watches an answer whose request's time ends then.
+    pub fn new(deadline: Option<Instant>) -> Self {
+        let window = deadline.map(|deadline| Window::new(deadline, FIRST_WINDOW));
+        Self { window, waiting_since: None, timer: Box::pin(sleep_until(Instant::now() + IDLE_TIMEOUT)) }
+    }
+
+    /// A piece of so many bytes has come.
+    pub fn received(&mut self, bytes: usize) {
+        let now = Instant::now();
+        let waiting_since = self.waiting_since.take();
+        let Some(window) = self.window.as_mut().filter(|window| window.start <= now) else { return };
+        window.received += bytes as u64;
+        if let Some(since) = waiting_since {
+            window.waited += now - since.max(window.start);
+        }
+    }
+
+    /// Ready once the answer is too slow. To be polled whenever its next piece is waited for.
+    pub fn poll_too_slow(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let since = *self.waiting_since.get_or_insert_with(Instant::now);
+        let idle_end = since + IDLE_TIMEOUT;
+        loop {
+            let window_end = self.window.as_ref().map(|window| window.end(since));
+            let due = window_end.map_or(idle_end, |end| end.min(idle_end));
+            if self.timer.deadline() != due {
+                self.timer.as_mut().reset(due);
+            }
+            ready!(self.timer.as_mut().poll(cx));
+            match &mut self.window {
+                Some(window) if due < idle_end => match window.verdict() {
+                    Verdict::TooSlow => return Poll::Ready(()),
+                    Verdict::Recheck => window.extend(since, RECHECK_AFTER),
+                    Verdict::GoesOn => *window = Window::new(Instant::now(), LATER_WINDOW),
+                },
+                _ => return Poll::Ready(()),
+            }
+        }
+    }
+}
+
+/// What has become of an answer at the end of a window.
+enum Verdict {
+    GoesOn,
+    Recheck,
+    TooSlow,
+}
+
+/// A stretch of time in which so many bytes have to come.
+struct Window {
+    start: Instant,
+    /// How long the upstream is waited for in it.
+    length: Duration,
+    required: u64,
+    received: u64,
+    /// How long the upstream was waited for, up to the latest piece.
+    waited: Duration,
+    rechecked: bool,
+}
+
+impl Window {
+    fn new(start: Instant, length: Duration) -> Self {
+        let required = LOWEST_RATE * length.as_millis() as u64 / 1000;
+        Self { start, length, required, received: 0, waited: Duration::ZERO, rechecked: false }
+    }
+
+    /// When it ends, if nothing more comes after this wait began.
+    fn end(&self, waiting_since: Instant) -> Instant {
+        waiting_since.max(self.start) + self.length.saturating_sub(self.waited)
+    }
+
+    fn verdict(&self) -> Verdict {
+        if self.received >= self.required {
+            Verdict::GoesOn
+        } else if self.rechecked {
+            Verdict::TooSlow
+        } else {
+            Verdict::Recheck
+        }
+    }
+
+    /// Lets it end so much later than now.
+    fn extend(&mut self, waiting_since: Instant, by: Duration) {
+        self.rechecked = true;
+        self.length = self.waited + waiting_since.max(self.start).elapsed() + by;
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use std::future::poll_fn;
+    use tokio::time::sleep;
+
+    async fn is_too_slow(rate: &mut MinimumRate) -> bool {
+        poll_fn(|cx| Poll::Ready(rate.poll_too_slow(cx).is_ready())).await
+    }
+
+    /// Guards an upstream whose caller takes nothing: only the time in which the upstream is waited for counts.
+    #[tokio::test]
+    async fn time_in_which_nothing_is_asked_for_does_not_count() {
+        let mut rate = MinimumRate::new(Some(Instant::now()));
+        for _ in 0..3 {
+            sleep(FIRST_WINDOW + RECHECK_AFTER).await;
+            assert!(!is_too_slow(&mut rate).await, "the wait has just begun");
+            rate.received(1);
+        }
+    }
+
+    /// Guards an answer whose bytes wait in the kernel while the process is held up.
+    #[tokio::test]
+    async fn a_window_that_ends_while_the_process_is_held_up_is_looked_at_again() {
+        let mut rate = MinimumRate::new(Some(Instant::now()));
+        assert!(!is_too_slow(&mut rate).await);
+        std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_AFTER); // no await: the runtime hears of nothing
+        tokio::task::yield_now().await;
+        assert!(!is_too_slow(&mut rate).await, "the bytes may be there");
+        rate.received(1000);
+        assert!(!is_too_slow(&mut rate).await);
+    }
+
+    /// A window starts no sooner than the request's time ends, and ends in time.
+    #[tokio::test]
+    async fn an_answer_that_stops_is_too_slow_soon_after_its_time() {
+        let time_left = Duration::from_millis(100);
+        let begun = Instant::now();
+        let mut rate = MinimumRate::new(Some(begun + time_left));
+        rate.received(100_000); // before the time is over
+        poll_fn(|cx| rate.poll_too_slow(cx)).await;
+        assert!(begun.elapsed() >= time_left + FIRST_WINDOW + RECHECK_AFTER);
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,6 +8,7 @@
 mod driver;
 mod gate;
 mod handover;
+mod minimum_rate;
 mod server;
 mod upstream;
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod chain;
 pub mod process;
+pub mod streams;
 
 use woadstall::Balancer;
 use woadstall::api::*;
