--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -7,6 +7,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Mutex;
+use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
@@ -66,15 +67,26 @@
     }
 }
 
-/// Connects by a time. Failures of the own machine are retried until then, after pauses that grow. One that has to do
+/// How long a connection may take to come up.
+pub struct Patience<'a> {
+    /// When it is given up.
+    pub end: Instant,
+    /// The same if the own machine has failed in it meanwhile: that is not a matter of the peer's time.
+    pub end_if_held_up: Instant,
+    /// Is set where that is so.
+    pub held_up: &'a AtomicBool,
+}
+
+/// Connects in time. Failures of the own machine are retried until then, after pauses that grow. One that has to do
 /// with this peer's address is given up sooner if it lasts while others are heard of: another peer may do. So is one
 /// that may be the peer's, and then it is taken to be: an error that many peers share is the own network's, and where
 /// all of them fail, none is at fault.
 pub async fn connect(
     peer: SocketAddr,
-    end: Instant,
+    patience: Patience<'_>,
     reachability: &Reachability,
 ) -> Result<TcpStream, ConnectError> {
+    let mut end = patience.end;
     let (mut backoff, mut failures) = (Backoff::default(), 0_u32);
     let (mut since, mut latest) = (None, None);
     loop {
@@ -90,6 +102,8 @@
         if origin == Origin::Peer {
             return Err(ConnectError::Peer(error));
         }
+        patience.held_up.store(true, Ordering::Relaxed);
+        end = patience.end_if_held_up;
         failures += 1;
         let now = Instant::now();
         let next = now + backoff.pause();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams: a watch on discovery that is taken up again whenever it ends.
 
 use super::config::Config;
-use super::connect::{Reachability, connect};
+use super::connect::{Patience, Reachability, connect};
 use super::driver::Input;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,6 +13,7 @@
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
@@ -197,8 +198,10 @@
 
 impl Open {
     async fn new(address: SocketAddr) -> Result<Self, Failure> {
+        let end = Instant::now() + CONNECT;
+        let patience = Patience { end, end_if_held_up: end, held_up: &AtomicBool::default() };
         // There is no other to compare it with.
-        let tcp = connect(address, Instant::now() + CONNECT, &Reachability::default()).await?;
+        let tcp = connect(address, patience, &Reachability::default()).await?;
         let (hear, heard) = watch::channel(());
         let tcp = InspectReader::new(tcp, move |_: &[u8]| hear.send_replace(()));
         let (sender, connection) = handshake(TokioIo::new(tcp)).await?;
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -599,8 +599,17 @@
         let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
         let tally = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
+        let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
         let means = self.means(link, address, self.clock.instant(until), tally);
-        let exchange = exchange(request, Means { under_way: mark.clone(), begin_by, caller, ..means });
+        let held_up = means.held_up.clone();
+        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, ..means };
+        let exchange = exchange(request, means);
+        let expiry = async move {
+            expiry.await;
+            if let Some(deadline) = deadline.filter(|_| held_up.load(Ordering::Relaxed)) {
+                sleep_until(deadline).await;
+            }
+        };
         tokio::spawn(async move {
             let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
             let exchanged = tokio::select! {
@@ -627,6 +636,8 @@
             address,
             connect_timeout: self.config.names.connect_timeout,
             until,
+            deadline: None,
+            held_up: Arc::default(),
             begin_by: None,
             tally,
             budget: self.budget.clone(),
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to upstreams, and attempts on them: one attempt at a time on each.
 
 use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Outgoing, Payload, Room, gather};
-use super::connect::{ConnectError, Reachability, connect};
+use super::connect::{ConnectError, Patience, Reachability, connect};
 use super::gate::{Presence, lock, poll_io};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -74,6 +74,10 @@
     pub connect_timeout: Duration,
     /// How long the answer is waited for.
     pub until: Instant,
+    /// When its request's time is over, where that is known: an attempt that the own machine holds up has until then.
+    pub deadline: Option<Instant>,
+    /// Is set when the own machine holds it up.
+    pub held_up: Arc<AtomicBool>,
     /// When it must have begun, or it is never sent.
     pub begin_by: Option<Instant>,
     /// Counts the attempts that are written whole.
@@ -121,9 +125,14 @@
     let mut connection = match means.link {
         Link::Idle(connection) => connection,
         Link::New(slot) => {
-            let end = (Instant::now() + means.connect_timeout).min(means.until);
-            let end = means.begin_by.map_or(end, |begin_by| begin_by.min(end));
-            match Connection::open(means.address, slot, end).await {
+            let in_any_case = Instant::now() + means.connect_timeout;
+            let in_any_case = means.begin_by.map_or(in_any_case, |begin_by| begin_by.min(in_any_case));
+            let patience = Patience {
+                end: in_any_case.min(means.until),
+                end_if_held_up: in_any_case.min(means.deadline.unwrap_or(means.until)),
+                held_up: &means.held_up,
+            };
+            match Connection::open(means.address, slot, patience).await {
                 Ok(connection) => connection,
                 Err(ConnectError::Local(_)) => return Outcome::Moot.into(),
                 Err(ConnectError::TimedOut) if is_late() => return Outcome::Moot.into(), // before its own time was over
@@ -134,7 +143,8 @@
     if is_late() {
         return Outcome::Moot.into();
     }
-    let left = means.until.saturating_duration_since(Instant::now());
+    let deadline = means.deadline.filter(|_| means.held_up.load(Ordering::Relaxed));
+    let left = deadline.unwrap_or(means.until).saturating_duration_since(Instant::now());
     let left = HeaderValue::from_str(&format!("{:.6}", left.as_secs_f64()));
     request.headers_mut().insert("x-budget", left.unwrap_or(HeaderValue::from_static("0")));
     let caller_left = || means.caller.as_ref().is_some_and(Presence::has_left);
@@ -210,9 +220,8 @@
 }
 
 impl Connection {
-    /// Connects by a time.
-    async fn open(address: SocketAddr, slot: Slot, end: Instant) -> Result<Self, ConnectError> {
-        let tcp = connect(address, end, &slot.0.reachability).await?;
+    async fn open(address: SocketAddr, slot: Slot, patience: Patience<'_>) -> Result<Self, ConnectError> {
+        let tcp = connect(address, patience, &slot.0.reachability).await?;
         let (tcp, progress) = (Arc::new(tcp), Arc::new(Progress::default()));
         let socket = Socket { tcp: tcp.clone(), progress: progress.clone() };
         let builder = &mut Builder::new();
@@ -419,6 +428,8 @@
             address,
             connect_timeout: Duration::from_secs(30),
             until: Instant::now() + Duration::from_secs(30),
+            deadline: None,
+            held_up: Arc::default(),
             begin_by: None,
             tally: None,
             budget: Budget::new(1 << 20),
