--- a/fault-injector/src/lib.rs
+++ b/fault-injector/src/lib.rs
@@ -38,6 +38,9 @@
 //! - What goes on goes to the kernel directly, not to another preloaded library.
 //! - An error that the kernel would tell later, through `SO_ERROR`, is told by the call itself.
 //!
+//! - EAGAIN of a read or write with bytes or room there is no failure that Linux knows: a program that waits for
+//!   edges, as ours does, never hears of them again.
+//!
 //! # Safety
 //!
 //! This crate and the balancer's inherited descriptor are the only places with `unsafe` code. Each function in
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -50,6 +50,9 @@
 const UNCALLED: usize = 2;
 /// A new connection may bring its call a little later.
 const NEWLY: Duration = Duration::from_millis(300);
+/// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They are
+/// counted and not timed: the process may have been held up itself.
+const LASTING_SHORTAGE: u32 = 8;
 /// Connections taken beyond those that are served, to refuse their requests: left in the kernel's backlog,
 /// they would count as taken and get no answer.
 pub const SURPLUS: usize = 16;
@@ -196,18 +199,12 @@
 }
 
 /// Connections that could not be taken, in a row.
+#[derive(Default)]
 struct Failing {
-    since: Instant,
     failures: u32,
     backoff: Backoff,
 }
 
-impl Default for Failing {
-    fn default() -> Self {
-        Self { since: Instant::now(), failures: 0, backoff: Backoff::default() }
-    }
-}
-
 /// Tells the driver that a caller has gone, unless it got its answer.
 struct Owed<'a>(Option<RequestId>, &'a UnboundedSender<Input>);
 
@@ -382,14 +379,9 @@
             return;
         }
         self.driver.send(Input::DescriptorsShort).ok();
-        let is_lasting = failing.since.elapsed() > NEWLY;
-        self.close_idle_where(|idle, since| {
-            is_lasting
-                || match idle {
-                    Idle::Resting | Idle::Strange | Idle::Lingering => true,
-                    Idle::Silent => since.elapsed() > NEWLY,
-                    Idle::Begun => false,
-                }
+        let is_lasting = failing.failures >= LASTING_SHORTAGE;
+        self.close_idle_where(|idle, _| {
+            is_lasting || matches!(idle, Idle::Resting | Idle::Strange | Idle::Lingering)
         });
     }
 
