--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub mod chain;
+pub mod fleet;
 pub mod process;
 
 use woadstall::Balancer;
