--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod api;
 pub mod policy;
+mod slow_start;
 mod state;
 pub mod wire;
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -5,6 +5,7 @@
 //! source, and the condition under which each exception acts.
 
 use crate::api::*;
+use crate::slow_start::{AnsweredWork, ColdBudget};
 use crate::state::{Asking, Breaker, IdleRisk, Latency, Pool, Recent, Refusals, Request, Server, Shedding};
 use std::collections::{HashMap, HashSet};
 
@@ -135,6 +136,7 @@
     /// Time to an answer for each call that the server held.
     per_held: Latency,
     served: Recent,
+    answered_work: AnsweredWork,
     /// Calls taken on, which is all that is known of their rate after a start.
     taken_on: Recent,
     fresh_until: Time,
@@ -173,6 +175,7 @@
             overall: Latency::default(),
             per_held: Latency::default(),
             served: Recent::since(now),
+            answered_work: AnsweredWork::new(settings.classes.len(), now),
             taken_on: Recent::since(now),
             fresh_until: now.saturating_add(RATE_WINDOW),
             failing: 0.0,
@@ -259,13 +262,14 @@
         self.servers[at].started = entry.started;
     }
 
-    /// A new process: its predecessor's failures say nothing of it. The random start of its budget keeps all
-    /// siblings from sending it their first call at once.
+    /// A new process: its predecessor's failures say nothing of it.
     fn renew(&mut self, at: usize) {
+        let least_cost = self.answered_work.least_cost();
         let server = &mut self.servers[at];
+        server.cold_budget = ColdBudget::new(self.now, self.rng.f64(), least_cost);
+        server.slowness = 1.0;
         server.breaker = Breaker::default();
         server.refusals.fill(Refusals::default());
-        (server.budget, server.budget_at, server.slowness) = (self.rng.f64(), self.now, 1.0);
         (server.open, server.conn_limit) = (server.in_use(), None); // nor do its connections
     }
 
@@ -374,6 +378,7 @@
             // What is still coming holds nothing up yet, however long that takes.
             per_aim: if demand.streamed { 0.0 } else { 1.0 / aim },
             streamed: demand.streamed,
+            work: demand.work,
             deadline: self.now.saturating_add(self.useful_time(class, &demand)),
             ..Request::default()
         };
@@ -419,8 +424,9 @@
         self.count_in_flight(at, true);
         self.servers[at].open = self.servers[at].open.max(self.servers[at].in_use());
         let (now, warm) = (self.now, self.warmth(at) >= 1.0);
+        let cost = if warm { 0.0 } else { self.answered_work.cost(request.class, request.work) };
         let server = &mut self.servers[at];
-        server.budget -= if warm { 0.0 } else { 1.0 };
+        server.cold_budget.charge(cost);
         server.breaker.trial |= server.breaker.tripped;
         self.actions.push(Action::Send { id, server: server.id, until, begin_by });
         request.trial = server.breaker.tripped;
@@ -635,7 +641,7 @@
     fn is_candidate(&mut self, pool: usize, at: usize, request: &Request) -> bool {
         let again = request.sent.is_some_and(|(last, _)| last == at);
         let others = self.pools[pool].members.len() > 1;
-        !(again && others) && self.in_group(at, request) && self.cold_budget_allows(pool, at)
+        !(again && others) && self.in_group(at, request) && self.cold_budget_allows(pool, at, request.class)
     }
 
     /// A keyed request that may have run stays with the servers that drop its repeats.
@@ -649,10 +655,10 @@
         }
     }
 
-    /// Slow start. A cold server's budget grows with time, by its share of the calls that this balancer gets
+    /// Slow start. A cold server's budget grows with time, by its share of the work that this balancer gets
     /// answered, times its warmth: what is asked for in an overload is more than even warm servers can do. As
     /// all siblings do likewise, the sum stays near what it can do.
-    fn cold_budget_allows(&mut self, pool: usize, at: usize) -> bool {
+    fn cold_budget_allows(&mut self, pool: usize, at: usize, class: usize) -> bool {
         let warmth = self.warmth(at);
         if warmth >= 1.0 {
             return true;
@@ -660,7 +666,7 @@
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
         let ease = if self.asks() { (self.settings.tip_multiple / 2.0).max(1.0) } else { 1.0 };
-        let served = self.served.per_second(self.now, RATE_WINDOW);
+        let served = self.answered_work.per_second(self.now, RATE_WINDOW);
         // A balancer that has just started has had nothing answered: where all servers are cold as well,
         // after a release, nothing would ever be. It goes by what it takes on until it knows better.
         let fresh = self.now < self.fresh_until;
@@ -670,11 +676,9 @@
         let own = pool == usize::from(self.settings.zone.0);
         let share = &self.pools[if own { pool } else { self.settings.zones }];
         let rate = known * warmth * ease / share.size.max(f64::MIN_POSITIVE);
+        let class_cost = self.answered_work.class_cost(class);
         let server = &mut self.servers[at];
-        let passed = (self.now - server.budget_at) as f64 / SECOND as f64;
-        server.budget = (server.budget + rate * server.size * passed).min(1.0);
-        server.budget_at = self.now;
-        server.budget >= 1.0
+        server.cold_budget.allows(self.now, rate * server.size, class_cost)
     }
 
     /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
@@ -979,6 +983,10 @@
             self.learn_slowness(at, request.class, end.elapsed);
             self.classes[request.class].learn(took, GAIN, CALM);
             self.overall.learn(took, GAIN, CALM);
+            if end.outcome == Outcome::Ok {
+                let mean = self.classes[request.class].mean;
+                self.answered_work.learn(self.now, request.class, mean, request.work, RATE_WINDOW);
+            }
             if request.asked > 0.0 {
                 self.per_held.learn(took / request.asked, GAIN, CALM);
             }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,6 +2,7 @@
 //! steer the averages are handed in by `policy.rs`.
 
 use crate::api::{Duration, ServerId, Time};
+use crate::slow_start::ColdBudget;
 
 /// What is known of a server.
 #[derive(Debug, Default)]
@@ -22,9 +23,8 @@
     pub order: u64,
     /// Fraction of a turn that has come together.
     pub turn: f64,
-    /// Fraction of a cold server's next call that has come together, and when that was counted last.
-    pub budget: f64,
-    pub budget_at: Time,
+    /// What may still be sent to it while it is cold.
+    pub cold_budget: ColdBudget,
     pub in_flight: u32,
     /// Answers of it that have begun and go on: each has a connection, and none of its work is left.
     pub passing: u32,
@@ -144,6 +144,8 @@
     /// One over its aim.
     pub per_aim: f64,
     pub deadline: Time,
+    /// Its work, where that is known.
+    pub work: Option<Duration>,
     pub attempts: u32,
     /// The last server it was sent to, and when.
     pub sent: Option<(usize, Time)>,
