--- a/src/policy.rs
+++ b/src/policy.rs
@@ -5,7 +5,7 @@
 //! source, and the condition under which each exception acts.
 
 use crate::api::*;
-use crate::slow_start::{AnsweredWork, ColdBudget};
+use crate::slow_start::{AnsweredWork, ColdBudget, HomeShare};
 use crate::state::{Asking, Breaker, IdleRisk, Latency, Pool, Recent, Refusals, Request, Server, Shedding};
 use std::collections::{HashMap, HashSet};
 
@@ -137,8 +137,7 @@
     per_held: Latency,
     served: Recent,
     answered_work: AnsweredWork,
-    /// Calls taken on, which is all that is known of their rate after a start.
-    taken_on: Recent,
+    home_share: HomeShare,
     fresh_until: Time,
     failing: f64,
     idle_risk: IdleRisk,
@@ -176,7 +175,7 @@
             per_held: Latency::default(),
             served: Recent::since(now),
             answered_work: AnsweredWork::new(settings.classes.len(), now),
-            taken_on: Recent::since(now),
+            home_share: HomeShare::new(settings.siblings, settings.zones),
             fresh_until: now.saturating_add(RATE_WINDOW),
             failing: 0.0,
             idle_risk: IdleRisk::default(),
@@ -344,6 +343,9 @@
             self.largest = self.largest.max(server.size);
             both(&mut self.pools, server.zone).for_each(|pool| pool.add(at, server));
         }
+        let home = &self.pools[usize::from(self.settings.zone.0)];
+        let sizes = home.members.iter().map(|&at| (self.warm_from(at), self.servers[at].size)).collect();
+        self.home_share.follow(sizes);
     }
 
     fn on_list_failed(&mut self) {
@@ -386,7 +388,7 @@
             self.refuse_or_fail(id, &request);
         } else {
             self.hold(request.per_aim);
-            self.taken_on.add(self.now, 1.0, RATE_WINDOW);
+            self.answered_work.take_on(self.now, class, RATE_WINDOW);
             self.attempt(id, request);
         }
     }
@@ -666,21 +668,37 @@
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
         let ease = if self.asks() { (self.settings.tip_multiple / 2.0).max(1.0) } else { 1.0 };
-        let served = self.answered_work.per_second(self.now, RATE_WINDOW);
+        let served = self.answered_work.answered_per_second(self.now, RATE_WINDOW);
         // A balancer that has just started has had nothing answered: where all servers are cold as well,
         // after a release, nothing would ever be. It goes by what it takes on until it knows better.
         let fresh = self.now < self.fresh_until;
-        let known = if fresh { served.max(self.taken_on.per_second(self.now, RATE_WINDOW)) } else { served };
+        let known = if fresh {
+            served.max(self.answered_work.taken_on_per_second(self.now, RATE_WINDOW))
+        } else {
+            served
+        };
         // To another zone only some calls cross, yet from every zone: by the size of that zone, all of them
-        // together would send its cold servers many times their share.
-        let own = pool == usize::from(self.settings.zone.0);
-        let share = &self.pools[if own { pool } else { self.settings.zones }];
-        let rate = known * warmth * ease / share.size.max(f64::MIN_POSITIVE);
+        // together would send its cold servers many times their share. Of what is served at home, no more
+        // comes than the home zone's servers can do, however few balancers send to it.
+        let tier = known / self.pools[self.settings.zones].size.max(f64::MIN_POSITIVE);
+        let share = if pool == usize::from(self.settings.zone.0) {
+            tier.max(known * self.home_share.get(self.pools[pool].size))
+        } else {
+            tier
+        };
+        let rate = share * warmth * ease;
         let class_cost = self.answered_work.class_cost(class);
         let server = &mut self.servers[at];
         server.cold_budget.allows(self.now, rate * server.size, class_cost)
     }
 
+    /// When a server is warm for sure.
+    fn warm_from(&self, at: usize) -> Time {
+        let server = &self.servers[at];
+        let started = server.started.max(server.returned);
+        started.map_or(0, |started| started.saturating_add(self.settings.ramp_time))
+    }
+
     /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
     fn warmth(&self, at: usize) -> f64 {
         let server = &self.servers[at];
@@ -954,6 +972,11 @@
         match end.outcome {
             Outcome::Ok => {
                 self.served.add(self.now, 1.0, RATE_WINDOW);
+                if !self.zone_left {
+                    let home = self.servers[at].zone == usize::from(self.settings.zone.0);
+                    let warm_home = home && self.warm_from(at) <= self.now;
+                    self.home_share.learn(self.now, warm_home);
+                }
                 self.servers[at].answered_at = self.now;
                 self.servers[at].refusals[request.class] = Refusals::default();
                 self.idle_risk.learn(request.idle, false, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -10,10 +10,12 @@
 const TYPICAL_WINDOW: Duration = 30_000_000_000;
 /// Weight of an answer that shows a class to be lighter than thought.
 const LIGHTER_GAIN: f64 = 0.05;
+/// Weight of an answer in the part of the calls that the own zone serves.
+const HOME_GAIN: f64 = 0.05;
 /// Weight of a call in the mean work that is told of its class.
 const HINT_GAIN: f64 = 0.05;
 /// Time over which a class comes to look heavier: in a jam all classes wait alike, and would look alike.
-const HEAVIER_WINDOW: Duration = 60_000_000_000;
+const HEAVIER_WINDOW: Duration = 300_000_000_000;
 
 /// The work of a class of calls, judged by the time that its answers take in calm times.
 #[derive(Clone, Debug, Default)]
@@ -43,6 +45,34 @@
     }
 }
 
+/// Calls of each class, the older ones counting less. What a class costs is weighed in when the rate is asked for:
+/// a balancer that has just started learns it with every answer.
+#[derive(Debug)]
+struct ClassRates {
+    since: Time,
+    at: Time,
+    calls: Vec<f64>,
+}
+
+impl ClassRates {
+    fn new(classes: usize, now: Time) -> Self {
+        Self { since: now, at: now, calls: vec![0.0; classes] }
+    }
+
+    fn add(&mut self, now: Time, class: usize, window: Duration) {
+        let kept = (-(now.saturating_sub(self.at) as f64) / window as f64).exp();
+        self.at = now;
+        self.calls.iter_mut().for_each(|calls| *calls *= kept);
+        self.calls[class] += 1.0;
+    }
+
+    fn per_second(&self, now: Time, window: Duration, cost: impl Fn(usize) -> f64) -> f64 {
+        let sum = self.calls.iter().enumerate().map(|(class, calls)| calls * cost(class)).sum();
+        let recent = Recent { sum, at: self.at, since: self.since };
+        recent.per_second(now, window)
+    }
+}
+
 /// The work that a balancer gets answered, and what its classes of calls cost.
 #[derive(Debug)]
 pub(crate) struct AnsweredWork {
@@ -50,8 +80,9 @@
     /// The work of a typical call, and when it was averaged last.
     typical: f64,
     averaged_at: Time,
-    /// Work answered lately.
-    lately: Recent,
+    /// Calls taken on, and answered.
+    taken_on: ClassRates,
+    answered: ClassRates,
 }
 
 impl AnsweredWork {
@@ -60,7 +91,8 @@
             classes: vec![ClassWork::default(); classes],
             typical: 0.0,
             averaged_at: now,
-            lately: Recent::since(now),
+            taken_on: ClassRates::new(classes, now),
+            answered: ClassRates::new(classes, now),
         }
     }
 
@@ -75,12 +107,22 @@
         let calls: f64 = self.classes.iter().map(|class| class.calls).sum();
         let work: f64 = self.classes.iter().map(|class| class.calls * class.estimate).sum();
         self.typical = work / calls;
-        self.lately.add(now, self.cost(class, hint), window);
+        self.answered.add(now, class, window);
+    }
+
+    /// A call was taken on.
+    pub fn take_on(&mut self, now: Time, class: usize, window: Duration) {
+        self.taken_on.add(now, class, window);
     }
 
     /// Calls of typical work answered in a second.
-    pub fn per_second(&self, now: Time, window: Duration) -> f64 {
-        self.lately.per_second(now, window)
+    pub fn answered_per_second(&self, now: Time, window: Duration) -> f64 {
+        self.answered.per_second(now, window, |class| self.class_cost(class))
+    }
+
+    /// Calls of typical work taken on in a second.
+    pub fn taken_on_per_second(&self, now: Time, window: Duration) -> f64 {
+        self.taken_on.per_second(now, window, |class| self.class_cost(class))
     }
 
     /// What a call costs: by its own work where that is known, else what its class costs.
@@ -102,18 +144,65 @@
     }
 }
 
+/// The part of a balancer's calls that a warm server of its own zone serves, for each unit of its size.
+#[derive(Debug)]
+pub(crate) struct HomeShare {
+    /// As long as nothing is known: with fewer balancers than zones, each also sends to zones that have none.
+    expected_part: f64,
+    per_size: Option<f64>,
+    /// Size of the zone's warm servers, and of those that are still cold: when each is warm, the last one first.
+    warm_size: f64,
+    cold_sizes: Vec<(Time, f64)>,
+}
+
+impl HomeShare {
+    pub fn new(siblings: u32, zones: usize) -> Self {
+        let expected_part = (f64::from(siblings) / zones.max(1) as f64).min(1.0);
+        Self { expected_part, per_size: None, warm_size: 0.0, cold_sizes: Vec::new() }
+    }
+
+    /// What a server of the zone would serve for each unit of its size, where that has such a size; no more
+    /// than an even part.
+    pub fn get(&self, zone_size: f64) -> f64 {
+        let size = zone_size.max(f64::MIN_POSITIVE);
+        self.per_size.map_or(self.expected_part / size, |per_size| per_size.min(1.0 / size))
+    }
+
+    /// The list has changed: when each of the zone's servers is warm, and its size.
+    pub fn follow(&mut self, mut sizes: Vec<(Time, f64)>) {
+        sizes.sort_unstable_by_key(|&(warm_from, _)| std::cmp::Reverse(warm_from));
+        (self.warm_size, self.cold_sizes) = (0.0, sizes);
+    }
+
+    /// A call was answered, by a warm server of the own zone or by another one. Tells nothing while no server
+    /// of the zone is warm.
+    pub fn learn(&mut self, now: Time, warm_home: bool) {
+        while let Some((_, size)) = self.cold_sizes.pop_if(|(warm_from, _)| *warm_from <= now) {
+            self.warm_size += size;
+        }
+        if self.warm_size <= 0.0 {
+            return;
+        }
+        let served = f64::from(u8::from(warm_home)) / self.warm_size;
+        let per_size = self.per_size.get_or_insert(self.expected_part / self.warm_size);
+        *per_size += HOME_GAIN * (served - *per_size);
+    }
+}
+
 /// What a balancer may still send to a cold server, in calls of typical work.
 #[derive(Debug, Default)]
 pub(crate) struct ColdBudget {
     left: f64,
     counted_at: Time,
+    /// The least that is saved up before a call is sent: what the budget began below.
+    least: f64,
 }
 
 impl ColdBudget {
     /// A budget whose first call comes at a random time: no sooner on average than later ones, and not at
     /// once from all siblings. `draw` is between 0 and 1, and `least_cost` what the lightest calls cost.
     pub fn new(now: Time, draw: f64, least_cost: f64) -> Self {
-        Self { left: draw * least_cost, counted_at: now }
+        Self { left: draw * least_cost, counted_at: now, least: least_cost }
     }
 
     /// Whether a call of a class that costs so much may be sent, after earning at a rate for each second.
@@ -121,7 +210,7 @@
         let passed = now.saturating_sub(self.counted_at) as f64 / 1e9;
         self.left = (self.left + rate * passed).min(class_cost.max(1.0));
         self.counted_at = now;
-        self.left >= class_cost
+        self.left >= class_cost.max(self.least)
     }
 
     /// Charges a call that is sent.
--- a/src/state.rs
+++ b/src/state.rs
@@ -205,7 +205,7 @@
 pub(crate) struct Recent {
     pub sum: f64,
     pub at: Time,
-    since: Time,
+    pub since: Time,
 }
 
 impl Recent {
