--- a/src/policy.rs
+++ b/src/policy.rs
@@ -427,6 +427,7 @@
         self.servers[at].open = self.servers[at].open.max(self.servers[at].in_use());
         let (now, warm) = (self.now, self.warmth(at) >= 1.0);
         let cost = if warm { 0.0 } else { self.answered_work.cost(request.class, request.work) };
+        request.cold_cost = cost;
         let server = &mut self.servers[at];
         server.cold_budget.charge(cost);
         server.breaker.trial |= server.breaker.tripped;
@@ -933,6 +934,9 @@
             return;
         }
         self.servers[at].breaker.trial &= !request.trial;
+        if end.outcome == Outcome::Moot {
+            self.servers[at].cold_budget.give_back(sent, request.cold_cost);
+        }
         self.learn(&request, at, &end);
         if request.closed {
             return;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -193,6 +193,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ColdBudget {
     left: f64,
+    begun_at: Time,
     counted_at: Time,
     /// The least that is saved up before a call is sent: what the budget began below.
     least: f64,
@@ -202,7 +203,7 @@
     /// A budget whose first call comes at a random time: no sooner on average than later ones, and not at
     /// once from all siblings. `draw` is between 0 and 1, and `least_cost` what the lightest calls cost.
     pub fn new(now: Time, draw: f64, least_cost: f64) -> Self {
-        Self { left: draw * least_cost, counted_at: now, least: least_cost }
+        Self { left: draw * least_cost, begun_at: now, counted_at: now, least: least_cost }
     }
 
     /// Whether a call of a class that costs so much may be sent, after earning at a rate for each second.
@@ -213,6 +214,13 @@
         self.left >= class_cost.max(self.least)
     }
 
+    /// Gives back what an attempt was charged that was never sent, unless the server has been restarted since.
+    pub fn give_back(&mut self, sent: Time, cost: f64) {
+        if sent >= self.begun_at {
+            self.left += cost;
+        }
+    }
+
     /// Charges a call that is sent.
     pub fn charge(&mut self, cost: f64) {
         self.left -= cost;
--- a/src/state.rs
+++ b/src/state.rs
@@ -155,6 +155,8 @@
     pub asked: f64,
     /// The attempt out is a breaker's trial.
     pub trial: bool,
+    /// What the budget of a cold server was charged for the attempt out.
+    pub cold_cost: f64,
     /// How long the connection of the attempt out had been idle, as a step of `IdleRisk`.
     pub idle: usize,
     /// The first server that may have run it, and when it was sent there.
--- a/tests/slow_start_small_fleets.rs
+++ b/tests/slow_start_small_fleets.rs
@@ -6,7 +6,8 @@
 
 mod common;
 use common::fleet::{Case, HEAVY, OVERLOAD, assert_kept, case};
-use common::SECOND;
+use common::{MS, Rig, SAFE, SECOND, entry, sent, settings};
+use woadstall::api::*;
 
 /// Seeds of each cell, unless `SLOW_START_SEEDS` asks for more.
 const SEEDS: u64 = 1;
@@ -92,3 +93,40 @@
 fn two_hundred_balancers() {
     assert_kept_with(200);
 }
+
+/// A server that is cold beside a warm one, with a balancer that knows its traffic: calls that the cold one gets
+/// within a second, where each of its attempts ends in an outcome at once.
+fn cold_attempts(outcome: Outcome) -> usize {
+    let settings =
+        Settings { zones: 1, siblings: 1, start_capacity: 0.25, ramp_time: 60 * SECOND, ..settings() };
+    let mut rig = Rig::new(settings, &[entry(0, 0), entry(1, 0)]);
+    for _ in 0..1000 {
+        rig.serve(SAFE, 10 * MS);
+    }
+    let started = Some(rig.now);
+    rig.tell(Event::ListChange(&[ListEntry { started, ..entry(1, 0) }]));
+    let (end, mut attempts) = (rig.now + 4 * SECOND, 0);
+    while rig.now < end {
+        let (id, actions) = rig.demand(SAFE);
+        let server = sent(&actions);
+        rig.now += 10 * MS;
+        if server == Some(1) {
+            attempts += 1;
+            let again = rig.end(id, 0, outcome, 0);
+            if sent(&again) == Some(0) {
+                rig.end(id, 1, Outcome::Ok, 10 * MS);
+            }
+        } else {
+            rig.end(id, 0, Outcome::Ok, 10 * MS);
+        }
+    }
+    attempts
+}
+
+#[test]
+fn an_attempt_that_was_never_sent_gives_its_budget_back() {
+    let (answered, never_sent) = (cold_attempts(Outcome::Ok), cold_attempts(Outcome::Moot));
+    assert!((30..=70).contains(&answered), "{answered} calls were sent");
+    // Nothing has reached the server, so that the next call may be sent there each time.
+    assert!(never_sent > 2 * answered, "{never_sent} attempts that were never sent, {answered} that were");
+}
