--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod chain;
 pub mod fault_injector;
+pub mod fleet;
 pub mod operator;
 pub mod process;
 pub mod streams;
