--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -105,8 +105,8 @@
     }
     tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
-    let server = server::Server::new(config, events, is_ready, counters, budget);
-    let mut serving = tokio::spawn(server.run(listener, told, stopping));
+    let server = server::Server::new(config, events, (is_ready, told), counters, budget);
+    let mut serving = tokio::spawn(server.run(listener, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
     loop {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -65,6 +65,8 @@
     config: Arc<Config>,
     driver: UnboundedSender<Input>,
     ready: watch::Receiver<bool>,
+    /// Whether the first list has been told: before that, nothing is sent on.
+    told: watch::Receiver<bool>,
     counters: Arc<Counters>,
     next_id: AtomicU32,
     next_caller: AtomicU64,
@@ -171,7 +173,7 @@
     pub fn new(
         config: Arc<Config>,
         driver: UnboundedSender<Input>,
-        ready: watch::Receiver<bool>,
+        (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         budget: Arc<Budget>,
     ) -> Self {
@@ -179,6 +181,7 @@
             config,
             driver,
             ready,
+            told,
             counters,
             next_id: AtomicU32::new(0),
             next_caller: AtomicU64::new(0),
@@ -191,14 +194,8 @@
         }
     }
 
-    /// Serves from when the first list is told until told to stop, then for a while longer, and returns when all
-    /// is answered.
-    pub async fn run(
-        self,
-        listener: TcpListener,
-        mut told: watch::Receiver<bool>,
-        mut stopping: watch::Receiver<bool>,
-    ) {
+    /// Serves until told to stop, then for a while longer, and returns when all is answered.
+    pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let looking = tokio::spawn(server.clone().cut_overdue());
         let (close, closing) = watch::channel(false);
@@ -209,12 +206,8 @@
                 sleep(server.go_on()).await;
             }
         };
-        let serving = async {
-            told.wait_for(|told| *told).await.ok();
-            server.accept(&listener, &closing).await;
-        };
         tokio::select! {
-            () = serving => {}
+            () = server.accept(&listener, &closing) => {}
             () = stopped => {}
         }
         let mut rest = None;
@@ -366,8 +359,14 @@
         self.config.names.classes.iter().position(|class| class == in_path)
     }
 
+    /// Waits until the first list is told.
+    async fn first_list(&self) {
+        self.told.clone().wait_for(|told| *told).await.ok();
+    }
+
     async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<Reply> {
         if request.uri().path() == "/healthz" {
+            self.first_list().await;
             return match *self.ready.borrow() {
                 true => status(StatusCode::OK),
                 false => status(StatusCode::SERVICE_UNAVAILABLE),
@@ -411,7 +410,10 @@
             Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
         };
-        if self.refusing.load(Ordering::Relaxed) {
+        let first_deadline = Instant::now() + asked.budget;
+        // Read before it waits, so that its time runs meanwhile.
+        let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
+        if !is_told || self.refusing.load(Ordering::Relaxed) {
             return Ok(self.refuse(asked.class));
         }
         end_to_end(&mut head.headers);
@@ -427,7 +429,7 @@
             held._taken = Some(self.counters.taken());
             lock(seen).whole() + budget
         };
-        let deadline = if whole { has_come() } else { Instant::now() + budget };
+        let deadline = if whole { has_come() } else { first_deadline };
         let caller = line.presence();
         let call = Call { id, request, caller, class, tenant, work, deadline, answer };
         self.driver.send(Input::Called(Box::new(call))).ok();
