--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -7,6 +7,7 @@
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
 use super::handover::{Bans, Shared};
+use super::send_check::budget;
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
@@ -106,6 +107,8 @@
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
+    /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
+    caller_until: Time,
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
@@ -474,6 +477,7 @@
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().rest.is_some();
         let demand = Demand { class: call.class, tenant: call.tenant, time_left, work: call.work, streamed };
+        let caller_until = deadline;
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
             id,
@@ -482,6 +486,7 @@
                 caller: call.caller,
                 class: call.class,
                 deadline,
+                caller_until,
                 whole: watch::Sender::new(None),
                 answer: Some(call.answer),
                 attempts: 0,
@@ -545,7 +550,9 @@
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
         open.attempts += 1;
         let upstream = self.servers.get(&server).copied();
-        let in_time = now < until && begin_by.is_none_or(|end| now < end);
+        let caller_until = open.caller_until;
+        let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
+        let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
         let possible = open.answer.is_some() && allowed && !open.request.body().is_spent();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
@@ -570,7 +577,9 @@
         let tally = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
         let means = self.means(link, address, self.clock.instant(until), tally);
-        let exchange = exchange(request, Means { under_way: mark.clone(), begin_by, caller, ..means });
+        let caller_until = Some(self.clock.instant(caller_until));
+        let means = Means { under_way: mark.clone(), begin_by, caller, caller_until, ..means };
+        let exchange = exchange(request, means);
         tokio::spawn(async move {
             let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
             let exchanged = tokio::select! {
@@ -601,6 +610,7 @@
             tally,
             budget: self.budget.clone(),
             caller: None,
+            caller_until: None,
             under_way: Arc::default(),
         }
     }
--- a/src/net/gate.rs
+++ b/src/net/gate.rs
@@ -4,7 +4,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::SockRef;
 use std::collections::VecDeque;
-use std::io::{self, ErrorKind, IoSlice};
+use std::io::{self, ErrorKind, IoSlice, Read};
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
 use std::pin::Pin;
@@ -19,6 +19,10 @@
 pub const MOST_HEAD: usize = 8 << 10;
 /// Bytes kept of what comes while a request is open.
 const MOST_AHEAD: usize = 2 * MOST_HEAD;
+/// Bytes that may follow a request before its answer, or no further attempt is made for it. A caller sends one
+/// request at a time. Within this, which is less than the kernel takes in of a connection that nobody reads,
+/// the caller's end shows; beyond, it may wait at the caller.
+const MOST_BEHIND: u64 = 48 << 10;
 /// Headers of a request at most, as in hyper.
 const MOST_HEADERS: usize = 100;
 /// A body has to come at this rate, in bytes a second, beyond a first while: half of what the slowest caller makes.
@@ -194,6 +198,19 @@
         Ok(())
     }
 
+    /// Takes in what was read behind a request.
+    fn keep(&mut self, bytes: &[u8]) {
+        let room = MOST_AHEAD.saturating_sub(self.ahead.len());
+        self.ahead.extend_from_slice(&bytes[..room.min(bytes.len())]);
+        self.overrun |= bytes.len() > room;
+        self.take_in(bytes.len());
+    }
+
+    /// Whether more has come behind the present request than a caller that waits for its answer sends.
+    fn overflows(&self) -> bool {
+        self.phase == Phase::Whole && self.came - self.passed > MOST_BEHIND
+    }
+
     fn take_in(&mut self, got: usize) {
         let now = Instant::now();
         self.waited += self.waiting_since.take().map_or(Duration::ZERO, |since| now - since);
@@ -290,7 +307,7 @@
 
     /// The socket as an attempt looks at it.
     pub fn presence(&self) -> Presence {
-        Presence(Arc::downgrade(&self.tcp))
+        Presence { tcp: Arc::downgrade(&self.tcp), seen: Arc::downgrade(&self.seen) }
     }
 
     /// Waits until the caller of a request that is still coming has closed or reset its connection. That shows also
@@ -317,15 +334,56 @@
 
 /// Whether a caller is still there. It does not keep the socket open: an attempt may outlast its caller.
 #[derive(Clone)]
-pub struct Presence(Weak<TcpStream>);
+pub struct Presence {
+    tcp: Weak<TcpStream>,
+    seen: Weak<Mutex<Seen>>,
+}
 
 impl Presence {
     /// Whether the caller has closed or reset its connection, as the kernel knows it now. The runtime hears of that
-    /// at its next look at its sockets only, and reading shows it only behind what has come before.
-    pub fn has_left(&self) -> bool {
-        let Some(tcp) = self.0.upgrade() else { return true };
-        let socket = &mut [PollFd::new(&*tcp, PollFlags::RDHUP)]; // errors and resets are told unasked
-        poll(socket, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok() && !socket[0].revents().is_empty()
+    /// at its next look at its sockets only, and reading shows it only behind what has come before. Its end may wait
+    /// at the caller for room in our buffer: so what follows a request of which `all_has_come` is read here.
+    pub fn has_left(&self, all_has_come: bool) -> bool {
+        let (Some(tcp), Some(seen)) = (self.tcp.upgrade(), self.seen.upgrade()) else { return true };
+        let mut seen = lock(&seen);
+        let follows = all_has_come || seen.phase == Phase::Whole;
+        let mut piece = [0; MOST_HEAD];
+        loop {
+            if seen.ended || seen.overflows() {
+                return true;
+            }
+            match state(&tcp) {
+                State::Ended => return true,
+                State::Quiet => return false,
+                State::Readable if !follows => return false,
+                State::Readable => {}
+            }
+            match (&*SockRef::from(&*tcp)).read(&mut piece) {
+                Ok(got) => seen.keep(&piece[..got]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return true,
+            }
+        }
+    }
+}
+
+/// What the kernel knows of a connection.
+enum State {
+    /// Its peer has closed or reset it.
+    Ended,
+    Readable,
+    Quiet,
+}
+
+fn state(tcp: &TcpStream) -> State {
+    let socket = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are told unasked
+    let told = poll(socket, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+    let events = if told.is_ok() { socket[0].revents() } else { PollFlags::empty() };
+    match events {
+        events if events.is_empty() => State::Quiet,
+        PollFlags::IN => State::Readable,
+        _ => State::Ended,
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,6 +8,7 @@
 mod driver;
 mod gate;
 mod handover;
+mod send_check;
 mod server;
 mod upstream;
 
--- /dev/null
+++ b/src/net/send_check.rs
@@ -0,0 +1,260 @@
+//! What has to hold when bytes of a request leave for an upstream: its caller is still there, and has time left.
+//!
+//! Between the choice of an upstream and the write lie a connect, turns of the event loop and times in which the
+//! process is held up. So both are looked at right before each write: the clock first, as the process may be held
+//! up when it has read that, and then the kernel's state of the caller's connection.
+
+use super::gate::Presence;
+use std::fmt;
+use std::ops::Range;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The header that tells an upstream how long its answer is waited for, as it stands in a head.
+const BUDGET_FIELD: &[u8] = b"\r\nx-budget: ";
+/// The caller's time ran while its request was on its way here, and runs on until the upstream has the last byte.
+/// What an upstream is told is less by this, so that a hold-up has all of the slack.
+const BUDGET_MARGIN: Duration = Duration::from_millis(10);
+/// With less time than this an upstream could only drop the request.
+const LEAST_BUDGET: Duration = Duration::from_millis(5);
+/// A request whose bytes the upstream has not taken within this time of the first is given up: the time that its head
+/// tells is too long by then.
+const MOST_WRITE: Duration = Duration::from_millis(100);
+
+/// What an upstream may be told where its caller has so much time left; `None` if that is hardly any.
+pub fn budget(left: Duration) -> Option<Duration> {
+    left.checked_sub(BUDGET_MARGIN).filter(|budget| *budget >= LEAST_BUDGET)
+}
+
+/// A time as it stands in a head.
+pub fn seconds(time: Duration) -> String {
+    format!("{:.6}", time.as_secs_f64())
+}
+
+/// Why a request is not written, or not to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NotSent {
+    CallerLeft,
+    TooLate,
+}
+
+impl fmt::Display for NotSent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::CallerLeft => "the caller has left",
+            Self::TooLate => "hardly any time is left",
+        })
+    }
+}
+
+impl std::error::Error for NotSent {}
+
+/// Under what an attempt may be written.
+pub struct Conditions {
+    /// Whose request it is, if it is a caller's.
+    pub caller: Option<Presence>,
+    /// When the caller stops waiting, if it is a caller's request.
+    pub caller_until: Option<Instant>,
+    /// How long the answer is waited for.
+    pub until: Instant,
+    /// When it must have begun, or it is never sent.
+    pub begin_by: Option<Instant>,
+    /// The time of its caller runs from its last byte, which is still to come.
+    pub streamed: bool,
+}
+
+impl Conditions {
+    /// Whether the attempt may begin now, and how long it may take as its upstream is told.
+    pub fn may_begin(&self) -> Result<Duration, NotSent> {
+        let budget = self.budget(Instant::now()).ok_or(NotSent::TooLate)?;
+        self.caller_is_there(false)?;
+        Ok(budget)
+    }
+
+    fn budget(&self, now: Instant) -> Option<Duration> {
+        // An attempt that outlives its own limit is given up by that, not here.
+        let left = self.until.saturating_duration_since(now);
+        let of_caller = match self.caller_until {
+            Some(end) => budget(end.saturating_duration_since(now))?,
+            None => left,
+        };
+        self.in_window(now).then_some(left.min(of_caller))
+    }
+
+    fn in_window(&self, now: Instant) -> bool {
+        self.begin_by.is_none_or(|end| now < end)
+    }
+
+    fn caller_is_there(&self, all_has_come: bool) -> Result<(), NotSent> {
+        match &self.caller {
+            Some(caller) if caller.has_left(all_has_come) => Err(NotSent::CallerLeft),
+            _ => Ok(()),
+        }
+    }
+}
+
+/// A request that is being written.
+pub struct Sending {
+    conditions: Conditions,
+    /// Is set once a byte may have been written.
+    under_way: Arc<AtomicBool>,
+    /// When its first write was tried.
+    begun: Option<Instant>,
+    /// Bytes written.
+    written: usize,
+    budget: Option<BudgetField>,
+    not_sent: Option<NotSent>,
+}
+
+/// Where the time for an upstream stands in a head, and what it says.
+struct BudgetField {
+    place: Range<usize>,
+    text: Vec<u8>,
+}
+
+impl Sending {
+    pub fn new(conditions: Conditions, under_way: Arc<AtomicBool>) -> Self {
+        Self { conditions, under_way, begun: None, written: 0, budget: None, not_sent: None }
+    }
+
+    /// Why it was not written, or not to its end.
+    pub fn not_sent(&self) -> Option<NotSent> {
+        self.not_sent
+    }
+
+    /// Notes that so many bytes have left.
+    pub fn wrote(&mut self, bytes: usize) {
+        self.written += bytes;
+    }
+
+    /// Asked right before each write. Tells what is written in place of the `first` bytes that are offered, if not
+    /// those: the time for the upstream as it is now. `last` says that the last byte of the request is among them.
+    pub fn before_write(&mut self, first: &[u8], last: bool) -> Result<Option<Vec<u8>>, NotSent> {
+        let checked = match self.written {
+            0 => self.before_first(first, last),
+            _ => self.before_more(last),
+        };
+        if let Err(not_sent) = checked {
+            self.not_sent = Some(not_sent);
+            return Err(not_sent);
+        }
+        self.under_way.store(true, Ordering::Relaxed);
+        Ok(self.with_budget(first))
+    }
+
+    fn before_first(&mut self, first: &[u8], last: bool) -> Result<(), NotSent> {
+        let now = Instant::now();
+        let budget = self.conditions.budget(now).ok_or(NotSent::TooLate)?;
+        self.begun = Some(now);
+        self.budget = BudgetField::find(first, budget);
+        self.conditions.caller_is_there(last)
+    }
+
+    /// An upstream begins with the last byte: a request that may not begin any more must not come to its end.
+    fn before_more(&self, last: bool) -> Result<(), NotSent> {
+        let now = Instant::now();
+        let is_old = self.begun.is_some_and(|begun| now > begun + MOST_WRITE);
+        if !self.conditions.in_window(now) || is_old && !self.conditions.streamed {
+            return Err(NotSent::TooLate);
+        }
+        self.conditions.caller_is_there(last)
+    }
+
+    /// The bytes that are offered next, with the time for the upstream where it stands in them.
+    fn with_budget(&self, first: &[u8]) -> Option<Vec<u8>> {
+        let field = self.budget.as_ref().filter(|field| self.written < field.place.end)?;
+        let mut bytes = first.to_vec();
+        for (at, digit) in field.place.clone().zip(&field.text) {
+            let place = at.checked_sub(self.written).and_then(|at| bytes.get_mut(at));
+            place.into_iter().for_each(|byte| *byte = *digit);
+        }
+        Some(bytes)
+    }
+}
+
+impl BudgetField {
+    /// The field in a head, to say this time in as many digits as stand there.
+    fn find(head: &[u8], budget: Duration) -> Option<Self> {
+        let start = head.windows(BUDGET_FIELD.len()).position(|part| part == BUDGET_FIELD)?;
+        let start = start + BUDGET_FIELD.len();
+        let length = head[start..].iter().position(|byte| *byte == b'\r')?;
+        let mut text = seconds(budget).into_bytes();
+        text.resize(length, b'0'); // time only runs out, and zeros behind the point change nothing
+        Some(Self { place: start..start + length, text })
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    const HEAD: &[u8] = b"GET /look HTTP/1.1\r\nx-budget: 10.000100\r\nhost: b\r\n\r\n";
+
+    fn sending(left: Duration) -> Sending {
+        let until = Instant::now() + left;
+        let conditions =
+            Conditions { caller: None, caller_until: Some(until), until, begin_by: None, streamed: false };
+        Sending::new(conditions, Arc::default())
+    }
+
+    fn told(head: &[u8]) -> f64 {
+        let text = String::from_utf8(head.to_vec()).unwrap();
+        let budget = text.split("x-budget: ").nth(1).unwrap().split('\r').next().unwrap();
+        assert_eq!(budget.len(), "10.000100".len());
+        budget.parse().unwrap()
+    }
+
+    /// Guards the time that an upstream is told against all that lies between the choice and the write.
+    #[test]
+    fn an_upstream_is_told_the_time_at_the_write() {
+        let mut sending = sending(Duration::from_secs(9));
+        let head = sending.before_write(HEAD, true).unwrap().expect("a head of its own");
+        assert_eq!(head.len(), HEAD.len());
+        assert!(told(&head) < 9.0 && told(&head) > 8.0, "{}", told(&head));
+        assert!(sending.under_way.load(Ordering::Relaxed));
+    }
+
+    /// Guards the same where a head leaves in pieces.
+    #[test]
+    fn a_head_in_pieces_tells_one_time() {
+        let mut sending = sending(Duration::from_secs(9));
+        let mut sent = Vec::new();
+        while sent.len() < HEAD.len() {
+            let offered = &HEAD[sent.len()..];
+            let bytes = sending.before_write(offered, true).unwrap().unwrap_or(offered.to_vec());
+            sent.push(bytes[0]);
+            sending.wrote(1);
+        }
+        assert!(told(&sent) < 9.0 && told(&sent) > 8.0, "{}", told(&sent));
+    }
+
+    /// Guards upstreams against requests that nobody could use the answer of.
+    #[test]
+    fn with_hardly_any_time_left_nothing_is_written() {
+        let mut sending = sending(BUDGET_MARGIN + LEAST_BUDGET - Duration::from_millis(1));
+        assert_eq!(sending.before_write(HEAD, true), Err(NotSent::TooLate));
+        assert_eq!(sending.not_sent(), Some(NotSent::TooLate));
+        assert!(!sending.under_way.load(Ordering::Relaxed));
+    }
+
+    /// Guards callers of fast upstreams, whose attempts have short limits: those are for whoever waits for the answer.
+    #[test]
+    fn an_attempt_beyond_its_own_limit_is_written() {
+        let mut sending = sending(Duration::from_secs(9));
+        sending.conditions.until = Instant::now();
+        assert!(sending.before_write(HEAD, true).is_ok());
+    }
+
+    /// Guards the time that an upstream was told: it would begin with the last byte, long after that.
+    #[test]
+    fn a_request_that_takes_long_to_write_is_not_written_to_its_end() {
+        let mut sending = sending(Duration::from_secs(9));
+        sending.before_write(HEAD, false).unwrap();
+        sending.wrote(HEAD.len());
+        assert_eq!(sending.before_write(b"b", false), Ok(None));
+        sending.begun = Instant::now().checked_sub(2 * MOST_WRITE);
+        assert_eq!(sending.before_write(b"b", true), Err(NotSent::TooLate));
+    }
+}
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -2,6 +2,7 @@
 
 use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Outgoing, Payload, Room, gather};
 use super::gate::{Presence, lock, poll_io};
+use super::send_check::{Conditions, NotSent, Sending, seconds};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -80,7 +81,9 @@
     pub budget: Arc<Budget>,
     /// Whose request it is, if it is a caller's.
     pub caller: Option<Presence>,
-    /// Is set when the connection is there, before the first byte is written.
+    /// When the caller stops waiting, if it is a caller's request.
+    pub caller_until: Option<Instant>,
+    /// Is set right before the first byte is written.
     pub under_way: Arc<AtomicBool>,
 }
 
@@ -123,26 +126,39 @@
             }
         }
     };
-    if is_late() {
-        return Outcome::Moot.into();
-    }
-    let left = means.until.saturating_duration_since(Instant::now());
-    let left = HeaderValue::from_str(&format!("{:.6}", left.as_secs_f64()));
-    request.headers_mut().insert("x-budget", left.unwrap_or(HeaderValue::from_static("0")));
-    let caller_left = || means.caller.as_ref().is_some_and(Presence::has_left);
-    if caller_left() {
-        let connection = Some(connection);
-        return Exchanged::CallerLeft(Finished { outcome: Outcome::Moot, response: None, connection });
-    }
-    means.under_way.store(true, Ordering::Relaxed);
+    let rest = request.body().rest.clone();
+    let conditions = Conditions {
+        caller: means.caller.clone(),
+        caller_until: means.caller_until,
+        until: means.until,
+        begin_by: means.begin_by,
+        streamed: rest.is_some(),
+    };
+    let never_sent = Finished { outcome: Outcome::Moot, response: None, connection: None };
+    match conditions.may_begin() {
+        Ok(budget) => {
+            let budget = HeaderValue::from_str(&seconds(budget));
+            request.headers_mut().insert("x-budget", budget.unwrap_or(HeaderValue::from_static("0")));
+        }
+        Err(reason) => {
+            return not_sent(reason, Finished { connection: Some(connection), ..never_sent });
+        }
+    }
     let progress = connection.progress.clone();
     progress.body_taken.store(false, Ordering::Relaxed);
     progress.written.store(false, Ordering::Relaxed);
     *lock(&progress.tally) = means.tally;
+    *lock(&progress.sending) = Some(Sending::new(conditions, means.under_way.clone()));
     let taken = connection.progress.clone();
     let taken: Taken = Box::new(move || taken.body_taken.store(true, Ordering::Relaxed));
-    let rest = request.body().rest.clone();
+    let caller_left = || means.caller.as_ref().is_some_and(|caller| caller.has_left(false));
     let broken = || -> Exchanged {
+        if let Some(reason) = lock(&progress.sending).as_ref().and_then(Sending::not_sent) {
+            let begun = means.under_way.load(Ordering::Relaxed);
+            let outcome =
+                if begun && reason == NotSent::CallerLeft { Outcome::Cancelled } else { Outcome::Moot };
+            return not_sent(reason, outcome.into());
+        }
         match progress.written.load(Ordering::Relaxed) {
             // Its caller broke the request off, which says nothing of the upstream.
             _ if rest.as_ref().is_some_and(|rest| rest.is_broken()) => match caller_left() {
@@ -191,6 +207,14 @@
     }
 }
 
+/// The end of an attempt that was not written, or not to its end, so that it cannot have run.
+fn not_sent(reason: NotSent, finished: Finished) -> Exchanged {
+    match reason {
+        NotSent::CallerLeft => Exchanged::CallerLeft(finished),
+        NotSent::TooLate => Exchanged::Ended(finished),
+    }
+}
+
 /// Whether a connection failed for lack of our own descriptors, ports or memory.
 pub fn is_local(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
@@ -254,10 +278,33 @@
     written: AtomicBool,
     /// Counts it once that is so.
     tally: Mutex<Option<Arc<AtomicU64>>>,
+    /// What has to hold until it is written.
+    sending: Mutex<Option<Sending>>,
 }
 
 impl Progress {
+    /// Writes more of a request, unless that must not leave any more.
+    fn write(&self, tcp: &TcpStream, parts: &[IoSlice<'_>]) -> io::Result<usize> {
+        let mut sending = lock(&self.sending);
+        let (Some(sending), Some(first)) = (sending.as_mut(), parts.first()) else {
+            return tcp.try_write_vectored(parts);
+        };
+        let last = self.body_taken.load(Ordering::Relaxed);
+        let head = sending.before_write(first, last).map_err(io::Error::other)?;
+        let written = match &head {
+            Some(head) => {
+                let mut parts = parts.to_vec();
+                parts[0] = IoSlice::new(head);
+                tcp.try_write_vectored(&parts)
+            }
+            None => tcp.try_write_vectored(parts),
+        }?;
+        sending.wrote(written);
+        Ok(written)
+    }
+
     fn is_written(&self) {
+        lock(&self.sending).take();
         self.written.store(true, Ordering::Relaxed);
         if let Some(tally) = lock(&self.tally).take() {
             tally.fetch_add(1, Ordering::Relaxed);
@@ -297,8 +344,8 @@
         cx: &mut Context<'_>,
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let done =
-            ready!(poll_io(&self.tcp, |tcp| tcp.poll_write_ready(cx), |tcp| tcp.try_write_vectored(parts)))?;
+        let write = |tcp: &TcpStream| self.progress.write(tcp, parts);
+        let done = ready!(poll_io(&self.tcp, |tcp| tcp.poll_write_ready(cx), write))?;
         // All that hyper had is written, and it had all.
         let offered: usize = parts.iter().map(|part| part.len()).sum();
         if done == offered && self.progress.body_taken.load(Ordering::Relaxed) {
@@ -393,11 +440,27 @@
 
 #[cfg(test)]
 mod tests {
+    use super::super::gate::{Gate, Line};
     use super::*;
     use std::io::{Read, Write};
     use std::net::TcpListener;
     use tokio::io::AsyncWriteExt;
 
+    fn means(address: SocketAddr, link: Link) -> Means {
+        Means {
+            link,
+            address,
+            connect_timeout: Duration::from_secs(30),
+            until: Instant::now() + Duration::from_secs(30),
+            begin_by: None,
+            tally: None,
+            budget: Budget::new(1 << 20),
+            caller: None,
+            caller_until: None,
+            under_way: Arc::default(),
+        }
+    }
+
     /// A connection that has had an answer, and its peer.
     async fn used(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
         let address = listener.local_addr().unwrap();
@@ -413,17 +476,7 @@
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
             stream
         });
-        let means = Means {
-            link: Link::New(Slot::take(&Arc::default())),
-            address,
-            connect_timeout: Duration::from_secs(30),
-            until: Instant::now() + Duration::from_secs(30),
-            begin_by: None,
-            tally: None,
-            budget: Budget::new(1 << 20),
-            caller: None,
-            under_way: Arc::default(),
-        };
+        let means = means(address, Link::New(Slot::take(&Arc::default())));
         let Exchanged::Ended(finished) = exchange(Request::new(Payload::default()), means).await else {
             panic!("the answer is whole");
         };
@@ -444,6 +497,89 @@
         }
     }
 
+    /// What becomes of an attempt on a used connection where the process does this between the choice and the write.
+    async fn held_up(caller: Option<Presence>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (connection, mut peer) = used(&listener).await;
+        let under_way = Arc::new(AtomicBool::new(false));
+        let until = Instant::now() + left;
+        let means = Means {
+            link: Link::Idle(connection),
+            caller,
+            caller_until: Some(until),
+            until,
+            under_way: under_way.clone(),
+            ..means(listener.local_addr().unwrap(), Link::New(Slot::take(&Arc::default())))
+        };
+        let exchanged = tokio::spawn(exchange(Request::new(Payload::default()), means));
+        tokio::spawn(async move { by() }); // its turn is after that of the exchange, and before that of the connection
+        let got = tokio::task::spawn_blocking(move || {
+            peer.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
+            let mut got = vec![0; 1 << 10];
+            let length = peer.read(&mut got).unwrap();
+            String::from_utf8(got[..length].to_vec()).unwrap()
+        });
+        let got = got.await.unwrap();
+        exchanged.abort();
+        let exchanged = exchanged.await.ok();
+        Held { got, exchanged, under_way: under_way.load(Ordering::Relaxed) }
+    }
+
+    struct Held {
+        /// What the upstream got.
+        got: String,
+        exchanged: Option<Exchanged>,
+        under_way: bool,
+    }
+
+    /// A caller's end of a connection, and what an attempt for it is given.
+    async fn caller() -> (std::net::TcpStream, Line) {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let caller = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let taken = listener.accept().unwrap().0;
+        taken.set_nonblocking(true).unwrap();
+        (caller, Gate::new(TcpStream::from_std(taken).unwrap()).1)
+    }
+
+    /// Guards upstreams against work that nobody waits for: a late turn of the event loop lies between the choice and
+    /// the write.
+    #[tokio::test]
+    async fn a_caller_that_leaves_before_the_write_gets_no_attempt() {
+        for reset in [false, true] {
+            let (caller, line) = caller().await;
+            let held = held_up(Some(line.presence()), Duration::from_secs(30), move || {
+                if reset {
+                    SockRef::from(&caller).set_linger(Some(Duration::ZERO)).unwrap();
+                }
+                drop(caller);
+            });
+            let held = held.await;
+            assert_eq!(held.got, "", "reset: {reset}");
+            assert!(!held.under_way, "it ends as never sent");
+            assert!(matches!(
+                held.exchanged,
+                Some(Exchanged::CallerLeft(Finished { outcome: Outcome::Moot, .. }))
+            ));
+        }
+    }
+
+    /// Guards the time that an upstream is told against the same.
+    #[tokio::test]
+    async fn an_upstream_is_told_what_is_left_at_the_write() {
+        const HELD_UP: Duration = Duration::from_millis(300);
+        let hold_up = || std::thread::sleep(HELD_UP);
+        let held = held_up(None, Duration::from_secs(20), hold_up).await;
+        let told = held.got.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
+        let told = Duration::from_secs_f64(told.parse().unwrap());
+        assert!(told <= Duration::from_secs(20) - HELD_UP, "{told:?}");
+        assert!(held.under_way);
+
+        let held = held_up(None, HELD_UP, hold_up).await;
+        assert_eq!(held.got, "", "nothing is left");
+        assert!(!held.under_way);
+        assert!(matches!(held.exchanged, Some(Exchanged::Ended(Finished { outcome: Outcome::Moot, .. }))));
+    }
+
     /// Guards rule 2: only a request whose last byte was not written is known not to have run.
     #[tokio::test]
     async fn written_is_what_has_left_to_the_last_byte() {
