--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,13 +1,15 @@
 //! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
 
-use super::admin::Verdict;
 use super::body::{Budget, Payload, Reply, Rest, STALL};
+use super::clock::{Clock, ClockReading};
 use super::config::Config;
 use super::counters::{self, Counters};
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
-use super::handover::{Bans, Shared};
+use super::orders::{OfflineList, Order, OrderRequest, Verdict};
 use super::send_check::budget;
+use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
+use super::start_times::{ListOrigin, StartTimes};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
@@ -17,7 +19,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
@@ -62,7 +64,9 @@
     /// Lists have to be asked for at another address.
     ListMoved,
     /// An operator takes an upstream out, or puts it back.
-    Ordered { uid: String, offline: bool, answer: oneshot::Sender<Verdict> },
+    Ordered(OrderRequest),
+    /// The folder that processes share was looked at, or an order was carried out there.
+    Folder(FolderEvent),
 }
 
 /// A caller's request.
@@ -161,12 +165,14 @@
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
     /// What is shared with the process before or after this one, and the upstreams taken out by hand.
-    shared: Shared,
-    bans: Bans,
+    shared: Option<SharedFolder>,
+    offline: OfflineList,
     /// Another process of this balancer serves beside this one.
     overlapping: bool,
     /// The names of upstreams that were listed, the latest last.
     former: VecDeque<String>,
+    /// When upstreams started that are listed, or were lately.
+    start_times: StartTimes,
     requests: HashMap<RequestId, Open>,
     /// The upstreams that are listed, and the number of the next new one: none is given out twice.
     ids: HashMap<String, ServerId>,
@@ -189,32 +195,6 @@
     in_service: bool,
 }
 
-/// The module's clock: Unix time, that an upstream's start can be told in, but never set back.
-#[derive(Clone, Copy)]
-struct Clock {
-    start: Instant,
-    start_unix: Time,
-}
-
-impl Clock {
-    fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_unix: unix.as_nanos() as Time }
-    }
-
-    fn now(&self) -> Time {
-        self.time(Instant::now())
-    }
-
-    fn time(&self, at: Instant) -> Time {
-        self.start_unix + at.saturating_duration_since(self.start).as_nanos() as Time
-    }
-
-    fn instant(&self, time: Time) -> Instant {
-        self.start + Duration::from_nanos(time.saturating_sub(self.start_unix))
-    }
-}
-
 impl Driver {
     /// A driver that knows the configured list. `ready` turns true once there is an upstream to send to.
     pub fn new(
@@ -223,12 +203,13 @@
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, budget): (Arc<Counters>, Arc<Budget>),
-        shared: Shared,
+        shared: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
         let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
         let idle = Idle::new(Duration::from_nanos(config.settings.conn_idle), config.limits.upstreams);
+        let (shared, folder_state) = shared.unzip();
         let mut driver = Self {
             balancer,
             clock,
@@ -237,9 +218,10 @@
             ready,
             counters,
             shared,
-            bans: Bans::new(),
+            offline: OfflineList::new(),
             overlapping: false,
             former: VecDeque::new(),
+            start_times: StartTimes::default(),
             requests: HashMap::new(),
             ids: HashMap::new(),
             next_server: 0,
@@ -252,11 +234,13 @@
             pending: VecDeque::new(),
             config,
         };
-        driver.follow(); // before anything can be sent
+        if let Some(state) = folder_state {
+            driver.on_folder_state(state); // before anything can be sent
+        }
         let known = Listing { all: true, ..driver.config.known.clone() };
-        driver.on_listed(known);
+        driver.on_listed(known, ListOrigin::Configuration);
         driver.set_timer(SWEEP_EVERY, Timer::Sweep);
-        if driver.config.shares() {
+        if driver.shared.is_some() {
             driver.set_timer(FOLLOW_EVERY, Timer::Follow);
         }
         Ok(driver)
@@ -290,12 +274,11 @@
             Input::Ended(id, number, finished) => self.on_ended(id, number, finished),
             Input::Probed(server, finished) => self.on_probed(server, finished),
             Input::DescriptorsShort => self.idle.close_all(),
-            Input::Listed(listing) => self.on_listed(listing),
+            Input::Listed(listing) => self.on_listed(listing, ListOrigin::Discovery),
             Input::ListFailed => self.tell(Event::ListFailed),
             Input::ListMoved => self.tell(Event::ListMoved),
-            Input::Ordered { uid, offline, answer } => {
-                answer.send(self.on_ordered(&uid, offline)).ok(); // one that left has its order all the same
-            }
+            Input::Ordered(request) => self.on_ordered(request),
+            Input::Folder(event) => self.on_folder(event),
         }
     }
 
@@ -313,10 +296,12 @@
                 Timer::Module(token) => self.tell(Event::Timer(token)),
                 Timer::Sweep => {
                     self.idle.sweep();
+                    self.start_times.learn_clocks(self.clock.read());
                     self.set_timer(SWEEP_EVERY, Timer::Sweep);
                 }
                 Timer::Follow => {
-                    self.follow();
+                    self.shared.iter_mut().for_each(SharedFolder::check);
+                    self.show_hosts();
                     self.set_timer(FOLLOW_EVERY, Timer::Follow);
                 }
             }
@@ -335,12 +320,29 @@
 
     // ---- Operators ----
 
-    /// Takes over what operators told another process, and shows them how many upstreams are avoided.
-    fn follow(&mut self) {
-        if let Some(bans) = self.shared.changed() {
-            self.enforce(bans);
+    fn on_folder(&mut self, event: FolderEvent) {
+        match event {
+            FolderEvent::Checked(state) => {
+                self.shared.iter_mut().for_each(SharedFolder::checked);
+                self.on_folder_state(state);
+            }
+            FolderEvent::Kept(request, offline) => {
+                self.enforce(offline);
+                self.on_kept(&request.order);
+                request.answer.send(Verdict::Done).ok(); // one that left has its order all the same
+            }
+            FolderEvent::NotKept(request) => {
+                request.answer.send(Verdict::NotKept).ok();
+            }
+        }
+    }
+
+    /// Takes over what operators told another process, and whether one is there.
+    fn on_folder_state(&mut self, state: FolderState) {
+        let FolderState { offline, overlapping } = state;
+        if offline != self.offline {
+            self.enforce(offline);
         }
-        let overlapping = self.shared.overlaps();
         if overlapping != self.overlapping {
             // The descriptors are for both.
             let most = self.config.limits.upstreams;
@@ -356,40 +358,56 @@
         self.counters.set_hosts(self.servers.len(), self.balancer.avoided());
     }
 
-    fn on_ordered(&mut self, uid: &str, offline: bool) -> Verdict {
-        let listed = self.ids.contains_key(uid) || self.former.iter().any(|former| former == uid);
-        if !listed && !self.bans.contains(uid) {
-            return Verdict::Unknown;
-        }
-        match self.shared.change(uid, offline, &self.bans) {
-            Ok(bans) => self.enforce(bans),
-            Err(error) => {
-                super::log(format_args!("an order about upstream {uid} cannot be kept: {error}"));
-                return Verdict::NotKept;
-            }
-        }
-        self.follow();
-        super::log(format_args!("upstream {uid} is {} by hand", if offline { "out" } else { "back" }));
-        Verdict::Done
+    fn on_ordered(&mut self, request: OrderRequest) {
+        let verdict = match &self.shared {
+            _ if !self.was_listed(&request.order.uid) => Verdict::Unknown,
+            Some(shared) => return shared.keep(request),
+            None => Verdict::NotKept,
+        };
+        request.answer.send(verdict).ok();
+    }
+
+    /// Whether an upstream is or was listed, here or in a process before.
+    fn was_listed(&self, uid: &str) -> bool {
+        let is_listed = self.ids.get(uid).is_some_and(|server| self.servers.contains_key(server));
+        is_listed || self.offline.contains(uid) || self.former.iter().any(|former| former == uid)
+    }
+
+    fn on_kept(&mut self, order: &Order) {
+        self.show_hosts();
+        let uid = &order.uid;
+        super::log(format_args!("upstream {uid} is {} by hand", if order.offline { "out" } else { "back" }));
     }
 
-    fn enforce(&mut self, bans: Bans) {
-        let former = std::mem::replace(&mut self.bans, bans.clone());
-        for uid in bans.difference(&former) {
+    fn enforce(&mut self, offline: OfflineList) {
+        let before = std::mem::replace(&mut self.offline, offline.clone());
+        for uid in offline.difference(&before) {
             let server = self.id(uid);
             self.take_back(server);
             self.tell(Event::Offline(server));
         }
-        for uid in former.difference(&bans) {
+        for uid in before.difference(&offline) {
             let server = self.id(uid);
             self.tell(Event::Online(server));
+            self.remember_former(uid, server);
+        }
+    }
+
+    /// An order outlives the entry of its upstream on the list, and the name outlives the order.
+    fn remember_former(&mut self, uid: &str, server: ServerId) {
+        let is_listed = self.servers.contains_key(&server);
+        if !is_listed && !self.former.iter().any(|former| former == uid) {
+            self.former.push_back(uid.to_owned());
         }
     }
 
     // ---- Discovery ----
 
-    fn on_listed(&mut self, listing: Listing) {
-        let entries: Vec<ListEntry> = listing.targets.iter().map(|target| self.entry(target)).collect();
+    fn on_listed(&mut self, listing: Listing, origin: ListOrigin) {
+        let reading = self.clock.read();
+        self.start_times.learn_clocks(reading);
+        let entry = |target| self.entry(target, origin, reading);
+        let entries: Vec<ListEntry> = listing.targets.iter().map(entry).collect();
         if listing.all {
             self.tell(Event::List(&entries));
         } else if !entries.is_empty() {
@@ -411,7 +429,7 @@
         };
         let (named, gone) = (names(false), names(true));
         let (servers, idle, former) = (&mut self.servers, &mut self.idle, &mut self.former);
-        let bans = &self.bans;
+        let offline = &self.offline;
         let mut left = Vec::new();
         self.ids.retain(|uid, server| {
             let stays = !gone.contains(uid.as_str()) && (!listing.all || named.contains(uid.as_str()));
@@ -420,11 +438,22 @@
                 former.push_back(uid.clone());
                 left.push(*server);
             }
-            stays || bans.contains(uid) // what is out by hand is so when it is listed again
+            stays || offline.contains(uid) // what is out by hand is so when it is listed again
         });
         left.into_iter().for_each(|server| self.take_back(server));
         let former = &mut self.former;
         former.drain(..former.len().saturating_sub(MOST_FORMER));
+        self.forget_starts();
+    }
+
+    /// Forgets when the upstreams started whose names are forgotten.
+    fn forget_starts(&mut self) {
+        if self.start_times.len() <= self.ids.len() + MOST_FORMER {
+            return;
+        }
+        let former: HashSet<&str> = self.former.iter().map(String::as_str).collect();
+        let ids = &self.ids;
+        self.start_times.retain(|uid| ids.contains_key(uid) || former.contains(uid));
     }
 
     /// Withdraws the attempts that still wait for a connection to an upstream: once it is there, they would be
@@ -441,7 +470,7 @@
         })
     }
 
-    fn entry(&mut self, target: &Target) -> ListEntry {
+    fn entry(&mut self, target: &Target, origin: ListOrigin, reading: ClockReading) -> ListEntry {
         let server = self.id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
@@ -455,6 +484,7 @@
             self.take_back(server);
         }
         self.servers.insert(server, upstream);
+        let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
         let zone = self.config.names.zones.iter().position(|zone| *zone == target.az);
         ListEntry {
             server,
@@ -466,7 +496,7 @@
                 State::Terminated => Lifecycle::Gone,
             },
             size: target.capacity_hint,
-            started: (target.boot_ms > 0).then(|| target.boot_ms.saturating_mul(1_000_000)),
+            started,
         }
     }
 
@@ -576,10 +606,18 @@
         let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
         let tally = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
+        let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
         let means = self.means(link, address, self.clock.instant(until), tally);
+        let held_up = means.held_up.clone();
         let caller_until = Some(self.clock.instant(caller_until));
-        let means = Means { under_way: mark.clone(), begin_by, caller, caller_until, ..means };
+        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, caller_until, ..means };
         let exchange = exchange(request, means);
+        let expiry = async move {
+            expiry.await;
+            if let Some(deadline) = deadline.filter(|_| held_up.load(Ordering::Relaxed)) {
+                sleep_until(deadline).await;
+            }
+        };
         tokio::spawn(async move {
             let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
             let exchanged = tokio::select! {
@@ -606,6 +644,8 @@
             address,
             connect_timeout: self.config.names.connect_timeout,
             until,
+            deadline: None,
+            held_up: Arc::default(),
             begin_by: None,
             tally,
             budget: self.budget.clone(),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,17 +2,30 @@
 
 mod admin;
 mod body;
+mod clock;
+mod clock_offsets;
+mod closing;
 pub mod config;
+mod connect;
 mod counters;
 mod discovery;
 mod driver;
+mod durable_file;
 mod gate;
-mod handover;
+mod offline_endpoints;
+mod orders;
+mod panic;
+mod process_handover;
 mod send_check;
 mod server;
+mod shared_folder;
+mod start_times;
+pub mod transient;
 mod upstream;
 
 use config::Config;
+use driver::Input;
+use shared_folder::{FolderState, SharedFolder};
 use std::fmt;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -21,12 +34,15 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
+use transient::retry_blocking;
 
 /// Part of the memory that bodies may fill, as one over this.
 const BODIES: usize = 4;
+/// Connections that wait to be taken, at most.
+const BACKLOG: u32 = 1024;
 /// Lines written in a second at most: in trouble, what they tell of happens many times a second.
 const LOG_LINES: u32 = 20;
 
@@ -48,8 +64,8 @@
 
 /// Takes over a new configuration: where discovery is. All else needs a new start. One that is not sound
 /// changes nothing.
-fn reload(discovery: &watch::Sender<SocketAddr>) {
-    match Config::load_again() {
+async fn reload(discovery: watch::Sender<SocketAddr>) {
+    match Config::load_again().await {
         Ok(config) => {
             log(format_args!("configuration read again, discovery at {}", config.discovery));
             discovery.send_replace(config.discovery);
@@ -68,7 +84,28 @@
     // SAFETY: it is open, and the platform handed it over for this use alone; it is taken once, at the start.
     let listener = unsafe { std::net::TcpListener::from_raw_fd(fd) };
     listener.set_nonblocking(true)?;
-    TcpListener::from_std(listener)
+    retry_blocking(|| TcpListener::from_std(listener.try_clone()?))
+}
+
+/// Binds where callers connect.
+fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+/// Opens the folder that is shared with the process before and after this one.
+fn open_shared_folder(
+    config: &Config,
+    driver: mpsc::UnboundedSender<Input>,
+) -> Result<(SharedFolder, FolderState), String> {
+    let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let name = format!("{}-{:x}", std::process::id(), config.seed);
+    let report = move |event| {
+        driver.send(Input::Folder(event)).ok(); // the driver ends only with the program
+    };
+    SharedFolder::open(folder, &name, report).map_err(|error| format!("shared folder: {error}"))
 }
 
 /// Serves until a signal to stop, and then until all that was taken is answered.
@@ -79,8 +116,7 @@
     let mut hup = signal(SignalKind::hangup()).map_err(|e| failed("SIGHUP", e))?;
     let listener = match config.listen_fd {
         Some(fd) => inherited(fd).map_err(|error| failed(&format!("`LB_LISTEN_FD` {fd}"), error))?,
-        None => TcpListener::bind(config.listen)
-            .await
+        None => retry_blocking(|| bind(config.listen))
             .map_err(|error| failed(&format!("`listen` {}", config.listen), error))?,
     };
     let address = listener.local_addr().map_err(|error| failed("`listen`", error))?;
@@ -95,8 +131,7 @@
     let (tell, told) = watch::channel(false);
 
     let counters = Arc::new(counters::Counters::new(&config.names.classes));
-    let folder = std::env::var_os("TMPDIR").filter(|_| config.shares()).map(PathBuf::from);
-    let shared = handover::Shared::new(folder, &format!("{}-{:x}", std::process::id(), config.seed));
+    let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let budget = body::Budget::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), budget.clone());
     let driver = driver::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
@@ -104,18 +139,24 @@
         let (counters, ready, driver) = (counters.clone(), is_ready.clone(), events.clone());
         admin::open(address, admin::Door { counters, ready, driver })?;
     }
-    tokio::spawn(driver.run(inbox));
+    let mut driving = tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
     let server = server::Server::new(config, events, (is_ready, told), counters, budget);
     let mut serving = tokio::spawn(server.run(listener, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
+    let mut outcome = Ok(());
     loop {
         tokio::select! {
-            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")),
+            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")).and(outcome),
+            // What is open is answered as failed, and so is what comes until the server has stopped.
+            Err(error) = &mut driving, if outcome.is_ok() => {
+                outcome = Err(format!("the driver stopped: {error}"));
+                stop.send_replace(true);
+            }
             _ = term.recv() => { stop.send_replace(true); }
             _ = int.recv() => { stop.send_replace(true); }
-            _ = hup.recv() => reload(&discovery),
+            _ = hup.recv() => drop(tokio::spawn(reload(discovery.clone()))),
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,10 @@
 #![allow(dead_code)]
 
 pub mod chain;
+pub mod fault_injector;
+pub mod operator;
 pub mod process;
+pub mod wall_clock;
 
 use woadstall::Balancer;
 use woadstall::api::*;
