--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -8,6 +8,7 @@
 use super::gate::Presence;
 use super::minimum_rate::IDLE_TIMEOUT;
 use super::orders::{OfflineList, Order, OrderRequest, Verdict};
+use super::send_check::budget;
 use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use super::start_times::{ListOrigin, StartTimes};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
@@ -111,6 +112,8 @@
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
+    /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
+    caller_until: Time,
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
@@ -505,6 +508,7 @@
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().rest.is_some();
         let demand = Demand { class: call.class, tenant: call.tenant, time_left, work: call.work, streamed };
+        let caller_until = deadline;
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
             id,
@@ -513,6 +517,7 @@
                 caller: call.caller,
                 class: call.class,
                 deadline,
+                caller_until,
                 whole: watch::Sender::new(None),
                 answer: Some(call.answer),
                 attempts: 0,
@@ -576,7 +581,9 @@
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
         open.attempts += 1;
         let upstream = self.servers.get(&server).copied();
-        let in_time = now < until && begin_by.is_none_or(|end| now < end);
+        let caller_until = open.caller_until;
+        let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
+        let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
         let possible = open.answer.is_some() && allowed && !open.request.body().is_spent();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
@@ -603,7 +610,8 @@
         let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
         let means = self.means(link, address, self.clock.instant(until), tally);
         let held_up = means.held_up.clone();
-        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, ..means };
+        let caller_until = Some(self.clock.instant(caller_until));
+        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, caller_until, ..means };
         let exchange = exchange(request, means);
         let expiry = async move {
             expiry.await;
@@ -643,6 +651,7 @@
             tally,
             budget: self.budget.clone(),
             caller: None,
+            caller_until: None,
             under_way: Arc::default(),
         }
     }
