--- a/src/policy.rs
+++ b/src/policy.rs
@@ -5,6 +5,7 @@
 //! source, and the condition under which each exception acts.
 
 use crate::api::*;
+use crate::slow_start::{AnsweredWork, ColdBudget, HomeShare};
 use crate::state::{Asking, Breaker, IdleRisk, Latency, Pool, Recent, Refusals, Request, Server, Shedding};
 use std::collections::{HashMap, HashSet};
 
@@ -135,8 +136,8 @@
     /// Time to an answer for each call that the server held.
     per_held: Latency,
     served: Recent,
-    /// Calls taken on, which is all that is known of their rate after a start.
-    taken_on: Recent,
+    answered_work: AnsweredWork,
+    home_share: HomeShare,
     fresh_until: Time,
     failing: f64,
     idle_risk: IdleRisk,
@@ -173,7 +174,8 @@
             overall: Latency::default(),
             per_held: Latency::default(),
             served: Recent::since(now),
-            taken_on: Recent::since(now),
+            answered_work: AnsweredWork::new(settings.classes.len(), now),
+            home_share: HomeShare::new(settings.siblings, settings.zones),
             fresh_until: now.saturating_add(RATE_WINDOW),
             failing: 0.0,
             idle_risk: IdleRisk::default(),
@@ -259,13 +261,14 @@
         self.servers[at].started = entry.started;
     }
 
-    /// A new process: its predecessor's failures say nothing of it. The random start of its budget keeps all
-    /// siblings from sending it their first call at once.
+    /// A new process: its predecessor's failures say nothing of it.
     fn renew(&mut self, at: usize) {
+        let least_cost = self.answered_work.least_cost();
         let server = &mut self.servers[at];
+        server.cold_budget = ColdBudget::new(self.now, self.rng.f64(), least_cost);
+        server.slowness = 1.0;
         server.breaker = Breaker::default();
         server.refusals.fill(Refusals::default());
-        (server.budget, server.budget_at, server.slowness) = (self.rng.f64(), self.now, 1.0);
         (server.open, server.conn_limit) = (server.in_use(), None); // nor do its connections
     }
 
@@ -340,6 +343,9 @@
             self.largest = self.largest.max(server.size);
             both(&mut self.pools, server.zone).for_each(|pool| pool.add(at, server));
         }
+        let home = &self.pools[usize::from(self.settings.zone.0)];
+        let sizes = home.members.iter().map(|&at| (self.warm_from(at), self.servers[at].size)).collect();
+        self.home_share.follow(sizes);
     }
 
     fn on_list_failed(&mut self) {
@@ -374,6 +380,7 @@
             // What is still coming holds nothing up yet, however long that takes.
             per_aim: if demand.streamed { 0.0 } else { 1.0 / aim },
             streamed: demand.streamed,
+            work: demand.work,
             deadline: self.now.saturating_add(self.useful_time(class, &demand)),
             ..Request::default()
         };
@@ -381,7 +388,7 @@
             self.refuse_or_fail(id, &request);
         } else {
             self.hold(request.per_aim);
-            self.taken_on.add(self.now, 1.0, RATE_WINDOW);
+            self.answered_work.take_on(self.now, class, RATE_WINDOW);
             self.attempt(id, request);
         }
     }
@@ -419,8 +426,10 @@
         self.count_in_flight(at, true);
         self.servers[at].open = self.servers[at].open.max(self.servers[at].in_use());
         let (now, warm) = (self.now, self.warmth(at) >= 1.0);
+        let cost = if warm { 0.0 } else { self.answered_work.cost(request.class, request.work) };
+        request.cold_cost = cost;
         let server = &mut self.servers[at];
-        server.budget -= if warm { 0.0 } else { 1.0 };
+        server.cold_budget.charge(cost);
         server.breaker.trial |= server.breaker.tripped;
         self.actions.push(Action::Send { id, server: server.id, until, begin_by });
         request.trial = server.breaker.tripped;
@@ -635,7 +644,7 @@
     fn is_candidate(&mut self, pool: usize, at: usize, request: &Request) -> bool {
         let again = request.sent.is_some_and(|(last, _)| last == at);
         let others = self.pools[pool].members.len() > 1;
-        !(again && others) && self.in_group(at, request) && self.cold_budget_allows(pool, at)
+        !(again && others) && self.in_group(at, request) && self.cold_budget_allows(pool, at, request.class)
     }
 
     /// A keyed request that may have run stays with the servers that drop its repeats.
@@ -649,10 +658,10 @@
         }
     }
 
-    /// Slow start. A cold server's budget grows with time, by its share of the calls that this balancer gets
+    /// Slow start. A cold server's budget grows with time, by its share of the work that this balancer gets
     /// answered, times its warmth: what is asked for in an overload is more than even warm servers can do. As
     /// all siblings do likewise, the sum stays near what it can do.
-    fn cold_budget_allows(&mut self, pool: usize, at: usize) -> bool {
+    fn cold_budget_allows(&mut self, pool: usize, at: usize, class: usize) -> bool {
         let warmth = self.warmth(at);
         if warmth >= 1.0 {
             return true;
@@ -660,21 +669,35 @@
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
         let ease = if self.asks() { (self.settings.tip_multiple / 2.0).max(1.0) } else { 1.0 };
-        let served = self.served.per_second(self.now, RATE_WINDOW);
+        let served = self.answered_work.answered_per_second(self.now, RATE_WINDOW);
         // A balancer that has just started has had nothing answered: where all servers are cold as well,
         // after a release, nothing would ever be. It goes by what it takes on until it knows better.
         let fresh = self.now < self.fresh_until;
-        let known = if fresh { served.max(self.taken_on.per_second(self.now, RATE_WINDOW)) } else { served };
+        let known = if fresh {
+            served.max(self.answered_work.taken_on_per_second(self.now, RATE_WINDOW))
+        } else {
+            served
+        };
         // To another zone only some calls cross, yet from every zone: by the size of that zone, all of them
-        // together would send its cold servers many times their share.
-        let own = pool == usize::from(self.settings.zone.0);
-        let share = &self.pools[if own { pool } else { self.settings.zones }];
-        let rate = known * warmth * ease / share.size.max(f64::MIN_POSITIVE);
+        // together would send its cold servers many times their share. Of what is served at home, no more
+        // comes than the home zone's servers can do, however few balancers send to it.
+        let tier = known / self.pools[self.settings.zones].size.max(f64::MIN_POSITIVE);
+        let share = if pool == usize::from(self.settings.zone.0) {
+            tier.max(known * self.home_share.get(self.pools[pool].size))
+        } else {
+            tier
+        };
+        let rate = share * warmth * ease;
+        let class_cost = self.answered_work.class_cost(class);
         let server = &mut self.servers[at];
-        let passed = (self.now - server.budget_at) as f64 / SECOND as f64;
-        server.budget = (server.budget + rate * server.size * passed).min(1.0);
-        server.budget_at = self.now;
-        server.budget >= 1.0
+        server.cold_budget.allows(self.now, rate * server.size, class_cost)
+    }
+
+    /// When a server is warm for sure.
+    fn warm_from(&self, at: usize) -> Time {
+        let server = &self.servers[at];
+        let started = server.started.max(server.returned);
+        started.map_or(0, |started| started.saturating_add(self.settings.ramp_time))
     }
 
     /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
@@ -911,6 +934,9 @@
             return;
         }
         self.servers[at].breaker.trial &= !request.trial;
+        if end.outcome == Outcome::Moot {
+            self.servers[at].cold_budget.give_back(sent, request.cold_cost);
+        }
         self.learn(&request, at, &end);
         if request.closed {
             return;
@@ -950,6 +976,11 @@
         match end.outcome {
             Outcome::Ok => {
                 self.served.add(self.now, 1.0, RATE_WINDOW);
+                if !self.zone_left {
+                    let home = self.servers[at].zone == usize::from(self.settings.zone.0);
+                    let warm_home = home && self.warm_from(at) <= self.now;
+                    self.home_share.learn(self.now, warm_home);
+                }
                 self.servers[at].answered_at = self.now;
                 self.servers[at].refusals[request.class] = Refusals::default();
                 self.idle_risk.learn(request.idle, false, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
@@ -979,6 +1010,10 @@
             self.learn_slowness(at, request.class, end.elapsed);
             self.classes[request.class].learn(took, GAIN, CALM);
             self.overall.learn(took, GAIN, CALM);
+            if end.outcome == Outcome::Ok {
+                let mean = self.classes[request.class].mean;
+                self.answered_work.learn(self.now, request.class, mean, request.work, RATE_WINDOW);
+            }
             if request.asked > 0.0 {
                 self.per_held.learn(took / request.asked, GAIN, CALM);
             }
