--- a/tests/common/streams.rs
+++ b/tests/common/streams.rs
@@ -49,10 +49,10 @@
         let mut written = Instant::now();
         for (at, piece) in pieces.iter().enumerate() {
             std::thread::sleep(if at > 0 { pause } else { Duration::ZERO });
+            lateness.note(written.elapsed().saturating_sub(pause));
             if stream.write_all(piece).is_err() {
                 return;
             }
-            lateness.note(written.elapsed().saturating_sub(pause));
             written = Instant::now();
         }
     }))
