--- a/src/policy.rs
+++ b/src/policy.rs
@@ -112,6 +112,21 @@
     Shedding,
 }
 
+/// How an attempt failed, as far as that tells what its server is busy with.
+#[derive(Clone, Copy)]
+enum Failure {
+    /// No answer came in time: the server may still be at work on it.
+    Unanswered,
+    /// Any other: nothing of it is left at the server.
+    Ended,
+}
+
+impl Failure {
+    fn of(outcome: Outcome) -> Self {
+        if outcome == Outcome::Timeout { Self::Unanswered } else { Self::Ended }
+    }
+}
+
 /// One balancer: all that it knows, and what it does about each event.
 #[derive(Debug)]
 pub struct Balancer {
@@ -590,7 +605,7 @@
             if !self.is_candidate(pool, at, request) {
                 continue;
             }
-            next = next.or(Some(position));
+            next = next.or(Some(position).filter(|_| !self.is_behind(at, request.class)));
             if !self.takes_turn(at) {
                 continue;
             }
@@ -603,12 +618,12 @@
             }
             spare = spare.or(Some(position).filter(|_| !server.breaker.tripped && !refusing));
             proposals += 1;
-            if proposals > PROPOSALS {
+            if proposals > PROPOSALS && next.is_some() {
                 break;
             }
         }
         // The fallback only guarantees a quick return: better an over-full server than a tripped or refusing
-        // one, and better one of another zone than those.
+        // one, and better one of another zone than those. None of them may be behind with its calls.
         let fallback = if pool == self.settings.zones { spare.or(next)? } else { spare? };
         self.pools[pool].cursor = fallback;
         Some(self.pools[pool].members[fallback])
@@ -773,9 +788,15 @@
         !breaker.tripped || (!breaker.trial && self.now >= breaker.open_until.saturating_add(patience))
     }
 
+    /// Whether a server has to be left alone until its next trial. It goes on with calls that were given up,
+    /// and where all servers do, work that nobody waits for any more would keep them busy for ever.
+    fn is_behind(&self, at: usize, class: usize) -> bool {
+        self.servers[at].breaker.unanswered && !self.breaker_admits(at, class)
+    }
+
     /// A failure of a call that was sent before its breaker opened tells nothing that the breaker does not
     /// know: one burst would open it many times over, up to the longest open time.
-    fn breaker_failure(&mut self, at: usize, sent: Time) {
+    fn breaker_failure(&mut self, at: usize, sent: Time, failure: Failure) {
         self.failing += GAIN * (1.0 - self.failing);
         self.pools[self.servers[at].zone].learn_failing(true, self.now, GAIN, SURPLUS.1);
         let row = (FALSE_TRIP.ln() / self.failing.clamp(0.001, 0.999).ln()).ceil().clamp(ROW.0, ROW.1);
@@ -788,6 +809,7 @@
         if f64::from(breaker.failures) >= row || on_probation {
             (breaker.failures, breaker.opens) = (0, breaker.opens + 1);
             (breaker.opened_at, breaker.open_until) = (self.now, self.now + doubling(OPEN, breaker.opens));
+            breaker.unanswered = matches!(failure, Failure::Unanswered);
             let (opens, server) = (breaker.opens, self.servers[at].id.0);
             self.set_tripped(at, true);
             self.log(Topic::Breaker, format!("breaker of server {server} opened, {opens} times lately"));
@@ -855,7 +877,7 @@
         request.marks += 1;
         if request.marks == 2 {
             let idle = request.idle;
-            return self.failure(at, idle, sent);
+            return self.failure(at, idle, sent, Failure::Unanswered);
         } else if request.marks > 2 {
             return;
         }
@@ -906,7 +928,8 @@
         }
         if request.begun {
             if matches!(end.outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset) {
-                self.breaker_failure(at, sent);
+                let failure = Failure::of(end.outcome);
+                self.breaker_failure(at, sent, failure);
             }
             return;
         }
@@ -969,11 +992,11 @@
             }
             Outcome::Cancelled | Outcome::Moot | Outcome::Declined => {}
             Outcome::Error => {
-                self.breaker_failure(at, sent);
+                self.breaker_failure(at, sent, Failure::Ended);
                 self.class_refused(at, request.class, OPEN.0, ONE_ERROR);
             }
-            Outcome::ConnectFailed => self.breaker_failure(at, sent),
-            _ => self.failure(at, request.idle, sent),
+            Outcome::ConnectFailed => self.breaker_failure(at, sent, Failure::Ended),
+            outcome => self.failure(at, request.idle, sent, Failure::of(outcome)),
         }
         if timed && matches!(end.outcome, Outcome::Ok | Outcome::Timeout) {
             self.learn_slowness(at, request.class, end.elapsed);
@@ -996,13 +1019,13 @@
     }
 
     /// A call without an answer tells of its server, or of its connection where idle ones fail.
-    fn failure(&mut self, at: usize, idle: usize, sent: Time) {
+    fn failure(&mut self, at: usize, idle: usize, sent: Time, failure: Failure) {
         self.idle_risk.learn(idle, true, self.now, IDLE_GAIN.0, IDLE_GAIN.1);
         if idle > 0 {
             self.close_idle(at); // the next failure there is not for this reason
         }
         if idle == 0 || !self.idle_fails(idle, IDLE_RISK.1) {
-            self.breaker_failure(at, sent);
+            self.breaker_failure(at, sent, failure);
         }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -72,6 +72,8 @@
     pub open_until: Time,
     /// A trial is out.
     pub trial: bool,
+    /// It opened last for a call without an answer: the server may be behind with work that was given up.
+    pub unanswered: bool,
 }
 
 /// Servers that a round robin goes through: those of a zone, or all.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,6 +5,7 @@
 pub mod fault_injector;
 pub mod operator;
 pub mod process;
+pub mod queued_tier;
 pub mod wall_clock;
 
 use woadstall::Balancer;
