--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -3,12 +3,18 @@
 mod common;
 
 use common::fault_injector::Faults;
+use common::operator::*;
 use common::process::*;
+use socket2::{Domain, Socket, Type};
+use std::net::SocketAddr;
+use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
 /// Calls made where one in three of the system calls fails.
 const CALLS: usize = 90;
-/// Seeds that the share is drawn with, one program each.
+/// Longer than new connections are taken after a signal to stop.
+const AT_THE_END: Duration = Duration::from_secs(5);
+/// Which calls fail where a part does.
 const ONE_IN_THREE: &str = "share=0.33:seed=7";
 
 /// An upstream that takes one request on each connection.
@@ -51,6 +57,112 @@
     }
 }
 
+/// Guards who has just connected: a lack of a moment closes nobody whose request may be on its way.
+#[test]
+fn a_new_caller_outlasts_a_lack_of_descriptors() {
+    for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
+        let faults = Faults::new(format!("accept:{error}:from=2:count=4"));
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let program = start(&faults, &[&upstream]);
+        let mut caller = program.connect();
+        eventually("no connection can be taken", || faults.injected("accept", error) == 4);
+        caller.send("look", LONG, "");
+        assert_eq!(caller.answer().expect("an answer").status(), 200, "{error}");
+        assert_eq!(program.call("look").status(), 200, "{error}");
+    }
+}
+
+/// Guards the backlog at the end: connections wait behind the one that has failed.
+#[test]
+fn the_backlog_is_taken_at_the_end_whatever_fails_in_it() {
+    const WAITING: usize = 8;
+    for _ in 0..4 {
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let faults = Faults::new(format!("accept:ECONNABORTED:from=3:{ONE_IN_THREE}"));
+        let program = start(&faults, &[&upstream]);
+        assert_eq!(program.call("look").status(), 200);
+        program.terminate();
+        program.has_taken_signals();
+        program.pause();
+        // Longer than new connections are waited for: what comes now is in the backlog when that is over.
+        let mut callers: Vec<Caller> = (0..WAITING).map(|_| program.connect()).collect();
+        callers.iter_mut().for_each(|caller| caller.send("look", LONG, ""));
+        std::thread::sleep(AT_THE_END);
+        program.go_on();
+        for caller in &mut callers {
+            assert_eq!(caller.answer().expect("an answer").status(), 200);
+        }
+        let (status, log) = program.end();
+        assert!(status.success(), "{log}");
+    }
+}
+
+/// Guards all who talk with the program: bytes come and go one by one.
+#[test]
+fn reads_and_writes_are_short() {
+    let faults = Faults::new("read:short=1:on=inet;write:short=1:on=inet");
+    let upstream = Upstream::start(|request| Act::Answer(ok(std::str::from_utf8(&request.body).unwrap())));
+    let program = start(&faults, &[&upstream]);
+    let mut caller = program.connect();
+    for class in ["look", "pay", "post"] {
+        let body = if class == "look" { String::new() } else { "0123456789".repeat(300) };
+        let answer = caller.call(class, LONG, &body).expect("an answer");
+        assert_eq!((answer.status(), answer.body), (200, body.into_bytes()), "{class}");
+    }
+    assert!(faults.injected("read", "short=1") > 3000 && faults.injected("write", "short=1") > 3000);
+}
+
+/// Guards requests that are under way: reads, writes and waits that are broken off are made again. (EAGAIN with
+/// bytes there is no way in which Linux fails: the edge that tells of them would never come again.)
+#[test]
+fn reads_writes_and_waits_fail_for_a_moment() {
+    let plans = [
+        ("epoll_wait", "EINTR", ""),
+        ("read", "EINTR", ":on=inet"),
+        ("write", "EINTR", ":on=inet"),
+        ("read", "ENOBUFS", ":on=inet"),
+        ("read", "ENOMEM", ":on=inet"),
+        ("write", "ENOBUFS", ":on=inet"),
+        ("write", "ENOMEM", ":on=inet"),
+    ];
+    for (call, error, only) in plans {
+        let faults = Faults::new(format!("{call}:{error}{only}:{ONE_IN_THREE}"));
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let program = start(&faults, &[&upstream]);
+        let mut caller = program.connect();
+        for at in 0..CALLS {
+            let class = ["look", "pay", "post"][at % 3];
+            let answer = caller.call(class, LONG, "body").unwrap_or_else(|| panic!("{call} {error}: none"));
+            assert_eq!(answer.status(), 200, "{call} {error}");
+        }
+        assert!(faults.injected(call, error) > CALLS / 6, "{call} {error} was hardly injected");
+        assert_eq!(requests_of("post", &upstream), CALLS / 3, "{call} {error}: each ran once");
+        assert!(!blamed_an_upstream(program), "{call} {error}");
+    }
+}
+
+/// Guards work that must not run twice: a connection that breaks by an error of its path is broken like any other.
+#[test]
+fn an_upstream_is_lost_while_it_is_read_from_or_written_to() {
+    for (call, error) in
+        [("read", "ETIMEDOUT"), ("read", "EHOSTUNREACH"), ("write", "ETIMEDOUT"), ("write", "EHOSTUNREACH")]
+    {
+        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let port = upstream.address.port();
+        let faults = Faults::new(format!("{call}:{error}:share=0.1:seed=3:port={port}"));
+        let program = start(&faults, &[&upstream]);
+        let mut served = 0;
+        for at in 0..CALLS {
+            let answer = program.call(["look", "post"][at % 2]).status();
+            assert!(matches!(answer, 200 | 502 | 503), "{call} {error}: {answer}");
+            served += usize::from(answer == 200);
+        }
+        assert!(served > CALLS / 2, "{call} {error}: {served} served");
+        assert!(faults.injected(call, error) > 0, "{call} {error} was not injected");
+        assert!(requests_of("post", &upstream) <= CALLS / 2, "{call} {error}: none ran twice");
+    }
+}
+
 /// Guards callers and upstreams where a third of all tries to connect fails: the next try does.
 #[test]
 fn connections_to_upstreams_fail_for_a_moment() {
@@ -194,3 +306,190 @@
         assert!(!log.contains("discovery failed"), "{error}: {log}");
     }
 }
+
+/// A rule for the configuration's file.
+fn of_the_configuration() -> String {
+    format!("path={}/config-", env!("CARGO_TARGET_TMPDIR"))
+}
+
+/// Guards the start: what is short for a moment is there at the next try, also for the operators' door.
+#[test]
+fn the_start_outlasts_failures_of_a_moment() {
+    let plans = [
+        ("open", format!("EMFILE:{}", of_the_configuration())),
+        ("read", format!("EIO:{}", of_the_configuration())),
+        ("socket", "ENFILE:on=inet".to_owned()),
+        ("bind", "EADDRNOTAVAIL".to_owned()),
+        ("listen", "ENOBUFS".to_owned()),
+        ("setsockopt", "ENOMEM:on=inet".to_owned()),
+        ("epoll_ctl", "ENOSPC".to_owned()),
+    ];
+    let upstream = closing_upstream();
+    for (call, rule) in plans {
+        let faults = Faults::new(format!("{call}:{rule}:count=3"));
+        let config = with_door(refusing(), &in_service(&[&upstream]));
+        let mut program = Program::start_with(&config, &faults.environment());
+        let door = door(&mut program);
+        assert_eq!(program.call("look").status(), 200, "{call}");
+        assert_eq!(common::operator::call(door, "GET", "/control/ready").status(), 200, "{call}");
+        assert_eq!(faults.injected(call, rule.split(':').next().unwrap()), 3, "{call}");
+    }
+}
+
+/// Guards the operators: what stays is told in one line, soon.
+#[test]
+fn a_start_that_fails_for_good_says_why() {
+    for (rule, named) in
+        [("bind:EACCES", "`listen`"), ("listen:ENOBUFS", "`listen`"), ("bind:EADDRINUSE", "`listen`")]
+    {
+        let faults = Faults::new(rule);
+        let asked = Instant::now();
+        let (status, log) = run_to_end_with(&config(refusing(), &[]).to_string(), &faults.environment());
+        assert!(!status.success() && log.contains(named), "{rule}: {log}");
+        assert_eq!(log.lines().count(), 1, "{rule}: {log}");
+        assert!(asked.elapsed() < Duration::from_secs(6), "{rule} after {:?}", asked.elapsed());
+    }
+}
+
+/// Guards a hand-over: the inherited socket can't be watched for a moment.
+#[test]
+fn a_new_process_takes_an_inherited_socket_over_after_failures() {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket.listen(128).unwrap();
+    socket.set_cloexec(false).unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
+    let upstream = closing_upstream();
+    let faults = Faults::new(format!("epoll_ctl:ENOSPC:count=3:port={}", address.port()));
+    let mut environment = faults.environment();
+    environment.push(("LB_LISTEN_FD", socket.as_raw_fd().to_string()));
+    let program = Program::start_with(&config(refusing(), &in_service(&[&upstream])), &environment);
+    assert_eq!(program.address, address);
+    assert_eq!(program.call("look").status(), 200);
+    assert_eq!(faults.injected("epoll_ctl", "ENOSPC"), 3);
+}
+
+/// Guards a reload: a signal is not given twice, so the file is read again until it can be.
+#[test]
+fn a_reload_outlasts_failures_of_a_moment() {
+    for (call, error) in [("open", "EMFILE"), ("open", "ENFILE"), ("read", "EIO")] {
+        let rule = of_the_configuration();
+        // The file is opened once at the start; it is read twice, for what it holds and for its end.
+        let from = if call == "open" { 2 } else { 3 };
+        let faults = Faults::new(format!("{call}:{error}:from={from}:count=3:{rule}"));
+        let upstream = closing_upstream();
+        let (old, new) = (Discovery::start(), Discovery::start());
+        let mut settings = config(old.address, &[]);
+        let program = Program::start_with(&settings, &faults.environment());
+        settings["discovery"] = new.address.to_string().into();
+        program.reload(&settings.to_string());
+        new.publish(&in_service(&[&upstream]));
+        assert_eq!(program.call("look").status(), 200, "{call} {error}");
+        assert_eq!(faults.injected(call, error), 3, "{call} {error}");
+    }
+}
+
+/// Threads of the soak, and what each asks for.
+const SOAKING: usize = 4;
+const SOAKED: usize = 100;
+/// A caller's time in the soak, and how much after it its answer is owed at the latest.
+const SOAK_BUDGET: &str = "2";
+const SOAK_OWED: Duration = Duration::from_millis(2500);
+
+/// All faults at once, each for a small share of the calls.
+fn soak_plan(seed: usize, upstreams: &[&Upstream]) -> String {
+    const CONNECT: [&str; 7] =
+        ["EADDRNOTAVAIL", "EAGAIN", "EHOSTUNREACH", "EINTR", "ENETUNREACH", "EPERM", "ETIMEDOUT"];
+    const SOCKET: [&str; 4] = ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"];
+    const ACCEPT: [&str; 7] = ["ECONNABORTED", "EMFILE", "ENETDOWN", "ENFILE", "ENOBUFS", "EPERM", "EPROTO"];
+    const TRANSFER: [&str; 3] = ["EINTR", "ENOBUFS", "ENOMEM"];
+    const BROKEN: [&str; 2] = ["ETIMEDOUT", "EHOSTUNREACH"];
+
+    let mut faults: Vec<(String, f64)> = Vec::new();
+    faults.extend(CONNECT.map(|error| (format!("connect:{error}"), 0.04)));
+    faults.extend(SOCKET.map(|error| (format!("socket:{error}:on=inet"), 0.03)));
+    faults.extend(ACCEPT.map(|error| (format!("accept:{error}"), 0.04)));
+    for upstream in upstreams {
+        let port = upstream.address.port();
+        for call in ["read", "write"] {
+            faults.extend(BROKEN.map(|error| (format!("{call}:{error}:port={port}"), 0.01)));
+        }
+        faults.push((format!("epoll_ctl:ENOSPC:port={port}"), 0.04));
+    }
+    for call in ["read", "write"] {
+        faults.extend(TRANSFER.map(|error| (format!("{call}:{error}:on=inet"), 0.04)));
+        faults.push((format!("{call}:short=7:on=inet"), 0.3));
+    }
+    faults.push(("epoll_wait:EINTR".to_owned(), 0.1));
+    faults.push(("setsockopt:ENOBUFS:on=inet".to_owned(), 0.05));
+    // Each draws on its own; the program starts in peace.
+    let rule = |(at, (fault, share)): (usize, (String, f64))| {
+        format!("{fault}:share={share}:seed={}:from=20", 100 * seed + at)
+    };
+    faults.into_iter().enumerate().map(rule).collect::<Vec<_>>().join(";")
+}
+
+/// The figures of the operators' door, whose connections are struck like all others.
+fn figures(door: SocketAddr) -> serde_json::Value {
+    let asked = Instant::now();
+    loop {
+        if let Some(answer) = say(door, "GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n") {
+            return serde_json::from_slice(&answer.body).expect("figures");
+        }
+        assert!(asked.elapsed() < PATIENCE, "no figures");
+    }
+}
+
+/// Guards all rules at once: each request gets one answer in its time, unsafe work runs once at most, the counts
+/// agree, and what was opened is closed.
+#[test]
+fn all_failures_together_break_no_rule() {
+    for seed in 1..=3 {
+        let upstreams = [(); 3].map(|()| Upstream::start(|_| Act::Answer(ok("served"))));
+        let faults = Faults::new(soak_plan(seed, &upstreams.each_ref()));
+        let mut config = with_door(refusing(), &in_service(&upstreams.each_ref()));
+        config["settings"]["Limits"]["ConnIdleNs"] = 1_000_000_000_u64.into();
+        let mut program = Program::start_with(&config, &faults.environment());
+        let door = door(&mut program);
+        figures(door);
+        let before = program.descriptors();
+        let statuses: Vec<u16> = std::thread::scope(|scope| {
+            let program = &program;
+            let soak = |_| scope.spawn(move || (0..SOAKED).map(|at| soaked(program, at)).collect::<Vec<_>>());
+            let soaking: Vec<_> = (0..SOAKING).map(soak).collect();
+            soaking.into_iter().flat_map(|thread| thread.join().expect("each answer in time")).collect()
+        });
+        let count = |status| statuses.iter().filter(|&&other| other == status).count();
+        assert!(count(200) > 9 * statuses.len() / 10, "seed {seed}: {} of {}", count(200), statuses.len());
+
+        let figures = figures(door);
+        let sum = |end: &str| {
+            let classes = figures["calls"].as_object().expect("classes").values();
+            classes.map(|class| class[end].as_u64().expect("a count")).sum::<u64>() as usize
+        };
+        assert_eq!((sum("success"), sum("busy"), sum("failure")), (count(200), count(503), count(502)));
+
+        let mut posts = std::collections::HashSet::new();
+        for seen in upstreams.iter().flat_map(|upstream| upstream.seen.try_iter()) {
+            let Seen::Request(request) = seen else { continue };
+            let is_post = request.first_line.contains(" /post?");
+            assert!(!is_post || posts.insert(request.headers["x-call-id"].clone()), "{request:?} ran twice");
+        }
+        eventually("descriptors come back", || program.descriptors() <= before);
+        program.terminate();
+        let (status, log) = program.end();
+        assert!(status.success(), "{log}");
+        assert!(!log.contains("panicked") && !log.contains("left open past its time"), "{log}");
+    }
+}
+
+/// The status of one request's answer, which comes in time.
+fn soaked(program: &Program, at: usize) -> u16 {
+    let class = ["look", "pay", "post"][at % 3];
+    let mut caller = program.connect();
+    let asked = Instant::now();
+    let answer = caller.call(class, SOAK_BUDGET, &"m".repeat(40 * (at % 5))).expect("an answer");
+    assert!(asked.elapsed() < SOAK_OWED, "{class} took {:?}", asked.elapsed());
+    assert!(matches!(answer.status(), 200 | 502 | 503), "{class}: {answer:?}");
+    answer.status()
+}
