--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,12 @@
 #![allow(dead_code)]
 
 pub mod chain;
+pub mod fault_injector;
 pub mod fleet;
+pub mod operator;
 pub mod process;
+pub mod streams;
+pub mod wall_clock;
 
 use woadstall::Balancer;
 use woadstall::api::*;
