--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,6 +12,7 @@
 mod driver;
 mod durable_file;
 mod gate;
+mod minimum_rate;
 mod offline_endpoints;
 mod orders;
 mod panic;
