--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,12 +1,14 @@
 //! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
 
-use super::body::{Budget, Payload, Reply, Rest, STALL};
+use super::body::{Budget, Payload, Reply, Rest};
 use super::clock::{Clock, ClockReading};
 use super::config::Config;
 use super::counters::{self, Counters};
 use super::discovery::{Listing, State, Target};
 use super::gate::Presence;
+use super::minimum_rate::IDLE_TIMEOUT;
 use super::orders::{OfflineList, Order, OrderRequest, Verdict};
+use super::send_check::budget;
 use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use super::start_times::{ListOrigin, StartTimes};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
@@ -110,6 +112,8 @@
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
+    /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
+    caller_until: Time,
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
@@ -504,6 +508,7 @@
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().rest.is_some();
         let demand = Demand { class: call.class, tenant: call.tenant, time_left, work: call.work, streamed };
+        let caller_until = deadline;
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
             id,
@@ -512,6 +517,7 @@
                 caller: call.caller,
                 class: call.class,
                 deadline,
+                caller_until,
                 whole: watch::Sender::new(None),
                 answer: Some(call.answer),
                 attempts: 0,
@@ -575,7 +581,9 @@
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
         open.attempts += 1;
         let upstream = self.servers.get(&server).copied();
-        let in_time = now < until && begin_by.is_none_or(|end| now < end);
+        let caller_until = open.caller_until;
+        let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
+        let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
         let possible = open.answer.is_some() && allowed && !open.request.body().is_spent();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
@@ -599,8 +607,18 @@
         let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
         let tally = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
+        let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
         let means = self.means(link, address, self.clock.instant(until), tally);
-        let exchange = exchange(request, Means { under_way: mark.clone(), begin_by, caller, ..means });
+        let held_up = means.held_up.clone();
+        let caller_until = Some(self.clock.instant(caller_until));
+        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, caller_until, ..means };
+        let exchange = exchange(request, means);
+        let expiry = async move {
+            expiry.await;
+            if let Some(deadline) = deadline.filter(|_| held_up.load(Ordering::Relaxed)) {
+                sleep_until(deadline).await;
+            }
+        };
         tokio::spawn(async move {
             let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
             let exchanged = tokio::select! {
@@ -627,10 +645,13 @@
             address,
             connect_timeout: self.config.names.connect_timeout,
             until,
+            deadline: None,
+            held_up: Arc::default(),
             begin_by: None,
             tally,
             budget: self.budget.clone(),
             caller: None,
+            caller_until: None,
             under_way: Arc::default(),
         }
     }
@@ -644,8 +665,10 @@
         self.pending.push_back((id, end));
     }
 
-    /// The answer is passed on as it comes: no time of its request runs any more.
+    /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
     fn on_begun(&mut self, id: RequestId, number: u32, begun: Begun) {
+        let deadline = self.requests.get(&id).and_then(|open| open.deadline);
+        let deadline = deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_answer(id) else {
             return self.on_ended(id, number, Outcome::Cancelled.into());
         };
@@ -657,7 +680,8 @@
             inputs.send(Input::Ended(id, number, finished)).ok();
         });
         let Begun { head, body, connection, room } = begun;
-        let answer = Answer::Served(head.map(|kept| Reply::passing(kept, body, connection, room, report)));
+        let passing = |kept| Reply::passing(kept, body, connection, room, deadline, report);
+        let answer = Answer::Served(head.map(passing));
         if let Some(out) = out {
             out.begun = Some((answer.end(), load));
         }
@@ -783,12 +807,12 @@
     let limit = until.saturating_duration_since(Instant::now());
     let (mut left, mut moved) = (rest.left(), Instant::now());
     loop {
-        let came = timeout(STALL / 10, whole.wait_for(Option::is_some)).await;
+        let came = timeout(IDLE_TIMEOUT / 10, whole.wait_for(Option::is_some)).await;
         match came.map(|came| came.ok().and_then(|came| *came)) {
             Ok(Some(came)) => return sleep_until(came + limit).await,
             Ok(None) => return pending().await, // nobody waits for its end any more
             Err(_) if rest.left() != left => (left, moved) = (rest.left(), Instant::now()),
-            Err(_) if moved.elapsed() > STALL => return,
+            Err(_) if moved.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
         }
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,10 +12,12 @@
 mod driver;
 mod durable_file;
 mod gate;
+mod minimum_rate;
 mod offline_endpoints;
 mod orders;
 mod panic;
 mod process_handover;
+mod send_check;
 mod server;
 mod shared_folder;
 mod start_times;
@@ -140,8 +142,8 @@
     }
     let mut driving = tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
-    let server = server::Server::new(config, events, is_ready, counters, budget);
-    let mut serving = tokio::spawn(server.run(listener, told, stopping));
+    let server = server::Server::new(config, events, (is_ready, told), counters, budget);
+    let mut serving = tokio::spawn(server.run(listener, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
     let mut outcome = Ok(());
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -50,6 +50,9 @@
 const UNCALLED: usize = 2;
 /// A new connection may bring its call a little later.
 const NEWLY: Duration = Duration::from_millis(300);
+/// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They are
+/// counted and not timed: the process may have been held up itself.
+const LASTING_SHORTAGE: u32 = 8;
 /// Connections taken beyond those that are served, to refuse their requests: left in the kernel's backlog,
 /// they would count as taken and get no answer.
 pub const SURPLUS: usize = 16;
@@ -65,6 +68,8 @@
     config: Arc<Config>,
     driver: UnboundedSender<Input>,
     ready: watch::Receiver<bool>,
+    /// Whether the first list has been told: before that, nothing is sent on.
+    told: watch::Receiver<bool>,
     counters: Arc<Counters>,
     next_id: AtomicU32,
     next_caller: AtomicU64,
@@ -196,18 +201,12 @@
 }
 
 /// Connections that could not be taken, in a row.
+#[derive(Default)]
 struct Failing {
-    since: Instant,
     failures: u32,
     backoff: Backoff,
 }
 
-impl Default for Failing {
-    fn default() -> Self {
-        Self { since: Instant::now(), failures: 0, backoff: Backoff::default() }
-    }
-}
-
 /// Tells the driver that a caller has gone, unless it got its answer.
 struct Owed<'a>(Option<RequestId>, &'a UnboundedSender<Input>);
 
@@ -224,7 +223,7 @@
     pub fn new(
         config: Arc<Config>,
         driver: UnboundedSender<Input>,
-        ready: watch::Receiver<bool>,
+        (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         budget: Arc<Budget>,
     ) -> Self {
@@ -232,6 +231,7 @@
             config,
             driver,
             ready,
+            told,
             counters,
             next_id: AtomicU32::new(0),
             next_caller: AtomicU64::new(0),
@@ -245,14 +245,8 @@
         }
     }
 
-    /// Serves from when the first list is told until told to stop, then for a while longer, and returns when all
-    /// is answered.
-    pub async fn run(
-        self,
-        listener: TcpListener,
-        mut told: watch::Receiver<bool>,
-        mut stopping: watch::Receiver<bool>,
-    ) {
+    /// Serves until told to stop, then for a while longer, and returns when all is answered.
+    pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let looking = tokio::spawn(server.clone().cut_overdue());
         let (close, closing) = watch::channel(false);
@@ -263,12 +257,8 @@
                 sleep(server.go_on()).await;
             }
         };
-        let serving = async {
-            told.wait_for(|told| *told).await.ok();
-            server.accept(&listener, &closing).await;
-        };
         tokio::select! {
-            () = serving => {}
+            () = server.accept(&listener, &closing) => {}
             () = stopped => {}
         }
         let mut rest = None;
@@ -382,14 +372,9 @@
             return;
         }
         self.driver.send(Input::DescriptorsShort).ok();
-        let is_lasting = failing.since.elapsed() > NEWLY;
-        self.close_idle_where(|idle, since| {
-            is_lasting
-                || match idle {
-                    Idle::Resting | Idle::Strange | Idle::Lingering => true,
-                    Idle::Silent => since.elapsed() > NEWLY,
-                    Idle::Begun => false,
-                }
+        let is_lasting = failing.failures >= LASTING_SHORTAGE;
+        self.close_idle_where(|idle, _| {
+            is_lasting || matches!(idle, Idle::Resting | Idle::Strange | Idle::Lingering)
         });
     }
 
@@ -471,8 +456,14 @@
         self.config.names.classes.iter().position(|class| class == in_path)
     }
 
+    /// Waits until the first list is told.
+    async fn first_list(&self) {
+        self.told.clone().wait_for(|told| *told).await.ok();
+    }
+
     async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<Reply> {
         if request.uri().path() == "/healthz" {
+            self.first_list().await;
             return match *self.ready.borrow() {
                 true => status(StatusCode::OK),
                 false => status(StatusCode::SERVICE_UNAVAILABLE),
@@ -516,7 +507,10 @@
             Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
         };
-        if self.refusing.load(Ordering::Relaxed) {
+        let first_deadline = Instant::now() + asked.budget;
+        // Read before it waits, so that its time runs meanwhile.
+        let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
+        if !is_told || self.refusing.load(Ordering::Relaxed) {
             return Ok(self.refuse(asked.class));
         }
         end_to_end(&mut head.headers);
@@ -532,7 +526,7 @@
             held._taken = Some(self.counters.taken());
             lock(seen).whole() + budget
         };
-        let deadline = if whole { has_come() } else { Instant::now() + budget };
+        let deadline = if whole { has_come() } else { first_deadline };
         let caller = line.presence();
         let call = Call { id, request, caller, class, tenant, work, deadline, answer };
         self.driver.send(Input::Called(Box::new(call))).ok();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,11 @@
 
 pub mod chain;
 pub mod fault_injector;
+pub mod fleet;
 pub mod operator;
 pub mod process;
+pub mod queued_tier;
+pub mod streams;
 pub mod wall_clock;
 
 use woadstall::Balancer;
