--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use woadstall::api::ListEntry;
+use woadstall::api::EndpointEntry;
 
 /// How long a watch waits, how long one may be silent beyond that, and the time in which a connection comes up:
 /// those of the balancer's own client.
@@ -87,7 +87,7 @@
     /// Nothing.
     Nothing,
     /// The entries that changed, perhaps none.
-    Changes(Vec<ListEntry>),
+    Changes(Vec<EndpointEntry>),
     /// The call failed.
     Failed,
 }
@@ -103,7 +103,7 @@
 
 #[derive(Debug, Default)]
 struct List {
-    entries: Vec<ListEntry>,
+    entries: Vec<EndpointEntry>,
     /// Its length is the list's version.
     changes: Vec<Change>,
     /// Calls that wait for news of it, in the order in which they came.
@@ -164,7 +164,7 @@
     pub fn new(
         config: DiscoveryConfig,
         rng: ChaCha8Rng,
-        lists: Vec<Vec<ListEntry>>,
+        lists: Vec<Vec<EndpointEntry>>,
         watchers: impl Iterator<Item = usize>,
     ) -> Self {
         let watcher = |service| Watcher { service, alive: true, ..Watcher::default() };
@@ -189,7 +189,7 @@
     }
 
     /// The list of a service as it stands.
-    pub fn list(&self, service: usize) -> &[ListEntry] {
+    pub fn list(&self, service: usize) -> &[EndpointEntry] {
         &self.lists[service].entries
     }
 
@@ -207,7 +207,7 @@
         &mut self,
         service: usize,
         entry: usize,
-        change: impl FnOnce(&mut ListEntry),
+        change: impl FnOnce(&mut EndpointEntry),
         happened: Time,
         queue: &mut Queue<E>,
     ) {
@@ -357,7 +357,8 @@
         let mut changed: Vec<usize> = news.iter().map(|change| change.entry).collect();
         changed.sort_unstable();
         changed.dedup();
-        let entries: Vec<ListEntry> = changed.into_iter().map(|entry| list.entries[entry].clone()).collect();
+        let entries: Vec<EndpointEntry> =
+            changed.into_iter().map(|entry| list.entries[entry].clone()).collect();
         watcher.version = list.changes.len();
         watcher.number += 1;
         self.entries_told += entries.len() as u64;
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -22,10 +22,10 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::{
-    Action, Class, Demand, End, Event as ModuleEvent, Lifecycle, ListEntry, Outcome, RequestId, ServerId,
-    Settings, ZoneId,
+    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event as ModuleEvent,
+    IncomingRequest, RequestClass, RequestId, Settings, ZoneId,
 };
 
 /// Where the virtual clock starts: a server may have started long before.
@@ -135,7 +135,7 @@
     /// Its balancer waits for it.
     waited: bool,
     place: Place,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     /// The next callee of its service to be called or not.
     callee: usize,
     measured: bool,
@@ -167,7 +167,7 @@
 
 /// A module instance with what the driver of a real balancer keeps beside it.
 struct Node {
-    balancer: Balancer,
+    balancer: LoadBalancer,
     alive: bool,
     next_id: u32,
     calls: HashMap<RequestId, Key>,
@@ -196,7 +196,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     upstream: usize,
-    lifecycle: Lifecycle,
+    lifecycle: EndpointState,
     happened: Time,
     holds: Holds,
 }
@@ -207,7 +207,7 @@
     queue: Queue<Event>,
     rng: ChaCha8Rng,
     work: LogNormal<f64>,
-    classes: Vec<Class>,
+    classes: Vec<RequestClass>,
     load: Load,
     next: Arrival,
     nodes: Vec<Node>,
@@ -225,7 +225,7 @@
     front_up: Vec<bool>,
     front_called: Vec<bool>,
     actions: Vec<Action>,
-    pending: VecDeque<(usize, RequestId, End)>,
+    pending: VecDeque<(usize, RequestId, AttemptEnd)>,
     counts: Counts,
     latency: Histogram<u64>,
     open_measured: u64,
@@ -251,11 +251,11 @@
                 step: 0,
             })
             .collect();
-        let entry = |upstream: usize| ListEntry {
-            server: ServerId(upstream as u32),
+        let entry = |upstream: usize| EndpointEntry {
+            server: EndpointId(upstream as u32),
             zone: ZoneId(topology.upstreams[upstream].zone as u8),
             cell: 0,
-            lifecycle: Lifecycle::Ready,
+            lifecycle: EndpointState::InService,
             size: 1.0,
             started: servers[upstream].started,
         };
@@ -366,8 +366,8 @@
                 match told {
                     Told::Nothing => {}
                     Told::Changes(entries) if entries.is_empty() => {}
-                    Told::Changes(entries) => self.tell(instance, ModuleEvent::ListChange(&entries)),
-                    Told::Failed => self.tell(instance, ModuleEvent::ListFailed),
+                    Told::Changes(entries) => self.tell(instance, ModuleEvent::EndpointsChanged(&entries)),
+                    Told::Failed => self.tell(instance, ModuleEvent::DiscoveryFailed),
                 }
             }
             Event::Notice(notice) => self.on_notice(notice as usize),
@@ -450,7 +450,7 @@
         node.calls.insert(id, key);
         self.counts.most_held = self.counts.most_held.max(node.calls.len());
         let time_left = deadline.saturating_sub(now);
-        let demand = Demand { class, tenant: 0, time_left, work: None, streamed: false };
+        let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streamed: false };
         if let Caller::Attempt(caller) = caller
             && let Some(attempt) = self.attempts.get_mut(caller)
         {
@@ -484,7 +484,7 @@
             Caller::Attempt(attempt) => match answer {
                 Answer::Served => self.call_on(attempt),
                 // An upstream fails if any of its calls does.
-                Answer::Refused | Answer::Failed => self.finish(attempt, Outcome::Error),
+                Answer::Refused | Answer::Failed => self.finish(attempt, AttemptOutcome::Error),
             },
         }
     }
@@ -500,7 +500,7 @@
     // ---- Attempts, at the balancer ----
 
     /// `times` are when the attempt is given up, and when it must have begun.
-    fn send(&mut self, instance: usize, id: RequestId, server: ServerId, times: (Time, Option<Time>)) {
+    fn send(&mut self, instance: usize, id: RequestId, server: EndpointId, times: (Time, Option<Time>)) {
         let now = self.queue.now();
         let (until, begin_by) = times;
         let node = &mut self.nodes[instance];
@@ -521,8 +521,14 @@
             || number >= self.config.max_attempts
         {
             let closed = !call.owed;
-            let end =
-                End { attempt: number, outcome: Outcome::Moot, elapsed: 0, closed, spent: false, load: None };
+            let end = AttemptEnd {
+                attempt: number,
+                outcome: AttemptOutcome::NotSent,
+                elapsed: 0,
+                closed,
+                spent: false,
+                load: None,
+            };
             return self.pending.push_back((instance, id, end));
         }
         idle.count = if connects { 0 } else { idle.count - 1 };
@@ -538,7 +544,7 @@
             stale,
             waited: true,
             place: Place::Coming,
-            outcome: Outcome::Ok,
+            outcome: AttemptOutcome::Success,
             callee: 0,
             measured: call.measured,
         };
@@ -574,7 +580,8 @@
     fn on_expired(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.waited) else { return };
         let lost = attempt.place == Place::Lost;
-        let outcome = if lost && attempt.connects { Outcome::ConnectFailed } else { Outcome::Timeout };
+        let outcome =
+            if lost && attempt.connects { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Timeout };
         let ended = *attempt;
         self.give_up(key, false);
         self.ended(&ended, outcome);
@@ -595,33 +602,33 @@
     }
 
     /// The balancer of an attempt hears how it ended.
-    fn ended(&mut self, attempt: &Attempt, outcome: Outcome) {
+    fn ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let now = self.queue.now();
         let tier = self.topology.service_of(attempt.upstream).tier as usize;
         if attempt.measured {
             let count = &mut self.counts.tiers[tier];
             *match outcome {
-                Outcome::Ok | Outcome::Declined => &mut count.ok,
-                Outcome::Error => &mut count.errors,
-                Outcome::Full => &mut count.full,
-                Outcome::Timeout => &mut count.timeouts,
-                Outcome::ConnectFailed => &mut count.unconnected,
-                Outcome::Reset => &mut count.resets,
-                Outcome::Cancelled | Outcome::Moot => &mut count.withdrawn,
+                AttemptOutcome::Success | AttemptOutcome::InvalidRequest => &mut count.ok,
+                AttemptOutcome::Error => &mut count.errors,
+                AttemptOutcome::Rejected => &mut count.full,
+                AttemptOutcome::Timeout => &mut count.timeouts,
+                AttemptOutcome::ConnectFailed => &mut count.unconnected,
+                AttemptOutcome::Reset => &mut count.resets,
+                AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.withdrawn,
             } += 1;
         }
         let key = attempt.call;
         let Some(call) = self.calls.get_mut(key) else { return };
         call.out = None;
         let (instance, id, owed) = (call.instance, call.id, call.owed);
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::Rejected) {
             let idle = &mut self.nodes[instance].idle[self.topology.place(attempt.upstream)];
             let process = self.servers[attempt.upstream].process;
             let count = if idle.process == process { idle.count + 1 } else { 1 };
             *idle = Idle { count, used: now, process };
         }
-        let served = outcome == Outcome::Ok && owed;
-        let end = End {
+        let served = outcome == AttemptOutcome::Success && owed;
+        let end = AttemptEnd {
             attempt: attempt.number,
             outcome,
             elapsed: now - attempt.sent,
@@ -629,7 +636,7 @@
             spent: false,
             load: None,
         };
-        self.tell(instance, ModuleEvent::Ended(id, end));
+        self.tell(instance, ModuleEvent::AttemptEnded(id, end));
         if served {
             self.answer(key, Answer::Served);
         } else {
@@ -654,23 +661,23 @@
             let Some(attempt) = self.attempts.get_mut(key) else { return };
             attempt.place = Place::Lost;
             if connects {
-                (attempt.place, attempt.outcome) = (Place::Answering, Outcome::ConnectFailed);
+                (attempt.place, attempt.outcome) = (Place::Answering, AttemptOutcome::ConnectFailed);
                 self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::Answered(key));
             }
             return;
         }
         if life == Life::Down {
-            return self.finish(key, Outcome::ConnectFailed);
+            return self.finish(key, AttemptOutcome::ConnectFailed);
         }
         if stale {
-            return self.finish(key, Outcome::Reset);
+            return self.finish(key, AttemptOutcome::Reset);
         }
         if self.falls(upstream) {
             self.counts.cold_falls += 1;
             let process = self.servers[upstream].process;
             self.stop(upstream, Life::Down);
-            self.notice(upstream, Lifecycle::Gone, false, Holds::Process(process + 1));
-            return self.finish(key, Outcome::ConnectFailed);
+            self.notice(upstream, EndpointState::Removed, false, Holds::Process(process + 1));
+            return self.finish(key, AttemptOutcome::ConnectFailed);
         }
         let slots = self.topology.service_of(upstream).slots;
         let server = &mut self.servers[upstream];
@@ -682,7 +689,7 @@
                 attempt.place = Place::Queued;
             }
         } else {
-            self.finish(key, Outcome::Full);
+            self.finish(key, AttemptOutcome::Rejected);
         }
         debug_assert!(now >= sent);
     }
@@ -743,7 +750,7 @@
         let fault = &self.config.tier_fault;
         let failing = self.tier_fails && (fault.all_tiers || tier == self.config.watched_tier());
         if failing && self.rng.random_bool(fault.share) {
-            self.finish(key, Outcome::Error);
+            self.finish(key, AttemptOutcome::Error);
         } else {
             self.call_on(key);
         }
@@ -755,7 +762,7 @@
         while let Some(key) = self.servers[upstream].queue.pop_front() {
             match self.attempts.get(key).map(|attempt| (attempt.waited, now < attempt.until)) {
                 Some((true, true)) => return self.begin(key),
-                Some((true, false)) => self.finish(key, Outcome::Full),
+                Some((true, false)) => self.finish(key, AttemptOutcome::Rejected),
                 Some((false, _)) => drop(self.attempts.remove(key)),
                 None => {}
             }
@@ -777,11 +784,11 @@
                 return;
             }
         }
-        self.finish(key, Outcome::Ok);
+        self.finish(key, AttemptOutcome::Success);
     }
 
     /// An upstream answers an attempt.
-    fn finish(&mut self, key: Key, outcome: Outcome) {
+    fn finish(&mut self, key: Key, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let way = self.way_of(attempt).filter(|_| attempt.waited);
         let waited = attempt.waited;
@@ -824,14 +831,14 @@
         let Some(call) = self.calls.get_mut(key).filter(|call| call.owed) else { return };
         call.owed = false;
         let (instance, id) = (call.instance, call.id);
-        self.tell(instance, ModuleEvent::ClientGone(id));
+        self.tell(instance, ModuleEvent::ClientDisconnected(id));
         self.forget_if_done(key);
     }
 
     // ---- Lists ----
 
     /// A change of an upstream's entry comes into the list once discovery has noticed it.
-    fn notice(&mut self, upstream: usize, lifecycle: Lifecycle, silent: bool, holds: Holds) {
+    fn notice(&mut self, upstream: usize, lifecycle: EndpointState, silent: bool, holds: Holds) {
         let happened = self.queue.now();
         let at = self.discovery.notice(happened, silent);
         self.queue.push(at, Event::Notice(self.notices.len() as u32));
@@ -849,10 +856,10 @@
         }
     }
 
-    fn list(&mut self, upstream: usize, lifecycle: Lifecycle, happened: Time) {
+    fn list(&mut self, upstream: usize, lifecycle: EndpointState, happened: Time) {
         let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
         let started = self.servers[upstream].started;
-        let change = |entry: &mut ListEntry| (entry.lifecycle, entry.started) = (lifecycle, started);
+        let change = |entry: &mut EndpointEntry| (entry.lifecycle, entry.started) = (lifecycle, started);
         self.discovery.change(service, entry, change, happened, &mut self.queue);
         self.counts.changes += 1;
     }
@@ -871,7 +878,7 @@
         self.next_change();
         let upstream = self.rng.random_range(0..self.servers.len());
         let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
-        let change = |entry: &mut ListEntry| entry.size = if entry.size < 1.0 { 1.0 } else { 0.9 };
+        let change = |entry: &mut EndpointEntry| entry.size = if entry.size < 1.0 { 1.0 } else { 0.9 };
         self.discovery.change(service, entry, change, self.queue.now(), &mut self.queue);
         self.counts.changes += 1;
     }
@@ -888,7 +895,7 @@
                 let upstream = self.restart_order[at as usize];
                 if self.servers[upstream].life == Life::Up {
                     self.counts.restarts += 1;
-                    self.list(upstream, Lifecycle::Draining, self.queue.now());
+                    self.list(upstream, EndpointState::Draining, self.queue.now());
                     let at = self.queue.now() + seconds(self.config.rolling_restart.drain_s);
                     self.queue.push(at, Event::Stop(upstream as u32));
                 }
@@ -904,7 +911,7 @@
             if lost {
                 self.stop(upstream, Life::Silent);
                 let process = self.servers[upstream].process;
-                self.notice(upstream, Lifecycle::Gone, true, Holds::Process(process));
+                self.notice(upstream, EndpointState::Removed, true, Holds::Process(process));
             } else {
                 self.on_start(upstream);
             }
@@ -936,12 +943,12 @@
         for upstream in 0..self.servers.len() {
             if Topology::regions_differ(self.config, 0, self.topology.upstreams[upstream].zone) {
                 let list = self.discovery.list(self.topology.upstreams[upstream].service);
-                let gone = list[self.topology.place(upstream)].lifecycle == Lifecycle::Gone;
+                let gone = list[self.topology.place(upstream)].lifecycle == EndpointState::Removed;
                 if cut {
-                    self.notice(upstream, Lifecycle::Gone, true, Holds::Cut(self.cuts));
+                    self.notice(upstream, EndpointState::Removed, true, Holds::Cut(self.cuts));
                 } else if gone && self.servers[upstream].life == Life::Up {
                     let process = self.servers[upstream].process;
-                    self.notice(upstream, Lifecycle::Ready, false, Holds::Process(process));
+                    self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
                 }
             }
         }
@@ -976,7 +983,7 @@
                     self.attempts.remove(key);
                 }
             } else {
-                self.finish(key, Outcome::Reset);
+                self.finish(key, AttemptOutcome::Reset);
             }
         }
         self.end_instances(self.topology.upstreams[upstream].instances.clone(), life == Life::Silent);
@@ -1031,7 +1038,7 @@
         (server.recent, server.step) = ([0; FALL_STEPS], 0);
         let process = server.process;
         self.renew(self.topology.upstreams[upstream].instances.clone());
-        self.notice(upstream, Lifecycle::Ready, false, Holds::Process(process));
+        self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
     }
 
     /// Module instances start anew, and know their lists.
@@ -1051,14 +1058,14 @@
 
     fn tell_list(&mut self, instance: usize) {
         let list = self.discovery.list(self.topology.instances[instance].service).to_vec();
-        self.tell(instance, ModuleEvent::List(&list));
+        self.tell(instance, ModuleEvent::EndpointList(&list));
     }
 
     /// Tells an instance of an event, does what it says, and tells it of what came of that at once.
     fn tell(&mut self, instance: usize, event: ModuleEvent<'_>) {
         self.handle(instance, event);
         while let Some((instance, id, end)) = self.pending.pop_front() {
-            self.handle(instance, ModuleEvent::Ended(id, end));
+            self.handle(instance, ModuleEvent::AttemptEnded(id, end));
             if let Some(&key) = self.nodes[instance].calls.get(&id) {
                 self.forget_if_done(key);
             }
@@ -1082,17 +1089,17 @@
             Action::Send { id, server, until, begin_by } => {
                 self.send(instance, id, server, (until, begin_by))
             }
-            Action::Refuse { id, .. } => self.answer_id(instance, id, Answer::Refused),
+            Action::Reject { id, .. } => self.answer_id(instance, id, Answer::Refused),
             Action::Fail(id) => self.answer_id(instance, id, Answer::Failed),
             Action::Cancel { id, attempt } => self.withdraw(instance, id, attempt),
-            Action::Close(server) => {
+            Action::CloseIdle(server) => {
                 self.nodes[instance].idle[self.topology.place(server.0 as usize)].count = 0;
             }
             Action::SetTimer { after, token } => {
                 self.queue.push(self.queue.now().saturating_add(after), Event::Timer(instance as u32, token));
             }
-            Action::Watch => self.discovery.watch(instance, &mut self.queue),
-            Action::Probe(_) => self.counts.probes += 1, // the settings allow none
+            Action::WatchEndpoints => self.discovery.watch(instance, &mut self.queue),
+            Action::QueryLoad(_) => self.counts.probes += 1, // the settings allow none
             Action::Log(_) => self.counts.logs += 1,
         }
     }
@@ -1113,8 +1120,14 @@
         let Some(call) = self.calls.get_mut(key) else { return };
         call.out = None;
         let (elapsed, closed) = (self.queue.now() - sent, !call.owed);
-        let end =
-            End { attempt: number, outcome: Outcome::Cancelled, elapsed, closed, spent: false, load: None };
+        let end = AttemptEnd {
+            attempt: number,
+            outcome: AttemptOutcome::Cancelled,
+            elapsed,
+            closed,
+            spent: false,
+            load: None,
+        };
         self.pending.push_back((instance, id, end));
     }
 }
@@ -1130,12 +1143,12 @@
 /// A module instance as its balancer starts it.
 fn balancer(
     config: &Config,
-    classes: &[Class],
+    classes: &[RequestClass],
     topology: &Topology,
     instance: &Instance,
     seed: u64,
     now: Time,
-) -> Balancer {
+) -> LoadBalancer {
     let tier = match instance.owner {
         Owner::Front(_) => 0,
         Owner::Upstream(upstream) => topology.services[topology.upstreams[upstream].service].tier + 1,
@@ -1143,28 +1156,28 @@
     let settings = Settings {
         classes: classes.to_vec(),
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
-        worth_by_work: false,
+        over_quota_weight: 1.0,
+        weight_by_work: false,
         zone: ZoneId(instance.zone as u8),
         zones: config.zones,
         siblings: topology.services[instance.service].callers.len() as u32,
         tier,
-        passes_deadline: true,
-        ask_discovery: config.discovery.ask,
-        ask_within: seconds(config.discovery.ask_within_s),
+        propagates_deadline: true,
+        polls_discovery: config.discovery.ask,
+        poll_within: seconds(config.discovery.ask_within_s),
         may_cancel: true,
         max_retry_after: SECOND,
         max_attempts: config.max_attempts,
-        conn_idle: seconds(config.conn_idle_s),
-        start_capacity: config.start_capacity,
-        tip_multiple: config.tip_multiple,
-        ramp_time: seconds(config.ramp_s),
-        report_inflight: None,
-        load_by_probe: false,
-        cross_price: config.cross_price,
-        probe_price: 1.0,
+        idle_timeout: seconds(config.conn_idle_s),
+        initial_capacity: config.start_capacity,
+        overload_multiple: config.tip_multiple,
+        warm_up_time: seconds(config.ramp_s),
+        reported_in_flight: None,
+        load_on_request: false,
+        cross_zone_price: config.cross_price,
+        load_query_price: 1.0,
     };
-    Balancer::new(settings, seed, now).expect("settings that come from a checked configuration hold")
+    LoadBalancer::new(settings, seed, now).expect("settings that come from a checked configuration hold")
 }
 
 /// What a balancer adds to a call, or to its answer.
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -5,24 +5,24 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
-use woadstall::api::{Class, Effect, Group};
+use woadstall::api::{DeduplicationGroup, Idempotency, RequestClass};
 
 /// How long the servers of a group drop the repeats of a keyed request.
 const KEY_WINDOW: Time = 10 * SECOND;
 
 /// The classes of a configuration: their effects go round, safe ones first and most often.
-pub fn classes(config: &Config) -> Vec<Class> {
+pub fn classes(config: &Config) -> Vec<RequestClass> {
     let effect = |at: usize| match at % 4 {
-        1 => Effect::Keyed(Group::Zone, KEY_WINDOW),
-        2 => Effect::Unsafe,
-        _ => Effect::Safe,
+        1 => Idempotency::Keyed(DeduplicationGroup::Zone, KEY_WINDOW),
+        2 => Idempotency::NonIdempotent,
+        _ => Idempotency::Idempotent,
     };
-    let class = |at| Class {
+    let class = |at| RequestClass {
         aim: millis(config.aim_ms),
-        aim_stretch: 0.0,
+        objective_stretch: 0.0,
         deadline: millis(config.deadline_ms),
         effect: effect(at),
-        late_worth: 0.0,
+        late_weight: 0.0,
         worth: 1.0,
     };
     (0..config.classes).map(class).collect()
--- a/src/api.rs
+++ b/src/api.rs
@@ -14,7 +14,7 @@
 
 /// An upstream server. The id says nothing of its zone, kind or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ServerId(pub u32);
+pub struct EndpointId(pub u32);
 
 /// Position of a zone in the deployment's list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -22,18 +22,18 @@
 
 /// What repeating a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat and to refuse at any time.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the servers of one group for a while.
-    Keyed(Group, Duration),
+    Keyed(DeduplicationGroup, Duration),
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The servers that drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationGroup {
     /// All servers.
     All,
     /// Those in the zone of the first server that may have run it.
@@ -44,18 +44,18 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns the full worth.
     pub aim: Duration,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The longest that a client waits, over all its tries.
     pub deadline: Duration,
     /// What repeating does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
-    /// Worth of one request, or of a unit of its work if `Settings::worth_by_work`.
+    pub late_weight: f64,
+    /// Worth of one request, or of a unit of its work if `Settings::weight_by_work`.
     pub worth: f64,
 }
 
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes; requests name them by position.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Part of its worth that a request beyond its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth is measured per unit of work, not per request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// The zone of this balancer.
     pub zone: ZoneId,
     /// Number of zones.
@@ -86,11 +86,11 @@
     /// The tier that this balancer sends to; 0 serves the clients.
     pub tier: u32,
     /// A call to a deeper tier carries the time its caller has left.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// Discovery answers only when asked.
-    pub ask_discovery: bool,
+    pub polls_discovery: bool,
     /// Without a subscription, a balancer counts as told of whatever was listed this long ago.
-    pub ask_within: Duration,
+    pub poll_within: Duration,
     /// Attempts that may be cancelled.
     pub may_cancel: bool,
     /// The longest advice on when to come back that clients follow.
@@ -98,21 +98,21 @@
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Idle connections are closed after this time.
-    pub conn_idle: Duration,
+    pub idle_timeout: Duration,
     /// A cold server starts with this part of its capacity.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// A cold server sent more than this multiple of what it can do falls over.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// A cold server is warm after this time.
-    pub ramp_time: Duration,
+    pub warm_up_time: Duration,
     /// Position of the requests-held figure in load reports, if they carry it.
-    pub report_inflight: Option<usize>,
+    pub reported_in_flight: Option<usize>,
     /// Load reports come with probes alone, and probes are allowed.
-    pub load_by_probe: bool,
+    pub load_on_request: bool,
     /// What a crossing of zones for each request costs, as part of all requests' worth.
-    pub cross_price: f64,
+    pub cross_zone_price: f64,
     /// What a probe for each request costs, as part of all requests' worth.
-    pub probe_price: f64,
+    pub load_query_price: f64,
 }
 
 /// What is wrong with settings; the text names the field.
@@ -137,8 +137,8 @@
         }
         for (at, class) in self.classes.iter().enumerate() {
             let figures = [
-                ("aim_stretch", class.aim_stretch),
-                ("late_worth", class.late_worth),
+                ("aim_stretch", class.objective_stretch),
+                ("late_worth", class.late_weight),
                 ("worth", class.worth),
             ];
             if let Some((field, figure)) = figures.into_iter().find(|&(_, figure)| !sound(figure)) {
@@ -158,14 +158,14 @@
         if self.max_attempts == 0 {
             return error("`max_attempts` is 0".into());
         }
-        if !(0.0..=1.0).contains(&self.start_capacity) {
-            return error(format!("`start_capacity` is {}, not between 0 and 1", self.start_capacity));
+        if !(0.0..=1.0).contains(&self.initial_capacity) {
+            return error(format!("`initial_capacity` is {}, not between 0 and 1", self.initial_capacity));
         }
         let figures = [
-            ("over_quota_worth", self.over_quota_worth),
-            ("probe_price", self.probe_price),
-            ("cross_price", self.cross_price),
-            ("tip_multiple", self.tip_multiple),
+            ("over_quota_worth", self.over_quota_weight),
+            ("probe_price", self.load_query_price),
+            ("cross_price", self.cross_zone_price),
+            ("tip_multiple", self.overload_multiple),
         ];
         match figures.into_iter().find(|&(_, figure)| !sound(figure)) {
             Some((field, figure)) => error(format!("`{field}` is {figure}")),
@@ -176,26 +176,26 @@
 
 /// Where a server stands in its life, as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lifecycle {
+pub enum EndpointState {
     /// Takes work.
-    Ready,
+    InService,
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListEntry {
+pub struct EndpointEntry {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// The cell it shares its seen keys with.
     pub cell: u16,
     /// Whether it takes work.
-    pub lifecycle: Lifecycle,
+    pub lifecycle: EndpointState,
     /// Its size, to be compared with the sizes of others.
     pub size: f32,
     /// When its process started last; `None` if long past.
@@ -204,15 +204,15 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Answered.
-    Ok,
+    Success,
     /// The server answered with an error; it may have run.
     Error,
     /// The server found fault with the request, and its answer is the final one: it tells nothing of the server.
-    Declined,
+    InvalidRequest,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer within the attempt's limit; it may have run.
     Timeout,
     /// No connection; it never ran.
@@ -222,13 +222,13 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
@@ -243,7 +243,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Demand {
+pub struct IncomingRequest {
     /// Its class.
     pub class: usize,
     /// Its tenant.
@@ -258,11 +258,11 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub elapsed: Duration,
     /// The request has its final answer.
@@ -277,27 +277,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
     /// Changed entries of the list of servers.
-    ListChange(&'a [ListEntry]),
+    EndpointsChanged(&'a [EndpointEntry]),
     /// The whole list of servers; what is missing from it is gone.
-    List(&'a [ListEntry]),
+    EndpointList(&'a [EndpointEntry]),
     /// A call to discovery failed or the subscription broke; the list stays as it was.
-    ListFailed,
+    DiscoveryFailed,
     /// Discovery is another service from now on, and has not been asked yet; the list stays as it was.
-    ListMoved,
+    DiscoveryMoved,
     /// A request to be answered once.
-    Request(RequestId, Demand),
+    Request(RequestId, IncomingRequest),
     /// The answer of a streamed request began at this attempt; no deadline runs any more.
-    Started(RequestId, u32),
+    ResponseStarted(RequestId, u32),
     /// An attempt ended.
-    Ended(RequestId, End),
+    AttemptEnded(RequestId, AttemptEnd),
     /// The client left; no answer is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A probe of a server ended, with the server's own figures if any came along.
-    Probed(ServerId, Outcome, Option<LoadReport>),
+    LoadQueryEnded(EndpointId, AttemptOutcome, Option<LoadReport>),
     /// An operator has taken a server out, listed or not; it stays out until put back.
-    Offline(ServerId),
+    Offline(EndpointId),
     /// An operator has put a server back.
-    Online(ServerId),
+    Online(EndpointId),
     /// A timer that this balancer set.
     Timer(u64),
 }
@@ -310,14 +310,14 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
         /// When the attempt is given up.
         until: Time,
         /// When it must have begun, or it is never sent: its servers may run a later repeat anew.
         begin_by: Option<Time>,
     },
     /// Final answer: refused, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice on how long to stay away; 0 for none.
@@ -333,9 +333,9 @@
         attempt: u32,
     },
     /// Ask a server for its figures.
-    Probe(ServerId),
+    QueryLoad(EndpointId),
     /// Close the idle connections to a server.
-    Close(ServerId),
+    CloseIdle(EndpointId),
     /// Ask for `Event::Timer` after a while.
     SetTimer {
         /// From now.
@@ -344,7 +344,7 @@
         token: u64,
     },
     /// Subscribe to changes of the list.
-    Watch,
+    WatchEndpoints,
     /// A line for the operators.
     Log(String),
 }
--- a/src/bin/woadstall-wirehost.rs
+++ b/src/bin/woadstall-wirehost.rs
@@ -6,8 +6,8 @@
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
 use std::process::ExitCode;
-use woadstall::Balancer;
-use woadstall::api::{Action, Event, ListEntry, Time};
+use woadstall::LoadBalancer;
+use woadstall::api::{Action, EndpointEntry, Event, Time};
 use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
 
 fn main() -> ExitCode {
@@ -60,8 +60,8 @@
 
 #[derive(Default)]
 struct Host {
-    instances: HashMap<u32, Balancer>,
-    tables: [Vec<ListEntry>; TABLES],
+    instances: HashMap<u32, LoadBalancer>,
+    tables: [Vec<EndpointEntry>; TABLES],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -71,7 +71,7 @@
         match record {
             Record::PowerOn { instance, seed, settings } => {
                 let balancer = wire::settings(settings).and_then(|settings| {
-                    Balancer::new(settings, seed, now)
+                    LoadBalancer::new(settings, seed, now)
                         .map_err(|error| WireError::new(format!("settings: {error}")))
                 });
                 match balancer {
@@ -83,7 +83,8 @@
             Record::Table(number, entries) => self.tables[number] = entries,
             Record::Announce { instance, table, delta } => {
                 let entries = &self.tables[table];
-                let event = if delta { Event::ListChange(entries) } else { Event::List(entries) };
+                let event =
+                    if delta { Event::EndpointsChanged(entries) } else { Event::EndpointList(entries) };
                 if let Some(balancer) = self.instances.get_mut(&instance) {
                     balancer.handle(now, event, &mut self.actions);
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,4 +8,4 @@
 mod state;
 pub mod wire;
 
-pub use policy::Balancer;
+pub use policy::LoadBalancer;
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -14,7 +14,7 @@
 use std::task::{Context, Poll};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
-use woadstall::api::Outcome;
+use woadstall::api::AttemptOutcome;
 
 /// Largest body that is kept whole: a request so that it can be sent again, an answer so that it can be judged
 /// before its caller gets any of it. The time of a longer one is that of its first bytes.
@@ -302,12 +302,12 @@
         if let (Some(report), Some(connection)) = (self.report.take(), self.connection.take()) {
             tokio::spawn(async move {
                 let connection = connection.settled().await;
-                report(Finished { outcome: Outcome::Ok, response: None, connection });
+                report(Finished { outcome: AttemptOutcome::Success, response: None, connection });
             });
         }
     }
 
-    fn broken(&mut self, outcome: Outcome) -> Broken {
+    fn broken(&mut self, outcome: AttemptOutcome) -> Broken {
         self.connection = None;
         if let Some(report) = self.report.take() {
             report(outcome.into());
@@ -326,13 +326,13 @@
                     }
                     Poll::Ready(Some(Ok(data)))
                 }
-                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(self.broken(Outcome::Reset)))),
+                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(self.broken(AttemptOutcome::Reset)))),
                 Poll::Ready(None) => {
                     self.done();
                     Poll::Ready(None)
                 }
                 Poll::Pending => match self.rate.poll_too_slow(cx) {
-                    Poll::Ready(()) => Poll::Ready(Some(Err(self.broken(Outcome::Timeout)))),
+                    Poll::Ready(()) => Poll::Ready(Some(Err(self.broken(AttemptOutcome::Timeout)))),
                     Poll::Pending => Poll::Pending,
                 },
             };
@@ -343,7 +343,7 @@
 impl Drop for Passing {
     /// Its caller has left, unless the end was told before.
     fn drop(&mut self) {
-        self.broken(Outcome::Cancelled);
+        self.broken(AttemptOutcome::Cancelled);
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -90,7 +90,7 @@
     mut addresses: watch::Receiver<SocketAddr>,
     told: watch::Sender<bool>,
 ) {
-    let asked = config.settings.ask_discovery;
+    let asked = config.settings.polls_discovery;
     told.send_replace(asked);
     let mut known = Some(config.known.rev);
     loop {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -24,9 +24,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::{
-    Action, Demand, End, Event, Lifecycle, ListEntry, LoadReport, Outcome, RequestId, ServerId, Time, ZoneId,
+    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event, IncomingRequest,
+    LoadReport, RequestId, Time, ZoneId,
 };
 
 /// The safety net answers this much after a request's time, when the module should long have done so.
@@ -55,7 +56,7 @@
     /// An attempt ended.
     Ended(RequestId, u32, Finished),
     /// A probe of an upstream ended.
-    Probed(ServerId, Finished),
+    Probed(EndpointId, Finished),
     /// There are no descriptors left to take callers with.
     DescriptorsShort,
     /// Discovery has answered.
@@ -125,7 +126,7 @@
 /// An attempt that has not ended.
 struct Out {
     number: u32,
-    server: ServerId,
+    server: EndpointId,
     /// The process that it was sent to.
     upstream: Upstream,
     sent: Time,
@@ -154,12 +155,12 @@
 }
 
 /// An event that waits for the module to be done with the one before.
-type Pending = (RequestId, End);
+type Pending = (RequestId, AttemptEnd);
 
 /// The task that owns the decision module.
 pub struct Driver {
     config: Arc<Config>,
-    balancer: Balancer,
+    balancer: LoadBalancer,
     clock: Clock,
     inputs: UnboundedSender<Input>,
     subscribe: UnboundedSender<()>,
@@ -176,9 +177,9 @@
     start_times: StartTimes,
     requests: HashMap<RequestId, Open>,
     /// The upstreams that are listed, and the number of the next new one: none is given out twice.
-    ids: HashMap<String, ServerId>,
+    ids: HashMap<String, EndpointId>,
     next_server: u32,
-    servers: HashMap<ServerId, Upstream>,
+    servers: HashMap<EndpointId, Upstream>,
     idle: Idle,
     budget: Arc<Budget>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
@@ -207,9 +208,9 @@
         shared: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
-        let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())
+        let balancer = LoadBalancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
-        let idle = Idle::new(Duration::from_nanos(config.settings.conn_idle), config.limits.upstreams);
+        let idle = Idle::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
         let (shared, folder_state) = shared.unzip();
         let mut driver = Self {
             balancer,
@@ -276,8 +277,8 @@
             Input::Probed(server, finished) => self.on_probed(server, finished),
             Input::DescriptorsShort => self.idle.close_all(),
             Input::Listed(listing) => self.on_listed(listing, ListOrigin::Discovery),
-            Input::ListFailed => self.tell(Event::ListFailed),
-            Input::ListMoved => self.tell(Event::ListMoved),
+            Input::ListFailed => self.tell(Event::DiscoveryFailed),
+            Input::ListMoved => self.tell(Event::DiscoveryMoved),
             Input::Ordered(request) => self.on_ordered(request),
             Input::Folder(event) => self.on_folder(event),
         }
@@ -316,7 +317,7 @@
     fn on_net(&mut self, id: RequestId) {
         super::log(format_args!("request {} was left open past its time", id.0));
         self.answer(id, Answer::Failed);
-        self.tell(Event::ClientGone(id));
+        self.tell(Event::ClientDisconnected(id));
     }
 
     // ---- Operators ----
@@ -395,7 +396,7 @@
     }
 
     /// An order outlives the entry of its upstream on the list, and the name outlives the order.
-    fn remember_former(&mut self, uid: &str, server: ServerId) {
+    fn remember_former(&mut self, uid: &str, server: EndpointId) {
         let is_listed = self.servers.contains_key(&server);
         if !is_listed && !self.former.iter().any(|former| former == uid) {
             self.former.push_back(uid.to_owned());
@@ -408,14 +409,14 @@
         let reading = self.clock.read();
         self.start_times.learn_clocks(reading);
         let entry = |target| self.entry(target, origin, reading);
-        let entries: Vec<ListEntry> = listing.targets.iter().map(entry).collect();
+        let entries: Vec<EndpointEntry> = listing.targets.iter().map(entry).collect();
         if listing.all {
-            self.tell(Event::List(&entries));
+            self.tell(Event::EndpointList(&entries));
         } else if !entries.is_empty() {
-            self.tell(Event::ListChange(&entries));
+            self.tell(Event::EndpointsChanged(&entries));
         }
         self.forget_gone(&listing);
-        if entries.iter().any(|entry| entry.lifecycle == Lifecycle::Ready) {
+        if entries.iter().any(|entry| entry.lifecycle == EndpointState::InService) {
             self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
         self.show_hosts();
@@ -459,19 +460,19 @@
 
     /// Withdraws the attempts that still wait for a connection to an upstream: once it is there, they would be
     /// written. The module hears that they were never sent.
-    fn take_back(&mut self, server: ServerId) {
+    fn take_back(&mut self, server: EndpointId) {
         let out = self.requests.values_mut().flat_map(|open| &mut open.out);
         out.filter(|out| out.server == server).for_each(Out::take_back);
     }
 
-    fn id(&mut self, uid: &str) -> ServerId {
+    fn id(&mut self, uid: &str) -> EndpointId {
         *self.ids.entry(uid.to_owned()).or_insert_with(|| {
             self.next_server += 1;
-            ServerId(self.next_server)
+            EndpointId(self.next_server)
         })
     }
 
-    fn entry(&mut self, target: &Target, origin: ListOrigin, reading: ClockReading) -> ListEntry {
+    fn entry(&mut self, target: &Target, origin: ListOrigin, reading: ClockReading) -> EndpointEntry {
         let server = self.id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
@@ -487,14 +488,14 @@
         self.servers.insert(server, upstream);
         let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
         let zone = self.config.names.zones.iter().position(|zone| *zone == target.az);
-        ListEntry {
+        EndpointEntry {
             server,
             zone: ZoneId(zone.and_then(|zone| u8::try_from(zone).ok()).unwrap_or(u8::MAX)),
             cell: target.pod_group,
             lifecycle: match target.state {
-                State::InService => Lifecycle::Ready,
-                State::Terminating => Lifecycle::Draining,
-                State::Terminated => Lifecycle::Gone,
+                State::InService => EndpointState::InService,
+                State::Terminating => EndpointState::Draining,
+                State::Terminated => EndpointState::Removed,
             },
             size: target.capacity_hint,
             started,
@@ -507,7 +508,8 @@
         let (id, deadline, now) = (call.id, self.clock.time(call.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().rest.is_some();
-        let demand = Demand { class: call.class, tenant: call.tenant, time_left, work: call.work, streamed };
+        let demand =
+            IncomingRequest { class: call.class, tenant: call.tenant, time_left, work: call.work, streamed };
         let caller_until = deadline;
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
@@ -539,7 +541,7 @@
 
     fn on_caller_gone(&mut self, id: RequestId) {
         if self.take_answer(id).is_some() {
-            self.tell(Event::ClientGone(id));
+            self.tell(Event::ClientDisconnected(id));
             self.forget_if_done(id);
         }
     }
@@ -575,7 +577,7 @@
 
     // ---- Attempts ----
 
-    fn send(&mut self, id: RequestId, server: ServerId, until: Time, begin_by: Option<Time>) {
+    fn send(&mut self, id: RequestId, server: EndpointId, until: Time, begin_by: Option<Time>) {
         let now = self.clock.now();
         let Some(open) = self.requests.get_mut(&id) else { return };
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
@@ -623,9 +625,9 @@
             let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
             let exchanged = tokio::select! {
                 biased; // nobody wants the answer to what is withdrawn, while one that comes just in time counts
-                _ = cancelled => unless_sent(Outcome::Cancelled, Outcome::Moot).into(),
+                _ = cancelled => unless_sent(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
                 exchanged = exchange => exchanged,
-                () = expiry => unless_sent(Outcome::Timeout, Outcome::ConnectFailed).into(),
+                () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
             };
             let input = match exchanged {
                 Exchanged::Ended(finished) => Input::Ended(id, number, finished),
@@ -661,7 +663,8 @@
         let open = self.requests.get(&id);
         let closed = open.is_none_or(|open| open.answer.is_none());
         let spent = open.is_some_and(|open| open.request.body().is_spent());
-        let end = End { attempt, outcome: Outcome::Moot, elapsed: 0, closed, spent, load: None };
+        let end =
+            AttemptEnd { attempt, outcome: AttemptOutcome::NotSent, elapsed: 0, closed, spent, load: None };
         self.pending.push_back((id, end));
     }
 
@@ -670,7 +673,7 @@
         let deadline = self.requests.get(&id).and_then(|open| open.deadline);
         let deadline = deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_answer(id) else {
-            return self.on_ended(id, number, Outcome::Cancelled.into());
+            return self.on_ended(id, number, AttemptOutcome::Cancelled.into());
         };
         let load = self.load_report(&begun.head);
         let open = self.requests.get_mut(&id);
@@ -685,7 +688,7 @@
         if let Some(out) = out {
             out.begun = Some((answer.end(), load));
         }
-        self.tell(Event::Started(id, number));
+        self.tell(Event::ResponseStarted(id, number));
         sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
     }
 
@@ -707,18 +710,18 @@
         if let Some((end, figures)) = out.begun {
             load = figures;
             match finished.outcome {
-                Outcome::Ok => self.counters.count(class, end),
-                Outcome::Cancelled => {} // its caller left
+                AttemptOutcome::Success => self.counters.count(class, end),
+                AttemptOutcome::Cancelled => {} // its caller left
                 _ => self.counters.count(class, counters::End::Failure),
             }
         }
-        let closing = matches!(finished.outcome, Outcome::Ok | Outcome::Declined);
+        let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
         if let Some(response) = finished.response.filter(|_| closing) {
             self.answer(id, Answer::Served(response.map(Reply::from)));
         }
         let closed = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
-        let end = End { attempt, outcome: finished.outcome, elapsed, closed, spent, load };
-        self.tell(Event::Ended(id, end));
+        let end = AttemptEnd { attempt, outcome: finished.outcome, elapsed, closed, spent, load };
+        self.tell(Event::AttemptEnded(id, end));
         self.forget_if_done(id);
     }
 
@@ -730,7 +733,7 @@
 
     // ---- Probes, where the settings allow them ----
 
-    fn probe(&mut self, server: ServerId) {
+    fn probe(&mut self, server: EndpointId) {
         let Some(address) = self.servers.get(&server).and_then(|upstream| upstream.address) else { return };
         let Some(link) = self.idle.link(server) else { return }; // the module does not wait for a probe's end
         let mut request = Request::new(Payload::default());
@@ -741,21 +744,21 @@
         tokio::spawn(async move {
             let finished = match timeout(PROBE_PATIENCE, exchange).await {
                 Ok(Exchanged::Ended(finished) | Exchanged::CallerLeft(finished)) => finished,
-                Ok(Exchanged::Begun(_)) => Outcome::Error.into(), // no figures are so long
-                Err(_) => Outcome::Timeout.into(),
+                Ok(Exchanged::Begun(_)) => AttemptOutcome::Error.into(), // no figures are so long
+                Err(_) => AttemptOutcome::Timeout.into(),
             };
             inputs.send(Input::Probed(server, finished)).ok();
         });
     }
 
-    fn on_probed(&mut self, server: ServerId, finished: Finished) {
+    fn on_probed(&mut self, server: EndpointId, finished: Finished) {
         if let Some(connection) = finished.connection.filter(|_| self.servers.contains_key(&server)) {
             self.idle.put(server, connection);
         }
         let load = finished
             .response
             .and_then(|response| load_report(response.body(), &self.config.names.report_fields));
-        self.tell(Event::Probed(server, finished.outcome, load));
+        self.tell(Event::LoadQueryEnded(server, finished.outcome, load));
     }
 
     // ---- The module ----
@@ -764,7 +767,7 @@
     fn tell(&mut self, event: Event<'_>) {
         self.handle(event);
         while let Some((id, end)) = self.pending.pop_front() {
-            self.handle(Event::Ended(id, end));
+            self.handle(Event::AttemptEnded(id, end));
         }
     }
 
@@ -778,7 +781,7 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Send { id, server, until, begin_by } => self.send(id, server, until, begin_by),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(id, Answer::Refused(Duration::from_nanos(retry_after)));
             }
             Action::Fail(id) => self.answer(id, Answer::Failed),
@@ -789,10 +792,10 @@
                     out.cancel = None;
                 }
             }
-            Action::Probe(server) => self.probe(server),
-            Action::Close(server) => self.idle.close(server),
+            Action::QueryLoad(server) => self.probe(server),
+            Action::CloseIdle(server) => self.idle.close(server),
             Action::SetTimer { after, token } => self.set_timer(after, Timer::Module(token)),
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 self.subscribe.send(()).ok(); // discovery ends only with the program
             }
             Action::Log(text) => super::log(format_args!("{text}")),
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -28,7 +28,7 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
-use woadstall::api::{Effect, RequestId, Settings};
+use woadstall::api::{Idempotency, RequestId, Settings};
 use woadstall::policy::longest_wait;
 
 /// How long callers are still served after a signal to stop, at least: they hear of it late.
@@ -587,10 +587,10 @@
         }
         let keyed = text(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
         let method = match self.config.settings.classes[class].effect {
-            Effect::Safe if request.method() == Method::HEAD => Method::HEAD,
-            Effect::Safe => Method::GET,
-            Effect::Keyed(..) if !keyed => return Err(bad("Idempotency-Key is missing\n")),
-            Effect::Keyed(..) | Effect::Unsafe => Method::POST,
+            Idempotency::Idempotent if request.method() == Method::HEAD => Method::HEAD,
+            Idempotency::Idempotent => Method::GET,
+            Idempotency::Keyed(..) if !keyed => return Err(bad("Idempotency-Key is missing\n")),
+            Idempotency::Keyed(..) | Idempotency::NonIdempotent => Method::POST,
         };
         if request.method() != method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n"));
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant};
-use woadstall::api::{Outcome, ServerId};
+use woadstall::api::{AttemptOutcome, EndpointId};
 
 /// How long the start of a long answer may be held, for a server that breaks off at once to be found out.
 const GATHER: Duration = Duration::from_millis(50);
@@ -34,13 +34,13 @@
 
 /// How an attempt ended, with the answer if it is whole and the connection if it can be used again.
 pub struct Finished {
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     pub response: Option<Response<Bytes>>,
     pub connection: Option<Connection>,
 }
 
-impl From<Outcome> for Finished {
-    fn from(outcome: Outcome) -> Self {
+impl From<AttemptOutcome> for Finished {
+    fn from(outcome: AttemptOutcome) -> Self {
         Self { outcome, response: None, connection: None }
     }
 }
@@ -62,8 +62,8 @@
     pub room: Option<Room>,
 }
 
-impl From<Outcome> for Exchanged {
-    fn from(outcome: Outcome) -> Self {
+impl From<AttemptOutcome> for Exchanged {
+    fn from(outcome: AttemptOutcome) -> Self {
         Self::Ended(outcome.into())
     }
 }
@@ -137,9 +137,11 @@
             };
             match Connection::open(means.address, slot, patience).await {
                 Ok(connection) => connection,
-                Err(ConnectError::Local(_)) => return Outcome::Moot.into(),
-                Err(ConnectError::TimedOut) if is_late() => return Outcome::Moot.into(), // before its own time was over
-                Err(ConnectError::Peer(_) | ConnectError::TimedOut) => return Outcome::ConnectFailed.into(),
+                Err(ConnectError::Local(_)) => return AttemptOutcome::NotSent.into(),
+                Err(ConnectError::TimedOut) if is_late() => return AttemptOutcome::NotSent.into(), // before its own time was over
+                Err(ConnectError::Peer(_) | ConnectError::TimedOut) => {
+                    return AttemptOutcome::ConnectFailed.into();
+                }
             }
         }
     };
@@ -151,7 +153,7 @@
         begin_by: means.begin_by,
         streamed: rest.is_some(),
     };
-    let never_sent = Finished { outcome: Outcome::Moot, response: None, connection: None };
+    let never_sent = Finished { outcome: AttemptOutcome::NotSent, response: None, connection: None };
     match conditions.may_begin() {
         Ok(budget) => {
             let budget = HeaderValue::from_str(&seconds(budget));
@@ -172,18 +174,21 @@
     let broken = || -> Exchanged {
         if let Some(reason) = lock(&progress.sending).as_ref().and_then(Sending::not_sent) {
             let begun = means.under_way.load(Ordering::Relaxed);
-            let outcome =
-                if begun && reason == NotSent::CallerLeft { Outcome::Cancelled } else { Outcome::Moot };
+            let outcome = if begun && reason == NotSent::CallerLeft {
+                AttemptOutcome::Cancelled
+            } else {
+                AttemptOutcome::NotSent
+            };
             return not_sent(reason, outcome.into());
         }
         match progress.written.load(Ordering::Relaxed) {
             // Its caller broke the request off, which says nothing of the upstream.
             _ if rest.as_ref().is_some_and(|rest| rest.is_broken()) => match caller_left() {
-                true => Exchanged::CallerLeft(Outcome::Cancelled.into()),
-                false => Outcome::Cancelled.into(),
+                true => Exchanged::CallerLeft(AttemptOutcome::Cancelled.into()),
+                false => AttemptOutcome::Cancelled.into(),
             },
-            true => Outcome::Reset.into(),
-            false => Outcome::ConnectFailed.into(),
+            true => AttemptOutcome::Reset.into(),
+            false => AttemptOutcome::ConnectFailed.into(),
         }
     };
     let request = request.map(|payload| Outgoing::new(payload, taken));
@@ -194,15 +199,15 @@
     let (head, mut body) = response.into_parts();
     let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
     let outcome = match head.status {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
+        StatusCode::OK => AttemptOutcome::Success,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => AttemptOutcome::Rejected,
         // 408 and 429 are about the connection and the load; all else of its kind is about the request.
-        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-        status if status.is_client_error() => Outcome::Declined,
-        _ => Outcome::Error,
+        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
+        status if status.is_client_error() => AttemptOutcome::InvalidRequest,
+        _ => AttemptOutcome::Error,
     };
     if body.size_hint().lower() > MOST_BODY {
-        return Outcome::Error.into(); // larger than any answer may be
+        return AttemptOutcome::Error.into(); // larger than any answer may be
     }
     let size = body.size_hint().exact().and_then(|size| usize::try_from(size).ok());
     let small = size.filter(|size| *size <= MOST_KEPT);
@@ -220,7 +225,9 @@
         return Exchanged::Ended(Finished { outcome, response: Some(head), connection });
     }
     match outcome {
-        Outcome::Ok | Outcome::Declined => Exchanged::Begun(Box::new(Begun { head, body, connection, room })),
+        AttemptOutcome::Success | AttemptOutcome::InvalidRequest => {
+            Exchanged::Begun(Box::new(Begun { head, body, connection, room }))
+        }
         outcome => outcome.into(), // nobody gets the rest
     }
 }
@@ -381,7 +388,7 @@
     keep: Duration,
     most: usize,
     links: Arc<Links>,
-    idle: HashMap<ServerId, Vec<(Instant, Connection)>>,
+    idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
 }
 
 impl Idle {
@@ -398,7 +405,7 @@
     }
 
     /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
-    pub fn link(&mut self, server: ServerId) -> Option<Link> {
+    pub fn link(&mut self, server: EndpointId) -> Option<Link> {
         while let Some((since, connection)) = self.idle.get_mut(&server).and_then(Vec::pop) {
             if since.elapsed() < self.keep && connection.is_quiet() {
                 return Some(Link::Idle(connection));
@@ -408,12 +415,12 @@
     }
 
     /// Keeps a connection for the next attempt.
-    pub fn put(&mut self, server: ServerId, connection: Connection) {
+    pub fn put(&mut self, server: EndpointId, connection: Connection) {
         self.idle.entry(server).or_default().push((Instant::now(), connection));
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn close(&mut self, server: ServerId) {
+    pub fn close(&mut self, server: EndpointId) {
         self.idle.remove(&server);
     }
 
@@ -569,7 +576,7 @@
             assert!(!held.under_way, "it ends as never sent");
             assert!(matches!(
                 held.exchanged,
-                Some(Exchanged::CallerLeft(Finished { outcome: Outcome::Moot, .. }))
+                Some(Exchanged::CallerLeft(Finished { outcome: AttemptOutcome::NotSent, .. }))
             ));
         }
     }
@@ -588,7 +595,10 @@
         let held = held_up(None, HELD_UP, hold_up).await;
         assert_eq!(held.got, "", "nothing is left");
         assert!(!held.under_way);
-        assert!(matches!(held.exchanged, Some(Exchanged::Ended(Finished { outcome: Outcome::Moot, .. }))));
+        assert!(matches!(
+            held.exchanged,
+            Some(Exchanged::Ended(Finished { outcome: AttemptOutcome::NotSent, .. }))
+        ));
     }
 
     /// Guards rule 2: only a request whose last byte was not written is known not to have run.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -123,22 +123,22 @@
 }
 
 impl Failure {
-    fn of(outcome: Outcome) -> Self {
-        if outcome == Outcome::Timeout { Self::Unanswered } else { Self::Ended }
+    fn of(outcome: AttemptOutcome) -> Self {
+        if outcome == AttemptOutcome::Timeout { Self::Unanswered } else { Self::Ended }
     }
 }
 
 /// One balancer: all that it knows, and what it does about each event.
 #[derive(Debug)]
-pub struct Balancer {
+pub struct LoadBalancer {
     settings: Settings,
     rng: fastrand::Rng,
     now: Time,
     actions: Vec<Action>,
     servers: Vec<Server>,
-    index: HashMap<ServerId, usize>,
+    index: HashMap<EndpointId, usize>,
     /// Servers that operators have taken out, listed or not.
-    offline: HashSet<ServerId>,
+    offline: HashSet<EndpointId>,
     /// Places among the servers that nobody has.
     free: Vec<usize>,
     /// One for each zone; the last has all servers.
@@ -169,7 +169,7 @@
     watch_failures: Option<u32>,
 }
 
-impl Balancer {
+impl LoadBalancer {
     /// A balancer that has seen nothing yet. Its random numbers come from `seed` alone.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
@@ -213,18 +213,18 @@
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::ListChange(entries) => self.on_list(entries, false),
-            Event::List(entries) => self.on_list(entries, true),
-            Event::ListFailed => self.on_list_failed(),
-            Event::ListMoved => self.on_list_moved(),
+            Event::EndpointsChanged(entries) => self.on_list(entries, false),
+            Event::EndpointList(entries) => self.on_list(entries, true),
+            Event::DiscoveryFailed => self.on_list_failed(),
+            Event::DiscoveryMoved => self.on_list_moved(),
             Event::Request(id, demand) => self.on_request(id, demand),
-            Event::Started(id, attempt) => self.on_started(id, attempt),
-            Event::Ended(id, end) => self.on_ended(id, end),
-            Event::ClientGone(id) => self.on_client_gone(id),
-            Event::Probed(server, outcome, load) => self.on_probed(server, outcome, load),
+            Event::ResponseStarted(id, attempt) => self.on_started(id, attempt),
+            Event::AttemptEnded(id, end) => self.on_ended(id, end),
+            Event::ClientDisconnected(id) => self.on_client_gone(id),
+            Event::LoadQueryEnded(server, outcome, load) => self.on_probed(server, outcome, load),
             Event::Offline(server) => self.on_offline(server),
             Event::Online(server) => self.on_online(server),
-            Event::Timer(WATCH_TOKEN) => self.actions.push(Action::Watch),
+            Event::Timer(WATCH_TOKEN) => self.actions.push(Action::WatchEndpoints),
             Event::Timer(token) if token & ASK_TOKEN != 0 => self.on_asked(RequestId(token as u32)),
             Event::Timer(token) => self.on_late(token),
         }
@@ -241,7 +241,7 @@
 
     // ---- Discovery ----
 
-    fn on_list(&mut self, entries: &[ListEntry], whole: bool) {
+    fn on_list(&mut self, entries: &[EndpointEntry], whole: bool) {
         if whole {
             self.index.values().for_each(|&at| self.servers[at].gone = true);
             self.servers.iter_mut().for_each(|server| (server.listed_ready, server.ready) = (false, false));
@@ -249,14 +249,14 @@
         entries.iter().for_each(|entry| self.on_entry(entry));
         self.forget_gone();
         self.rebuild_pools();
-        if self.watch_failures.replace(0).is_none() && self.settings.ask_discovery {
+        if self.watch_failures.replace(0).is_none() && self.settings.polls_discovery {
             let spread = WATCH_SPACING.0.saturating_mul(Duration::from(self.settings.siblings));
-            self.watch_within(spread.min(WATCH_SPACING.1).min(self.settings.ask_within / 2));
+            self.watch_within(spread.min(WATCH_SPACING.1).min(self.settings.poll_within / 2));
         }
     }
 
-    fn on_entry(&mut self, entry: &ListEntry) {
-        let gone = entry.lifecycle == Lifecycle::Gone;
+    fn on_entry(&mut self, entry: &EndpointEntry) {
+        let gone = entry.lifecycle == EndpointState::Removed;
         let at = match self.index.get(&entry.server) {
             Some(&at) => at,
             None if gone => return,
@@ -266,7 +266,7 @@
         server.gone = gone;
         server.zone = usize::from(entry.zone.0).min(self.settings.zones);
         server.cell = entry.cell;
-        server.listed_ready = entry.lifecycle == Lifecycle::Ready;
+        server.listed_ready = entry.lifecycle == EndpointState::InService;
         server.ready = server.listed_ready && !self.offline.contains(&entry.server);
         let size = f64::from(entry.size);
         server.size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
@@ -288,7 +288,7 @@
     }
 
     /// Taken out by hand, it is in no pool: nothing is picked, repeated or probed there, whatever is listed.
-    fn on_offline(&mut self, id: ServerId) {
+    fn on_offline(&mut self, id: EndpointId) {
         self.offline.insert(id);
         if let Some(&at) = self.index.get(&id) {
             self.servers[at].ready = false;
@@ -298,7 +298,7 @@
     }
 
     /// Put back, it counts as just started: it was restarted meanwhile, and discovery may tell so late.
-    fn on_online(&mut self, id: ServerId) {
+    fn on_online(&mut self, id: EndpointId) {
         let was_out = self.offline.remove(&id);
         if let Some(&at) = self.index.get(&id).filter(|_| was_out) {
             self.renew(at);
@@ -314,7 +314,7 @@
         listed.filter(|server| !server.ready || server.breaker.tripped).count()
     }
 
-    fn add(&mut self, id: ServerId) -> usize {
+    fn add(&mut self, id: EndpointId) -> usize {
         // Seeded, so that siblings that skip a server don't all hit the same next one.
         let (order, turn) = (self.rng.u64(..), self.rng.f64());
         let refusals = vec![Refusals::default(); self.settings.classes.len()];
@@ -384,10 +384,10 @@
 
     // ---- Requests ----
 
-    fn on_request(&mut self, id: RequestId, demand: Demand) {
+    fn on_request(&mut self, id: RequestId, demand: IncomingRequest) {
         let class = demand.class;
         let Some(aim) = self.settings.classes.get(class).map(|class| class.aim.max(1) as f64) else {
-            return self.actions.push(Action::Refuse { id, retry_after: 0 });
+            return self.actions.push(Action::Reject { id, retry_after: 0 });
         };
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
         let request = Request {
@@ -409,14 +409,14 @@
     }
 
     /// How long an answer is worth waiting for.
-    fn useful_time(&self, class: usize, demand: &Demand) -> Duration {
+    fn useful_time(&self, class: usize, demand: &IncomingRequest) -> Duration {
         let class = &self.settings.classes[class];
-        let stretch = class.aim_stretch * demand.work.unwrap_or(0) as f64;
+        let stretch = class.objective_stretch * demand.work.unwrap_or(0) as f64;
         let aim = class.aim.saturating_add(stretch as Duration).min(class.deadline);
         // Where an answer after the aim is worth nothing, waiting on only blocks a slot. A deeper tier that
         // is told no budget must not work on for a client that is long gone.
-        let guessed = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if class.late_worth <= 0.0 || guessed { demand.time_left.min(aim) } else { demand.time_left }
+        let guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if class.late_weight <= 0.0 || guessed { demand.time_left.min(aim) } else { demand.time_left }
     }
 
     fn attempt(&mut self, id: RequestId, request: Request) {
@@ -460,7 +460,7 @@
     fn connection(&mut self, at: usize, class: usize) -> usize {
         let server = &mut self.servers[at];
         let idle = self.now.saturating_sub(server.idle_from);
-        if server.open <= server.in_use() || idle >= self.settings.conn_idle {
+        if server.open <= server.in_use() || idle >= self.settings.idle_timeout {
             server.open = server.in_use();
             return 0;
         }
@@ -482,7 +482,7 @@
     fn close_idle(&mut self, at: usize) {
         let server = &mut self.servers[at];
         server.open = server.in_use();
-        self.actions.push(Action::Close(server.id));
+        self.actions.push(Action::CloseIdle(server.id));
     }
 
     /// When an attempt is given up. Work that must not run twice, or has no time to, may still finish.
@@ -496,7 +496,7 @@
     }
 
     fn repeatable(&self, class: usize) -> bool {
-        self.settings.classes[class].effect != Effect::Unsafe
+        self.settings.classes[class].effect != Idempotency::NonIdempotent
     }
 
     fn give_up(&mut self, id: RequestId, request: &Request) {
@@ -505,11 +505,11 @@
     }
 
     fn refuse_or_fail(&mut self, id: RequestId, request: &Request) {
-        let safe = self.settings.classes[request.class].effect == Effect::Safe;
+        let safe = self.settings.classes[request.class].effect == Idempotency::Idempotent;
         let most = self.settings.max_retry_after;
         let retry_after = most / 2 + self.rng.u64(..=most / 2);
         let harmless = safe || request.may_have_run.is_none();
-        self.actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
+        self.actions.push(if harmless { Action::Reject { id, retry_after } } else { Action::Fail(id) });
     }
 
     // ---- The mechanism: zone affinity, zone avoidance, availability-filtered round robin ----
@@ -543,7 +543,7 @@
         let others = self.pools[..self.settings.zones].iter().enumerate();
         let others = others.filter(|(zone, pool)| *zone != own && pool.healthy() >= MIN_HEALTHY);
         let elsewhere = others.map(|(_, pool)| pool.failing(self.now, SURPLUS.1)).reduce(f64::min);
-        let bearable = ZONE_FAILING + self.settings.cross_price + elsewhere.unwrap_or(0.0);
+        let bearable = ZONE_FAILING + self.settings.cross_zone_price + elsewhere.unwrap_or(0.0);
         let failing = zone.failing(self.now, SURPLUS.1) > bearable;
         zone.healthy() >= MIN_HEALTHY && !blackout && !failing && !self.overloaded(zone, zone.size)
     }
@@ -560,7 +560,7 @@
         let zone = self.random_zone(|zone, pool| zone != own && sound(pool))?;
         let calm = self.pools[own].lateness.calm;
         let late = |zone: usize| self.pools[zone].expected(calm, self.now, SURPLUS.1);
-        let least = SURPLUS_GAIN.0 * self.settings.cross_price + SURPLUS_GAIN.1;
+        let least = SURPLUS_GAIN.0 * self.settings.cross_zone_price + SURPLUS_GAIN.1;
         let gain = late(own) - late(zone) - least;
         Some(zone).filter(|_| self.rng.f64() < SURPLUS.0 * gain)
     }
@@ -667,8 +667,8 @@
         let server = &self.servers[at];
         let first = request.may_have_run.map_or(server, |(first, _)| &self.servers[first]);
         match self.settings.classes[request.class].effect {
-            Effect::Keyed(Group::Zone, _) => first.zone == server.zone,
-            Effect::Keyed(Group::Cell, _) => first.cell == server.cell,
+            Idempotency::Keyed(DeduplicationGroup::Zone, _) => first.zone == server.zone,
+            Idempotency::Keyed(DeduplicationGroup::Cell, _) => first.cell == server.cell,
             _ => true,
         }
     }
@@ -683,7 +683,7 @@
         }
         // Where servers tell their load before they get a call, a busy cold one is seen: half the multiple
         // that pushes it over is safe, and its share of proposals alone would leave it idle.
-        let ease = if self.asks() { (self.settings.tip_multiple / 2.0).max(1.0) } else { 1.0 };
+        let ease = if self.asks() { (self.settings.overload_multiple / 2.0).max(1.0) } else { 1.0 };
         let served = self.answered_work.answered_per_second(self.now, RATE_WINDOW);
         // A balancer that has just started has had nothing answered: where all servers are cold as well,
         // after a release, nothing would ever be. It goes by what it takes on until it knows better.
@@ -712,15 +712,15 @@
     fn warm_from(&self, at: usize) -> Time {
         let server = &self.servers[at];
         let started = server.started.max(server.returned);
-        started.map_or(0, |started| started.saturating_add(self.settings.ramp_time))
+        started.map_or(0, |started| started.saturating_add(self.settings.warm_up_time))
     }
 
     /// Part of its capacity that a server surely has by now: it may warm up faster, but never slower.
     fn warmth(&self, at: usize) -> f64 {
         let server = &self.servers[at];
         let Some(started) = server.started.max(server.returned) else { return 1.0 };
-        let age = self.now.saturating_sub(started) as f64 / self.settings.ramp_time.max(1) as f64;
-        (self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age).min(1.0)
+        let age = self.now.saturating_sub(started) as f64 / self.settings.warm_up_time.max(1) as f64;
+        (self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * age).min(1.0)
     }
 
     /// Unequal servers: a smaller or slower one takes a fraction of the turns; a slow one that still answers
@@ -737,8 +737,8 @@
     // ---- Where load is told on request only: the next servers in turn are asked before a call is sent ----
 
     fn asks(&self) -> bool {
-        let affordable = ASKED as f64 * self.settings.probe_price <= ASK_SPEND;
-        affordable && self.settings.load_by_probe && self.settings.report_inflight.is_some()
+        let affordable = ASKED as f64 * self.settings.load_query_price <= ASK_SPEND;
+        affordable && self.settings.load_on_request && self.settings.reported_in_flight.is_some()
     }
 
     fn ask(&mut self, id: RequestId, request: Request, pool: usize, first: usize) {
@@ -752,17 +752,17 @@
         if proposals.len() == 1 {
             return self.send(id, request, first);
         }
-        let probes = proposals.iter().map(|&(at, _)| Action::Probe(self.servers[at].id));
+        let probes = proposals.iter().map(|&(at, _)| Action::QueryLoad(self.servers[at].id));
         self.actions.extend(probes);
         self.actions.push(Action::SetTimer { after: ASK_WAIT, token: ASK_TOKEN | u64::from(id.0) });
         self.asking.insert(id, Asking { request, proposals });
     }
 
-    fn on_probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>) {
+    fn on_probed(&mut self, server: EndpointId, outcome: AttemptOutcome, load: Option<LoadReport>) {
         let figure = |load: LoadReport| {
-            Some(f64::from(*load.figures[..load.len].get(self.settings.report_inflight?)?))
+            Some(f64::from(*load.figures[..load.len].get(self.settings.reported_in_flight?)?))
         };
-        let Some(held) = load.filter(|_| outcome == Outcome::Ok).and_then(figure) else { return };
+        let Some(held) = load.filter(|_| outcome == AttemptOutcome::Success).and_then(figure) else { return };
         let Some(&at) = self.index.get(&server) else { return };
         let mut done = Vec::new();
         for (&id, asking) in &mut self.asking {
@@ -883,7 +883,14 @@
         self.servers[at].passing += 1;
         self.servers[at].breaker.trial &= !request.trial;
         let elapsed = self.now - sent;
-        let end = End { attempt, outcome: Outcome::Ok, elapsed, closed: true, spent: true, load: None };
+        let end = AttemptEnd {
+            attempt,
+            outcome: AttemptOutcome::Success,
+            elapsed,
+            closed: true,
+            spent: true,
+            load: None,
+        };
         self.learn(&request, at, &end);
         self.answered(request.per_aim, true);
         self.requests.insert(id, request);
@@ -932,7 +939,7 @@
         self.answered(per_aim, true);
     }
 
-    fn on_ended(&mut self, id: RequestId, end: End) {
+    fn on_ended(&mut self, id: RequestId, end: AttemptEnd) {
         if self.requests.get(&id).is_none_or(|request| request.attempts != end.attempt + 1) {
             return;
         }
@@ -950,14 +957,15 @@
             self.close_idle(at);
         }
         if request.begun {
-            if matches!(end.outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset) {
+            if matches!(end.outcome, AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset)
+            {
                 let failure = Failure::of(end.outcome);
                 self.breaker_failure(at, sent, failure);
             }
             return;
         }
         self.servers[at].breaker.trial &= !request.trial;
-        if end.outcome == Outcome::Moot {
+        if end.outcome == AttemptOutcome::NotSent {
             self.servers[at].cold_budget.give_back(sent, request.cold_cost);
         }
         self.learn(&request, at, &end);
@@ -977,27 +985,38 @@
         }
     }
 
-    fn learn(&mut self, request: &Request, at: usize, end: &End) {
+    fn learn(&mut self, request: &Request, at: usize, end: &AttemptEnd) {
         let took = end.elapsed as f64;
         let timed = !(request.streamed && request.begun); // a request that was still coming held it up
         let sent = self.now.saturating_sub(end.elapsed);
-        if timed && matches!(end.outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Timeout | Outcome::Full)
+        if timed
+            && matches!(
+                end.outcome,
+                AttemptOutcome::Success
+                    | AttemptOutcome::Cancelled
+                    | AttemptOutcome::Timeout
+                    | AttemptOutcome::Rejected
+            )
         {
-            let least = if end.outcome == Outcome::Full { 1.0 } else { 0.0 };
+            let least = if end.outcome == AttemptOutcome::Rejected { 1.0 } else { 0.0 };
             let lateness = (took / self.settings.classes[request.class].aim.max(1) as f64).max(least);
             self.pools[self.servers[at].zone].learn_lateness(lateness, self.now, LATE_GAIN, CALM);
         }
         let futile = match end.outcome {
-            Outcome::Ok if request.may_have_run.is_some() => -1.0, // it helped
-            Outcome::Ok => -RETRY_BUDGET.0,
-            Outcome::Error | Outcome::Timeout | Outcome::Reset if request.may_have_run.is_some() => 1.0,
+            AttemptOutcome::Success if request.may_have_run.is_some() => -1.0, // it helped
+            AttemptOutcome::Success => -RETRY_BUDGET.0,
+            AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset
+                if request.may_have_run.is_some() =>
+            {
+                1.0
+            }
             _ => 0.0,
         };
         let most = f64::from(self.settings.max_attempts - 1);
         self.futile[request.class].add_up_to(most, self.now, futile, FUTILE_FADE);
         let alive = self.now < self.servers[at].answered_at.saturating_add(ALIVE);
         match end.outcome {
-            Outcome::Ok => {
+            AttemptOutcome::Success => {
                 self.served.add(self.now, 1.0, RATE_WINDOW);
                 if !self.zone_left {
                     let home = self.servers[at].zone == usize::from(self.settings.zone.0);
@@ -1011,29 +1030,32 @@
             }
             // A limit that is short even for a sound server is the caller's fault. By the mean, the
             // time-outs of a stuck one would excuse themselves.
-            Outcome::Timeout if request.marks >= 2 || took < 2.0 * self.classes[request.class].calm => {}
+            AttemptOutcome::Timeout
+                if request.marks >= 2 || took < 2.0 * self.classes[request.class].calm => {}
             // Answered at once, refusals never fill the limit: the only server that is not at its limit
             // would get all turns. It is at its limit until a call has had the time to end.
-            Outcome::Full => self.class_refused(at, request.class, self.overall.calm as Duration, 0),
+            AttemptOutcome::Rejected => {
+                self.class_refused(at, request.class, self.overall.calm as Duration, 0)
+            }
             // One that answers has its connections all taken: it is at its limit with those it let us have.
-            Outcome::ConnectFailed if alive => {
+            AttemptOutcome::ConnectFailed if alive => {
                 let server = &mut self.servers[at];
                 let used = server.in_use();
                 (server.open, server.conn_limit) = (used, Some((used, self.now)));
             }
-            Outcome::Cancelled | Outcome::Moot | Outcome::Declined => {}
-            Outcome::Error => {
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::InvalidRequest => {}
+            AttemptOutcome::Error => {
                 self.breaker_failure(at, sent, Failure::Ended);
                 self.class_refused(at, request.class, OPEN.0, ONE_ERROR);
             }
-            Outcome::ConnectFailed => self.breaker_failure(at, sent, Failure::Ended),
+            AttemptOutcome::ConnectFailed => self.breaker_failure(at, sent, Failure::Ended),
             outcome => self.failure(at, request.idle, sent, Failure::of(outcome)),
         }
-        if timed && matches!(end.outcome, Outcome::Ok | Outcome::Timeout) {
+        if timed && matches!(end.outcome, AttemptOutcome::Success | AttemptOutcome::Timeout) {
             self.learn_slowness(at, request.class, end.elapsed);
             self.classes[request.class].learn(took, GAIN, CALM);
             self.overall.learn(took, GAIN, CALM);
-            if end.outcome == Outcome::Ok {
+            if end.outcome == AttemptOutcome::Success {
                 let mean = self.classes[request.class].mean;
                 self.answered_work.learn(self.now, request.class, mean, request.work, RATE_WINDOW);
             }
@@ -1073,7 +1095,7 @@
     /// Until when the servers drop the repeats of a keyed request that may have run.
     fn window_end(&self, request: &Request) -> Option<Time> {
         match (self.settings.classes[request.class].effect, request.may_have_run) {
-            (Effect::Keyed(_, window), Some((_, sent))) => Some(sent.saturating_add(window)),
+            (Idempotency::Keyed(_, window), Some((_, sent))) => Some(sent.saturating_add(window)),
             _ => None,
         }
     }
@@ -1153,8 +1175,8 @@
     /// Worth for each unit of work of a class, within or beyond the quota.
     fn worth(&self, bucket: usize) -> f64 {
         let class = bucket / 2;
-        let work = if self.settings.worth_by_work { 1.0 } else { self.classes[class].mean.max(1.0) };
-        let part = if bucket % 2 == 1 { self.settings.over_quota_worth } else { 1.0 };
+        let work = if self.settings.weight_by_work { 1.0 } else { self.classes[class].mean.max(1.0) };
+        let part = if bucket % 2 == 1 { self.settings.over_quota_weight } else { 1.0 };
         self.settings.classes[class].worth * part / work
     }
 
@@ -1169,8 +1191,8 @@
 
 /// The longest that any request waits for its answer.
 pub fn longest_wait(settings: &Settings) -> Duration {
-    let cut = |class: &Class| class.late_worth <= 0.0 && class.aim_stretch <= 0.0;
-    let wait = |class: &Class| if cut(class) { class.aim.min(class.deadline) } else { class.deadline };
+    let cut = |class: &RequestClass| class.late_weight <= 0.0 && class.objective_stretch <= 0.0;
+    let wait = |class: &RequestClass| if cut(class) { class.aim.min(class.deadline) } else { class.deadline };
     settings.classes.iter().map(wait).max().unwrap_or(0)
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,13 +1,13 @@
 //! What a balancer remembers: plain records and averages. Nothing here decides anything; the constants that
 //! steer the averages are handed in by `policy.rs`.
 
-use crate::api::{Duration, ServerId, Time};
+use crate::api::{Duration, EndpointId, Time};
 use crate::slow_start::ColdBudget;
 
 /// What is known of a server.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub id: ServerId,
+    pub id: EndpointId,
     pub zone: usize,
     pub cell: u16,
     /// Listed as taking work, and whether it gets any: it may be out by hand.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,9 @@
 //! The simulator's wire: bytes to events, actions to bytes. Nothing is decided here.
 
 use crate::api::{
-    Action, Class, Demand, Duration, Effect, End, Event, Group, Lifecycle, ListEntry, LoadReport, Outcome,
-    RequestId, ServerId, Settings, Tenant, Time, ZoneId,
+    Action, AttemptEnd, AttemptOutcome, DeduplicationGroup, Duration, EndpointEntry, EndpointId,
+    EndpointState, Event, Idempotency, IncomingRequest, LoadReport, RequestClass, RequestId, Settings,
+    Tenant, Time, ZoneId,
 };
 use serde::Deserialize;
 use std::fmt;
@@ -83,7 +84,7 @@
     /// An instance is gone.
     Retire(u32),
     /// A numbered list of servers.
-    Table(usize, Vec<ListEntry>),
+    Table(usize, Vec<EndpointEntry>),
     /// Discovery tells an instance of the numbered list.
     Announce {
         /// The instance.
@@ -148,12 +149,12 @@
                 let table = table_number(u32_at(record, 9))?;
                 return Ok(Record::Announce { instance, table, delta: form == 0 });
             }
-            3 => Event::ListFailed,
+            3 => Event::DiscoveryFailed,
             form => return Err(WireError::new(format!("unknown form {form} of ANNOUNCE"))),
         },
         2 => Event::Request(
             id,
-            Demand {
+            IncomingRequest {
                 class: u16_at(record, 21) as usize,
                 tenant: u32_at(record, 17) as usize,
                 time_left: u64_at(record, 23),
@@ -161,10 +162,10 @@
                 streamed: false,
             },
         ),
-        3 => Event::Started(id, record[9] as u32),
-        4 => Event::Ended(
+        3 => Event::ResponseStarted(id, record[9] as u32),
+        4 => Event::AttemptEnded(
             id,
-            End {
+            AttemptEnd {
                 attempt: record[18] as u32,
                 outcome: outcome(record[23])?,
                 elapsed: u64_at(record, 9),
@@ -173,9 +174,13 @@
                 load: load_report(record, 24)?,
             },
         ),
-        5 => Event::ClientGone(id),
+        5 => Event::ClientDisconnected(id),
         6 => Event::Timer(u64_at(record, 5)),
-        7 => Event::Probed(ServerId(u32_at(record, 5)), outcome(record[9])?, load_report(record, 18)?),
+        7 => Event::LoadQueryEnded(
+            EndpointId(u32_at(record, 5)),
+            outcome(record[9])?,
+            load_report(record, 18)?,
+        ),
         8 => return Ok(Record::Ignored),
         9 => return Ok(Record::Retire(instance)),
         10 => {
@@ -193,16 +198,16 @@
     if table < TABLES { Ok(table) } else { Err(WireError::new(format!("list number {number} is over 15"))) }
 }
 
-fn outcome(code: u8) -> Result<Outcome, WireError> {
+fn outcome(code: u8) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
-        0 => Outcome::Ok,
-        1 => Outcome::Error,
-        2 => Outcome::Full,
-        3 => Outcome::Timeout,
-        4 => Outcome::ConnectFailed,
-        5 => Outcome::Reset,
-        6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        0 => AttemptOutcome::Success,
+        1 => AttemptOutcome::Error,
+        2 => AttemptOutcome::Rejected,
+        3 => AttemptOutcome::Timeout,
+        4 => AttemptOutcome::ConnectFailed,
+        5 => AttemptOutcome::Reset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::NotSent,
         _ => return Err(WireError::new(format!("unknown outcome {code}"))),
     })
 }
@@ -219,16 +224,16 @@
     Ok((len > 0).then_some(report))
 }
 
-fn entry(bytes: &[u8]) -> Result<ListEntry, WireError> {
+fn entry(bytes: &[u8]) -> Result<EndpointEntry, WireError> {
     let lifecycle = match bytes[9] {
-        0 => Lifecycle::Gone,
-        1 => Lifecycle::Ready,
-        2 => Lifecycle::Draining,
+        0 => EndpointState::Removed,
+        1 => EndpointState::InService,
+        2 => EndpointState::Draining,
         code => return Err(WireError::new(format!("unknown lifecycle {code}"))),
     };
     let started = u64_at(bytes, 14);
-    Ok(ListEntry {
-        server: ServerId(u32_at(bytes, 0)),
+    Ok(EndpointEntry {
+        server: EndpointId(u32_at(bytes, 0)),
         zone: ZoneId(bytes[4]),
         cell: u16_at(bytes, 7),
         lifecycle,
@@ -249,13 +254,13 @@
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
-            Action::Refuse { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
+            Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
             Action::Send { id, server, until, .. } => self.record(3, instance, &[&id.0, &server.0, until]),
             Action::Log(text) => self.text(4, instance, text),
             Action::Fail(id) => self.record(6, instance, &[&id.0]),
-            Action::Probe(server) => self.record(10, instance, &[&server.0]),
-            Action::Close(server) => self.record(2, instance, &[&server.0]),
-            Action::Watch => self.record(8, instance, &[&1u8]),
+            Action::QueryLoad(server) => self.record(10, instance, &[&server.0]),
+            Action::CloseIdle(server) => self.record(2, instance, &[&server.0]),
+            Action::WatchEndpoints => self.record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
                 self.record(11, instance, &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)]);
             }
@@ -430,8 +435,8 @@
     let raw: RawSettings = serde_path_to_error::deserialize(&mut text).map_err(|e| error(&e))?;
     text.end().map_err(|e| error(&e))?;
     let classes = raw.classes.into_iter().map(class).collect::<Result<Vec<_>, _>>()?;
-    let ask_discovery = matches!(raw.discovery, RawDiscovery::Ask);
-    if ask_discovery && raw.safety.ask_within_ns.is_none() {
+    let polls_discovery = matches!(raw.discovery, RawDiscovery::Ask);
+    if polls_discovery && raw.safety.ask_within_ns.is_none() {
         return Err(WireError::new("settings: missing field `AskWithinNs`"));
     }
     let prices = raw.prices.unwrap_or_default();
@@ -440,49 +445,49 @@
     Ok(Settings {
         classes,
         tenants: raw.tenants.into_iter().map(|t| Tenant { quota_rps: t.quota_rps }).collect(),
-        over_quota_worth: raw.over_share_worth.unwrap_or(1.0),
-        worth_by_work: matches!(raw.value_by, RawValueBy::Work),
+        over_quota_weight: raw.over_share_worth.unwrap_or(1.0),
+        weight_by_work: matches!(raw.value_by, RawValueBy::Work),
         zone: ZoneId(raw.zone),
         zones: raw.zones.len(),
         siblings: raw.siblings,
         tier: raw.layer,
-        passes_deadline: raw.family_info.and_then(|f| f.passes_deadline).unwrap_or(true),
-        ask_discovery,
-        ask_within: raw.safety.ask_within_ns.unwrap_or(0),
+        propagates_deadline: raw.family_info.and_then(|f| f.passes_deadline).unwrap_or(true),
+        polls_discovery,
+        poll_within: raw.safety.ask_within_ns.unwrap_or(0),
         may_cancel: raw.limits.cancelling,
         max_retry_after: raw.limits.max_retry_after_ns.unwrap_or(0),
         max_attempts: raw.limits.try_limit,
-        conn_idle: raw.limits.conn_idle_ns.unwrap_or(Duration::MAX),
-        start_capacity: raw.safety.start_capacity,
-        tip_multiple: raw.safety.tip_multiple,
-        ramp_time: raw.safety.ramp_time_ns,
-        report_inflight: fields.iter().position(|field| field == "inflight"),
-        cross_price: prices.cross_zone,
-        probe_price: prices.probe,
-        load_by_probe: raw.limits.may_probe && via.as_deref() == Some("probe"),
+        idle_timeout: raw.limits.conn_idle_ns.unwrap_or(Duration::MAX),
+        initial_capacity: raw.safety.start_capacity,
+        overload_multiple: raw.safety.tip_multiple,
+        warm_up_time: raw.safety.ramp_time_ns,
+        reported_in_flight: fields.iter().position(|field| field == "inflight"),
+        cross_zone_price: prices.cross_zone,
+        load_query_price: prices.probe,
+        load_on_request: raw.limits.may_probe && via.as_deref() == Some("probe"),
     })
 }
 
-fn class(raw: RawClass) -> Result<Class, WireError> {
+fn class(raw: RawClass) -> Result<RequestClass, WireError> {
     let effect = match raw.effect {
-        RawEffect::ReadLike => Effect::Safe,
-        RawEffect::NonIdempotent => Effect::Unsafe,
+        RawEffect::ReadLike => Idempotency::Idempotent,
+        RawEffect::NonIdempotent => Idempotency::NonIdempotent,
         RawEffect::IdempotencyKey => {
             let missing = |key| WireError::new(format!("settings: missing field `{key}`"));
             let group = match raw.group.ok_or_else(|| missing("Group"))? {
-                RawGroup::All => Group::All,
-                RawGroup::Zone => Group::Zone,
-                RawGroup::Cell => Group::Cell,
+                RawGroup::All => DeduplicationGroup::All,
+                RawGroup::Zone => DeduplicationGroup::Zone,
+                RawGroup::Cell => DeduplicationGroup::Cell,
             };
-            Effect::Keyed(group, raw.window_ns.ok_or_else(|| missing("WindowNs"))?)
+            Idempotency::Keyed(group, raw.window_ns.ok_or_else(|| missing("WindowNs"))?)
         }
     };
-    Ok(Class {
+    Ok(RequestClass {
         aim: raw.aim_ns,
-        aim_stretch: raw.aim_stretch.unwrap_or(0.0),
+        objective_stretch: raw.aim_stretch.unwrap_or(0.0),
         deadline: raw.deadline_ns,
         effect,
-        late_worth: raw.late_worth.unwrap_or(0.0),
+        late_weight: raw.late_worth.unwrap_or(0.0),
         worth: raw.value,
     })
 }
--- a/tests/common/chain.rs
+++ b/tests/common/chain.rs
@@ -4,7 +4,7 @@
 use super::{SAFE, SECOND, settings};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 
 /// Servers of each tier.
@@ -16,7 +16,7 @@
 const PATIENCE: u64 = 10 * SECOND;
 
 /// What befalls a call at a server: tier, server, class, and the time since the start.
-pub type Fate = Box<dyn Fn(usize, usize, usize, u64, &mut fastrand::Rng) -> Option<Outcome>>;
+pub type Fate = Box<dyn Fn(usize, usize, usize, u64, &mut fastrand::Rng) -> Option<AttemptOutcome>>;
 
 /// What is counted, each within a second of the start.
 #[derive(Clone, Copy, Default, Debug)]
@@ -99,7 +99,7 @@
     now: u64,
     order: u64,
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    balancers: Vec<Balancer>,
+    balancers: Vec<LoadBalancer>,
     calls: Vec<HashMap<u32, Call>>,
     next: Vec<u32>,
     pub tallies: Vec<Tally>,
@@ -109,7 +109,7 @@
     /// A chain `depth` tiers deep, with `rate` requests a second of the clients.
     pub fn new(depth: usize, rate: f64, seed: u64, fate: Fate) -> Self {
         let count = 1 + EACH * (depth - 1);
-        let list: Vec<ListEntry> = (0..EACH as u32).map(|server| super::entry(server, 0)).collect();
+        let list: Vec<EndpointEntry> = (0..EACH as u32).map(|server| super::entry(server, 0)).collect();
         let mut chain = Self {
             depth,
             rate,
@@ -129,8 +129,8 @@
             let siblings = if tier == 0 { 1 } else { EACH as u32 };
             let mut settings = Settings { zones: 1, max_attempts: 3, tier, siblings, ..settings() };
             settings.classes.iter_mut().for_each(|class| class.deadline = PATIENCE);
-            chain.balancers.push(Balancer::new(settings, seed << 16 | at as u64, 0).unwrap());
-            chain.tell(at, Event::List(&list));
+            chain.balancers.push(LoadBalancer::new(settings, seed << 16 | at as u64, 0).unwrap());
+            chain.tell(at, Event::EndpointList(&list));
         }
         chain.schedule(0, Due::Arrival);
         chain
@@ -190,7 +190,7 @@
             }
             Due::Timer { at, token } => self.tell(at, Event::Timer(token)),
             Due::Worked { at, id, attempt, server } => self.worked(at, id, attempt, server),
-            Due::Over { at, id, attempt } => self.ended(at, id, attempt, Outcome::Timeout),
+            Due::Over { at, id, attempt } => self.ended(at, id, attempt, AttemptOutcome::Timeout),
         }
     }
 
@@ -201,7 +201,7 @@
         let (sent, until) = (self.now, self.now);
         let call = Call { parent, second, class, attempts: 0, sent, until, out: false, child: None };
         self.calls[at].insert(id, call);
-        let demand = Demand { class, tenant: 0, time_left, work: None, streamed: false };
+        let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streamed: false };
         self.tell(at, Event::Request(RequestId(id), demand));
         id
     }
@@ -212,8 +212,10 @@
         for action in actions {
             match action {
                 Action::Send { id, server, until, .. } => self.send(at, id.0, server.0 as usize, until),
-                Action::Refuse { id, .. } | Action::Fail(id) => self.answered(at, id.0, Outcome::Error),
-                Action::Cancel { id, attempt } => self.ended(at, id.0, attempt, Outcome::Cancelled),
+                Action::Reject { id, .. } | Action::Fail(id) => {
+                    self.answered(at, id.0, AttemptOutcome::Error)
+                }
+                Action::Cancel { id, attempt } => self.ended(at, id.0, attempt, AttemptOutcome::Cancelled),
                 Action::SetTimer { after, token } => {
                     self.schedule(self.now + after, Due::Timer { at, token });
                 }
@@ -245,7 +247,7 @@
         let (class, until, tier) = (call.class, call.until, Self::tier(at));
         match (self.fate)(tier, server, class, self.now, &mut self.rng) {
             Some(outcome) => self.ended(at, id, attempt, outcome),
-            None if tier + 1 == self.depth => self.ended(at, id, attempt, Outcome::Ok),
+            None if tier + 1 == self.depth => self.ended(at, id, attempt, AttemptOutcome::Success),
             None => {
                 let below = 1 + tier * EACH + server;
                 let next = self.next[below];
@@ -255,51 +257,51 @@
         }
     }
 
-    fn ended(&mut self, at: usize, id: u32, attempt: u32, outcome: Outcome) {
+    fn ended(&mut self, at: usize, id: u32, attempt: u32, outcome: AttemptOutcome) {
         let Some(call) = self.calls[at].get_mut(&id) else { return };
         if !call.out || call.attempts != attempt + 1 {
             return;
         }
         call.out = false;
         let (child, elapsed) = (call.child.take(), self.now - call.sent);
-        let below = child.filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Cancelled));
+        let below = child.filter(|_| matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Cancelled));
         if let Some((below, child)) = below {
             self.left(below, child);
         }
-        let closed = outcome == Outcome::Ok;
-        let end = End { attempt, outcome, elapsed, closed, spent: false, load: None };
-        self.tell(at, Event::Ended(RequestId(id), end));
+        let closed = outcome == AttemptOutcome::Success;
+        let end = AttemptEnd { attempt, outcome, elapsed, closed, spent: false, load: None };
+        self.tell(at, Event::AttemptEnded(RequestId(id), end));
         if closed {
-            self.answered(at, id, Outcome::Ok);
+            self.answered(at, id, AttemptOutcome::Success);
         }
     }
 
     /// The caller of a call has left it.
     fn left(&mut self, at: usize, id: u32) {
         if self.calls[at].contains_key(&id) {
-            self.tell(at, Event::ClientGone(RequestId(id)));
+            self.tell(at, Event::ClientDisconnected(RequestId(id)));
             self.calls[at].remove(&id);
         }
     }
 
-    fn answered(&mut self, at: usize, id: u32, outcome: Outcome) {
+    fn answered(&mut self, at: usize, id: u32, outcome: AttemptOutcome) {
         let Some(call) = self.calls[at].remove(&id) else { return };
         match call.parent {
             Some((parent, id, attempt)) => self.ended(parent, id, attempt, outcome),
-            None => self.tallies[call.second].served += u32::from(outcome == Outcome::Ok),
+            None => self.tallies[call.second].served += u32::from(outcome == AttemptOutcome::Success),
         }
     }
 }
 
 /// Calls that fail at random, a part of those of the tiers given.
 pub fn failing(part: f64, tiers: impl Fn(usize) -> bool + 'static) -> Fate {
-    Box::new(move |tier, _, _, _, rng| (tiers(tier) && rng.f64() < part).then_some(Outcome::Error))
+    Box::new(move |tier, _, _, _, rng| (tiers(tier) && rng.f64() < part).then_some(AttemptOutcome::Error))
 }
 
 /// The last tier fails wholly from one second to before another one, and a part of its calls else.
 pub fn outage(depth: usize, from: u64, to: u64, part: f64) -> Fate {
     Box::new(move |tier, _, _, now, rng| {
         let out = (from * SECOND..to * SECOND).contains(&now);
-        (tier + 1 == depth && (out || rng.f64() < part)).then_some(Outcome::Error)
+        (tier + 1 == depth && (out || rng.f64() < part)).then_some(AttemptOutcome::Error)
     })
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -5,7 +5,7 @@
 use super::{MS, SECOND, settings, zones};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 
 /// Mean time that a call takes a slot of a warm server, and the slots of one.
@@ -51,8 +51,8 @@
     /// The most by which the list reaches a balancer late.
     pub late: Duration,
     /// The part of its capacity that a cold server starts with, and the multiple of it that is too much.
-    pub start_capacity: f64,
-    pub tip_multiple: f64,
+    pub initial_capacity: f64,
+    pub overload_multiple: f64,
     /// The list has them out for 3 s before they come back.
     pub drained: bool,
     /// Servers tell their load when asked.
@@ -80,8 +80,8 @@
         unsent: 0.0,
         restarted: 0.0,
         late: 0,
-        start_capacity: 0.3,
-        tip_multiple: 2.0,
+        initial_capacity: 0.3,
+        overload_multiple: 2.0,
         drained: true,
         asked: false,
         burst: None,
@@ -128,7 +128,7 @@
 }
 
 struct Node {
-    balancer: Balancer,
+    balancer: LoadBalancer,
     life: u32,
     told: bool,
     rate: f64,
@@ -188,7 +188,7 @@
             let balancer = play.new_balancer(at);
             play.nodes.push(Node { balancer, life: 0, told: false, rate: warm * share / total });
             let list = zones(play.case.zones, play.case.each);
-            play.tell(at, Event::List(&list));
+            play.tell(at, Event::EndpointList(&list));
             play.next_arrival(at);
         }
         if play.case.drained {
@@ -198,24 +198,28 @@
         play
     }
 
-    fn new_balancer(&mut self, at: usize) -> Balancer {
+    fn new_balancer(&mut self, at: usize) -> LoadBalancer {
         let settings = Settings {
             zone: ZoneId((at % usize::from(self.case.zones)) as u8),
             zones: usize::from(self.case.zones),
             siblings: self.case.balancers as u32,
             tier: self.case.tier,
-            start_capacity: self.case.start_capacity,
-            tip_multiple: self.case.tip_multiple,
-            ramp_time: RAMP,
-            report_inflight: self.case.asked.then_some(0),
-            load_by_probe: self.case.asked,
+            initial_capacity: self.case.initial_capacity,
+            overload_multiple: self.case.overload_multiple,
+            warm_up_time: RAMP,
+            reported_in_flight: self.case.asked.then_some(0),
+            load_on_request: self.case.asked,
             classes: {
-                let class = |worth| Class { effect: Effect::Safe, worth, ..settings().classes[0].clone() };
+                let class = |worth| RequestClass {
+                    effect: Idempotency::Idempotent,
+                    worth,
+                    ..settings().classes[0].clone()
+                };
                 vec![class(1.0), class(self.case.heavy.1)]
             },
             ..settings()
         };
-        Balancer::new(settings, self.rng.u64(..), self.now).expect("sound settings")
+        LoadBalancer::new(settings, self.rng.u64(..), self.now).expect("sound settings")
     }
 
     fn at(&mut self, time: Time, what: Happening) {
@@ -268,16 +272,23 @@
                 }
                 Happening::Timer(..) => {}
                 Happening::Done(server, life, job) => self.done(server, life, job),
-                Happening::TimedOut(job) => self.end(job, Outcome::Timeout),
+                Happening::TimedOut(job) => self.end(job, AttemptOutcome::Timeout),
                 Happening::Probed(at, life, server) if self.nodes[at].life == life => {
                     let held = (self.servers[server].busy + self.servers[server].queue.len()) as f32;
-                    self.tell(at, Event::Probed(ServerId(server as u32), Outcome::Ok, super::held(held)));
+                    self.tell(
+                        at,
+                        Event::LoadQueryEnded(
+                            EndpointId(server as u32),
+                            AttemptOutcome::Success,
+                            super::held(held),
+                        ),
+                    );
                 }
                 Happening::Probed(..) => {}
                 Happening::Told(at) => {
                     self.nodes[at].told = true;
                     let list = self.list();
-                    self.tell(at, Event::ListChange(&list));
+                    self.tell(at, Event::EndpointsChanged(&list));
                 }
                 Happening::Restart(at) => self.restart(at),
                 Happening::Drain => self.drain(),
@@ -298,7 +309,7 @@
         self.asked_for += 1;
         self.calls.insert(id, (work, 0));
         let work = self.case.hinted.then_some(work as Duration);
-        let demand = Demand { class, tenant: 0, time_left: 2 * SECOND, work, streamed: false };
+        let demand = IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work, streamed: false };
         self.tell(at, Event::Request(id, demand));
     }
 
@@ -311,7 +322,7 @@
             match action {
                 Action::Send { id, server, until, .. } => self.send(at, id, server.0 as usize, until),
                 Action::SetTimer { after, token } => self.at(now + after, Happening::Timer(at, life, token)),
-                Action::Probe(server) => self.probe(at, server.0 as usize),
+                Action::QueryLoad(server) => self.probe(at, server.0 as usize),
                 Action::Cancel { .. } => panic!("no client leaves"),
                 _ => {}
             }
@@ -334,31 +345,31 @@
         let job = self.jobs.len();
         self.jobs.push(Job { balancer: at, life, id, attempt, server, work, sent: self.now, out: true });
         if self.rng.f64() < self.case.unsent {
-            return self.at_once(job, Outcome::Moot);
+            return self.at_once(job, AttemptOutcome::NotSent);
         }
         let tier = &mut self.servers[server];
         if tier.life > 0 {
             tier.arrivals.push((self.now, work / MEAN_WORK, self.nodes[at].told));
         }
         if self.rng.f64() < self.case.failing {
-            return self.at_once(job, Outcome::Error);
+            return self.at_once(job, AttemptOutcome::Error);
         }
         if tier.busy < SLOTS {
             self.begin(server, job);
         } else if tier.queue.len() < QUEUE {
             tier.queue.push_back(job);
         } else {
-            return self.at_once(job, Outcome::Full);
+            return self.at_once(job, AttemptOutcome::Rejected);
         }
         self.at(until, Happening::TimedOut(job));
     }
 
     /// Ends an attempt a moment after it was sent.
-    fn at_once(&mut self, job: usize, outcome: Outcome) {
+    fn at_once(&mut self, job: usize, outcome: AttemptOutcome) {
         // Told as a server that never worked on it.
         let code = match outcome {
-            Outcome::Moot => 0,
-            Outcome::Error => 1,
+            AttemptOutcome::NotSent => 0,
+            AttemptOutcome::Error => 1,
             _ => 2,
         };
         self.at(self.now + MS, Happening::Done(usize::MAX, code, job));
@@ -374,7 +385,8 @@
 
     fn done(&mut self, server: usize, life: u32, job: usize) {
         if server == usize::MAX {
-            let outcome = [Outcome::Moot, Outcome::Error, Outcome::Full][life as usize];
+            let outcome =
+                [AttemptOutcome::NotSent, AttemptOutcome::Error, AttemptOutcome::Rejected][life as usize];
             return self.end(job, outcome);
         }
         if self.servers[server].life != life {
@@ -383,23 +395,23 @@
         self.servers[server].busy -= 1;
         let warming = life > 0 && self.now < COLD_AT + RAMP;
         self.servers[server].answered += usize::from(warming);
-        self.end(job, Outcome::Ok);
+        self.end(job, AttemptOutcome::Success);
         if let Some(next) = self.servers[server].queue.pop_front() {
             self.begin(server, next);
         }
     }
 
-    fn end(&mut self, job: usize, outcome: Outcome) {
+    fn end(&mut self, job: usize, outcome: AttemptOutcome) {
         let Job { balancer, life, id, attempt, sent, out, .. } = self.jobs[job];
         self.jobs[job].out = false;
         if !out || self.nodes[balancer].life != life {
             return;
         }
-        self.served += usize::from(outcome == Outcome::Ok);
+        self.served += usize::from(outcome == AttemptOutcome::Success);
         let elapsed = self.now - sent;
-        let closed = outcome == Outcome::Ok;
-        let end = End { attempt, outcome, elapsed, closed, spent: false, load: None };
-        self.tell(balancer, Event::Ended(id, end));
+        let closed = outcome == AttemptOutcome::Success;
+        let end = AttemptEnd { attempt, outcome, elapsed, closed, spent: false, load: None };
+        self.tell(balancer, Event::AttemptEnded(id, end));
     }
 
     /// Capacity of a server as part of its warm one: as slowly as the settings allow.
@@ -408,10 +420,10 @@
             return 1.0;
         }
         let age = time.saturating_sub(COLD_AT) as f64 / RAMP as f64;
-        (self.case.start_capacity + (1.0 - self.case.start_capacity) * age).min(1.0)
+        (self.case.initial_capacity + (1.0 - self.case.initial_capacity) * age).min(1.0)
     }
 
-    fn list(&self) -> Vec<ListEntry> {
+    fn list(&self) -> Vec<EndpointEntry> {
         let mut list = zones(self.case.zones, self.case.each);
         self.case.cold.iter().for_each(|&cold| list[cold as usize].started = Some(COLD_AT));
         list
@@ -420,8 +432,8 @@
     fn drain(&mut self) {
         let mut list = zones(self.case.zones, self.case.each);
         list.retain(|entry| self.case.cold.contains(&entry.server.0));
-        list.iter_mut().for_each(|entry| entry.lifecycle = Lifecycle::Draining);
-        (0..self.case.balancers).for_each(|at| self.tell(at, Event::ListChange(&list)));
+        list.iter_mut().for_each(|entry| entry.lifecycle = EndpointState::Draining);
+        (0..self.case.balancers).for_each(|at| self.tell(at, Event::EndpointsChanged(&list)));
     }
 
     fn cold_start(&mut self) {
@@ -430,7 +442,7 @@
             *server = Tier { life: 1, ..Tier::default() };
             for job in 0..self.jobs.len() {
                 if self.jobs[job].out && self.jobs[job].server == cold as usize {
-                    self.end(job, Outcome::Reset);
+                    self.end(job, AttemptOutcome::Reset);
                 }
             }
         }
@@ -449,7 +461,7 @@
         let node = &mut self.nodes[at];
         (node.balancer, node.life, node.told) = (balancer, node.life + 1, true);
         let list = self.list();
-        self.tell(at, Event::List(&list));
+        self.tell(at, Event::EndpointList(&list));
     }
 
     /// The window in which a cold server got most of what the rule allows, of those in which over two thirds came
@@ -470,7 +482,8 @@
                     told -= if arrivals[first].2 { arrivals[first].1 } else { 0.0 };
                     first += 1;
                 }
-                let allowed = self.case.tip_multiple * warm * self.warmth(cold as usize, arrivals[first].0);
+                let allowed =
+                    self.case.overload_multiple * warm * self.warmth(cold as usize, arrivals[first].0);
                 if told > sum * 2.0 / 3.0 && sum / bound(allowed) > worst.0 / bound(worst.1) {
                     worst = (sum, allowed);
                 }
@@ -489,7 +502,7 @@
             let got = server.arrivals.iter().filter(|&&(_, work, _)| work > PROBE_WORK);
             got.for_each(|&(time, ..)| calls[(((time - COLD_AT) / BIN) as usize).min(BINS - 1)] += 1);
         }
-        let mean_warmth = (1.0 + self.case.start_capacity) / 2.0;
+        let mean_warmth = (1.0 + self.case.initial_capacity) / 2.0;
         let demand = self.case.load.1.min(1.0);
         let able =
             mean_warmth * demand * SLOTS as f64 / MEAN_WORK * RAMP as f64 * self.case.cold.len() as f64;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub mod streams;
 pub mod wall_clock;
 
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 
 pub const MS: u64 = 1_000_000;
@@ -22,73 +22,73 @@
 pub const KEYED_CELL: usize = 4;
 
 pub fn settings() -> Settings {
-    let class = |effect, worth| Class {
+    let class = |effect, worth| RequestClass {
         aim: 500 * MS,
-        aim_stretch: 0.0,
+        objective_stretch: 0.0,
         deadline: 2 * SECOND,
         effect,
-        late_worth: 0.2,
+        late_weight: 0.2,
         worth,
     };
     Settings {
         classes: vec![
-            class(Effect::Safe, 1.0),
-            class(Effect::Unsafe, 5.0),
-            class(Effect::Keyed(Group::All, SECOND), 2.0),
-            class(Effect::Keyed(Group::Zone, SECOND), 2.0),
-            class(Effect::Keyed(Group::Cell, SECOND), 2.0),
+            class(Idempotency::Idempotent, 1.0),
+            class(Idempotency::NonIdempotent, 5.0),
+            class(Idempotency::Keyed(DeduplicationGroup::All, SECOND), 2.0),
+            class(Idempotency::Keyed(DeduplicationGroup::Zone, SECOND), 2.0),
+            class(Idempotency::Keyed(DeduplicationGroup::Cell, SECOND), 2.0),
         ],
         tenants: vec![],
-        over_quota_worth: 0.1,
-        worth_by_work: false,
+        over_quota_weight: 0.1,
+        weight_by_work: false,
         zone: ZoneId(0),
         zones: 3,
         siblings: 4,
         tier: 0,
-        passes_deadline: true,
-        ask_discovery: false,
-        ask_within: 10 * SECOND,
+        propagates_deadline: true,
+        polls_discovery: false,
+        poll_within: 10 * SECOND,
         may_cancel: true,
         max_retry_after: 0,
         max_attempts: 4,
-        conn_idle: 60 * SECOND,
-        start_capacity: 0.25,
-        tip_multiple: 3.0,
-        ramp_time: 10 * SECOND,
-        report_inflight: None,
-        load_by_probe: false,
-        cross_price: 0.0,
-        probe_price: 0.0,
+        idle_timeout: 60 * SECOND,
+        initial_capacity: 0.25,
+        overload_multiple: 3.0,
+        warm_up_time: 10 * SECOND,
+        reported_in_flight: None,
+        load_on_request: false,
+        cross_zone_price: 0.0,
+        load_query_price: 0.0,
     }
 }
 
-pub fn entry(server: u32, zone: u8) -> ListEntry {
-    ListEntry {
-        server: ServerId(server),
+pub fn entry(server: u32, zone: u8) -> EndpointEntry {
+    EndpointEntry {
+        server: EndpointId(server),
         zone: ZoneId(zone),
         cell: (server % 2) as u16,
-        lifecycle: Lifecycle::Ready,
+        lifecycle: EndpointState::InService,
         size: 1.0,
         started: None,
     }
 }
 
 /// Servers 0 to `each - 1` in zone 0, then `each` in zone 1 and so on.
-pub fn zones(zones: u8, each: u32) -> Vec<ListEntry> {
+pub fn zones(zones: u8, each: u32) -> Vec<EndpointEntry> {
     (0..zones).flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z))).collect()
 }
 
 pub struct Rig {
-    pub balancer: Balancer,
+    pub balancer: LoadBalancer,
     pub now: u64,
     pub next_id: u32,
 }
 
 impl Rig {
-    pub fn new(settings: Settings, list: &[ListEntry]) -> Self {
+    pub fn new(settings: Settings, list: &[EndpointEntry]) -> Self {
         let mut rig =
-            Self { balancer: Balancer::new(settings, 11, SECOND).unwrap(), now: SECOND, next_id: 0 };
-        rig.tell(Event::List(list));
+            Self { balancer: LoadBalancer::new(settings, 11, SECOND).unwrap(), now: SECOND, next_id: 0 };
+        rig.tell(Event::EndpointList(list));
         rig
     }
 
@@ -101,13 +101,16 @@
     pub fn demand(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let demand = Demand { class, tenant: 0, time_left: 2 * SECOND, work: None, streamed: false };
+        let demand = IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work: None, streamed: false };
         (id, self.tell(Event::Request(id, demand)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, elapsed: u64) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
-        self.tell(Event::Ended(id, End { attempt, outcome, elapsed, closed, spent: false, load: None }))
+    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: AttemptOutcome, elapsed: u64) -> Vec<Action> {
+        let closed = outcome == AttemptOutcome::Success;
+        self.tell(Event::AttemptEnded(
+            id,
+            AttemptEnd { attempt, outcome, elapsed, closed, spent: false, load: None },
+        ))
     }
 
     /// A request that is answered after `took`; the server that it went to.
@@ -116,7 +119,7 @@
         let server = sent(&actions);
         self.now += took;
         if server.is_some() {
-            self.end(id, 0, Outcome::Ok, took);
+            self.end(id, 0, AttemptOutcome::Success, took);
         }
         server
     }
@@ -129,7 +132,11 @@
     }
 
     /// A request whose every attempt ends by `outcome(server)` at once; the servers that were tried.
-    pub fn run(&mut self, class: usize, outcome: impl Fn(u32) -> Outcome) -> (Vec<u32>, Option<Action>) {
+    pub fn run(
+        &mut self,
+        class: usize,
+        outcome: impl Fn(u32) -> AttemptOutcome,
+    ) -> (Vec<u32>, Option<Action>) {
         let (id, mut actions) = self.demand(class);
         let mut tried = Vec::new();
         while let Some(server) = sent(&actions) {
@@ -137,7 +144,7 @@
             self.now += 20 * MS;
             let result = outcome(server);
             actions = self.end(id, tried.len() as u32 - 1, result, 20 * MS);
-            if result == Outcome::Ok {
+            if result == AttemptOutcome::Success {
                 return (tried, None);
             }
         }
@@ -153,12 +160,12 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn probed(actions: &[Action]) -> Vec<u32> {
     let server = |action: &Action| match action {
-        Action::Probe(server) => Some(server.0),
+        Action::QueryLoad(server) => Some(server.0),
         _ => None,
     };
     actions.iter().filter_map(server).collect()
--- a/tests/common/queued_tier.rs
+++ b/tests/common/queued_tier.rs
@@ -5,7 +5,7 @@
 use super::{SECOND, entry};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 
 /// What the balancers are placed before, and what the clients send.
@@ -70,7 +70,7 @@
     order: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     steps: HashMap<u64, Step>,
-    balancers: Vec<Balancer>,
+    balancers: Vec<LoadBalancer>,
     servers: Vec<Server>,
     open: HashMap<(usize, u32), Out>,
     arrivals: HashMap<(usize, u32), usize>,
@@ -82,7 +82,7 @@
     /// Servers of one zone each in turn; the clients' requests are of one class and wait for `time_left`.
     pub fn new(load: Load, settings: &Settings, class: usize, time_left: u64, seed: u64) -> Self {
         let zones = settings.zones as u8;
-        let list: Vec<ListEntry> =
+        let list: Vec<EndpointEntry> =
             (0..load.servers as u32).map(|server| entry(server, server as u8 % zones)).collect();
         let mut tier = Self {
             load,
@@ -103,9 +103,9 @@
         for balancer in 0..load.balancers {
             let zone = ZoneId(balancer as u8 % zones);
             let settings = Settings { zone, siblings: load.balancers as u32, ..settings.clone() };
-            let module = Balancer::new(settings, seed << 8 | balancer as u64, tier.now).unwrap();
+            let module = LoadBalancer::new(settings, seed << 8 | balancer as u64, tier.now).unwrap();
             tier.balancers.push(module);
-            tier.tell(balancer, Event::List(&list));
+            tier.tell(balancer, Event::EndpointList(&list));
             tier.schedule(tier.now, Step::Arrival { balancer });
         }
         tier
@@ -150,7 +150,7 @@
             Step::Arrival { balancer } => self.arrival(balancer),
             Step::Timer { balancer, token } => self.tell(balancer, Event::Timer(token)),
             Step::Worked { server } => self.worked(server),
-            Step::Over { call } => self.ended(call, Outcome::Timeout),
+            Step::Over { call } => self.ended(call, AttemptOutcome::Timeout),
         }
     }
 
@@ -164,8 +164,13 @@
         self.next_request += 1;
         self.tallies[second].requests += 1;
         self.arrivals.insert((balancer, request), second);
-        let demand =
-            Demand { class: self.class, tenant: 0, time_left: self.time_left, work: None, streamed: false };
+        let demand = IncomingRequest {
+            class: self.class,
+            tenant: 0,
+            time_left: self.time_left,
+            work: None,
+            streamed: false,
+        };
         self.tell(balancer, Event::Request(RequestId(request), demand));
     }
 
@@ -213,18 +218,18 @@
         } else {
             self.work_on(server);
         }
-        self.ended(call, Outcome::Ok);
+        self.ended(call, AttemptOutcome::Success);
     }
 
     /// An attempt ends, unless it has been given up before.
-    fn ended(&mut self, call: Call, outcome: Outcome) {
+    fn ended(&mut self, call: Call, outcome: AttemptOutcome) {
         let Some(out) = self.open.get(&(call.balancer, call.request)).filter(|out| out.call == call) else {
             return;
         };
         let (elapsed, arrived_in) = (self.now - out.sent, out.arrived_in);
-        let closed = outcome == Outcome::Ok;
-        let end = End { attempt: call.attempt, outcome, elapsed, closed, spent: false, load: None };
-        self.tell(call.balancer, Event::Ended(RequestId(call.request), end));
+        let closed = outcome == AttemptOutcome::Success;
+        let end = AttemptEnd { attempt: call.attempt, outcome, elapsed, closed, spent: false, load: None };
+        self.tell(call.balancer, Event::AttemptEnded(RequestId(call.request), end));
         let is_over = |out: &Out| out.call == call;
         if self.open.get(&(call.balancer, call.request)).is_some_and(is_over) {
             self.open.remove(&(call.balancer, call.request));
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -10,7 +10,7 @@
 use common::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 use woadstall::wire::Reply;
 
@@ -50,7 +50,7 @@
     started: bool,
     closed: bool,
     attempts: u32,
-    in_flight: Option<(u32, u64, Outcome)>,
+    in_flight: Option<(u32, u64, AttemptOutcome)>,
 }
 
 /// How often each kind of action was seen.
@@ -85,7 +85,7 @@
 }
 
 struct World {
-    balancer: Balancer,
+    balancer: LoadBalancer,
     may_cancel: bool,
     rate: f64,
     rng: fastrand::Rng,
@@ -97,7 +97,7 @@
     in_flight: [u32; ENDPOINTS as usize],
     /// When an attempt ended last at each endpoint.
     idle_since: [u64; ENDPOINTS as usize],
-    list: Vec<ListEntry>,
+    list: Vec<EndpointEntry>,
     digest: Digest,
     seen: Seen,
 }
@@ -107,7 +107,7 @@
         let mut world = Self {
             may_cancel: settings.may_cancel,
             rate,
-            balancer: Balancer::new(settings, seed, SECOND).unwrap(),
+            balancer: LoadBalancer::new(settings, seed, SECOND).unwrap(),
             rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
             now: SECOND,
             order: 0,
@@ -152,7 +152,7 @@
             Due::ClientLeaves(id) => self.on_client_leaves(id),
             Due::QueryOver(endpoint) => {
                 let load = held(self.in_flight[endpoint as usize] as f32);
-                self.tell(Event::Probed(ServerId(endpoint), Outcome::Ok, load));
+                self.tell(Event::LoadQueryEnded(EndpointId(endpoint), AttemptOutcome::Success, load));
             }
             Due::Step(step) => self.on_step(step),
         }
@@ -176,7 +176,7 @@
         self.calls.insert(id, Call { class, streaming, ..Call::default() });
         let work = (self.rng.f64() < 0.5).then(|| self.rng.u64(..10 * MS));
         let tenant = self.rng.usize(..3);
-        let demand = Demand { class, tenant, time_left: 1500 * MS, work, streamed: streaming };
+        let demand = IncomingRequest { class, tenant, time_left: 1500 * MS, work, streamed: streaming };
         if self.rng.f64() < 0.04 {
             let delay = self.rng.u64(..100 * MS);
             self.after(delay, Due::ClientLeaves(id));
@@ -187,7 +187,7 @@
     fn on_client_leaves(&mut self, id: u32) {
         if self.calls.get(&id).is_some_and(|call| !call.closed) {
             self.calls.entry(id).and_modify(|call| call.closed = true);
-            self.tell(Event::ClientGone(RequestId(id)));
+            self.tell(Event::ClientDisconnected(RequestId(id)));
         }
     }
 
@@ -199,11 +199,11 @@
         let base = 4.0 + 8.0 * self.rng.f64();
         let slow = if FAULTS.contains(&self.since_start()) && endpoint == 5 { 20.0 } else { 1.0 };
         let took = match outcome {
-            Outcome::Full | Outcome::ConnectFailed => MS / 2,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed => MS / 2,
             _ => (base * slow * (1.0 + load * load / 12.0) * MS as f64) as u64,
         };
         let left = until.saturating_sub(self.now);
-        let (took, outcome) = if took >= left { (left, Outcome::Timeout) } else { (took, outcome) };
+        let (took, outcome) = if took >= left { (left, AttemptOutcome::Timeout) } else { (took, outcome) };
         let now = self.now;
         let call = self.calls.get_mut(&id).expect("a request that was made");
         let attempt = call.attempts;
@@ -215,27 +215,27 @@
         self.after(took, Due::AttemptOver { id, attempt });
     }
 
-    fn outcome(&mut self, id: u32, endpoint: u32) -> Outcome {
+    fn outcome(&mut self, id: u32, endpoint: u32) -> AttemptOutcome {
         let chance = self.rng.f64();
         let class = self.calls[&id].class;
         if endpoint == 0 && self.since_start() >= FAULTS.start && chance < 0.9 {
-            return Outcome::Error; // to the end: its breaker opens for longer and longer
+            return AttemptOutcome::Error; // to the end: its breaker opens for longer and longer
         }
         if FAULTS.contains(&self.since_start()) {
             match endpoint {
-                1 if class == UNSAFE || class == KEYED_ALL => return Outcome::Full,
-                2 if chance < 0.8 => return Outcome::ConnectFailed,
-                3 if chance < 0.7 => return Outcome::Reset,
-                6.. if self.is_reaped(endpoint) => return Outcome::Reset,
+                1 if class == UNSAFE || class == KEYED_ALL => return AttemptOutcome::Rejected,
+                2 if chance < 0.8 => return AttemptOutcome::ConnectFailed,
+                3 if chance < 0.7 => return AttemptOutcome::Reset,
+                6.. if self.is_reaped(endpoint) => return AttemptOutcome::Reset,
                 _ => {}
             }
         }
         match chance {
-            ..0.005 => Outcome::Error,
-            ..0.010 => Outcome::Reset,
-            ..0.012 => Outcome::Moot,
-            ..0.014 => Outcome::Declined,
-            _ => Outcome::Ok,
+            ..0.005 => AttemptOutcome::Error,
+            ..0.010 => AttemptOutcome::Reset,
+            ..0.012 => AttemptOutcome::NotSent,
+            ..0.014 => AttemptOutcome::InvalidRequest,
+            _ => AttemptOutcome::Success,
         }
     }
 
@@ -250,36 +250,37 @@
         let Some((endpoint, sent, outcome)) = call.in_flight.filter(|_| call.attempts == attempt + 1) else {
             return;
         };
-        if call.streaming && !call.started && outcome == Outcome::Ok {
+        if call.streaming && !call.started && outcome == AttemptOutcome::Success {
             call.started = true;
             call.closed = true;
-            self.tell(Event::Started(RequestId(id), attempt));
+            self.tell(Event::ResponseStarted(RequestId(id), attempt));
             return self.after(30 * MS, Due::AttemptOver { id, attempt });
         }
         call.in_flight = None;
-        let closed = call.closed || matches!(outcome, Outcome::Ok | Outcome::Declined);
+        let closed =
+            call.closed || matches!(outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
         call.closed = closed;
         self.in_flight[endpoint as usize] -= 1;
         self.idle_since[endpoint as usize] = self.now;
         let spent = call.streaming;
         let elapsed = self.now - sent;
-        let end = End { attempt, outcome, elapsed, closed, spent, load: None };
-        self.tell(Event::Ended(RequestId(id), end));
+        let end = AttemptEnd { attempt, outcome, elapsed, closed, spent, load: None };
+        self.tell(Event::AttemptEnded(RequestId(id), end));
     }
 
     // ---- Discovery and operators ----
 
     fn on_step(&mut self, step: usize) {
         match step {
-            4 => self.tell(Event::ListFailed),
+            4 => self.tell(Event::DiscoveryFailed),
             5 => self.restart(7),
-            8 => self.change(8, Lifecycle::Draining),
-            9 => self.change(8, Lifecycle::Gone),
-            12 => self.tell(Event::Offline(ServerId(9))),
-            15 => self.tell(Event::Online(ServerId(9))),
-            16 => self.tell(Event::ListMoved),
+            8 => self.change(8, EndpointState::Draining),
+            9 => self.change(8, EndpointState::Removed),
+            12 => self.tell(Event::Offline(EndpointId(9))),
+            15 => self.tell(Event::Online(EndpointId(9))),
+            16 => self.tell(Event::DiscoveryMoved),
             18 => (0..4).for_each(|endpoint| self.restart(endpoint)),
-            20 => self.tell(Event::ListFailed),
+            20 => self.tell(Event::DiscoveryFailed),
             22 => self.tell_list(),
             30 => (0..ENDPOINTS).for_each(|endpoint| self.restart(endpoint)),
             _ => {}
@@ -291,22 +292,22 @@
         let Some(entry) = self.list.iter_mut().find(|entry| entry.server.0 == endpoint) else { return };
         entry.started = Some(now);
         let entry = entry.clone();
-        self.tell(Event::ListChange(&[entry]));
+        self.tell(Event::EndpointsChanged(&[entry]));
     }
 
-    fn change(&mut self, endpoint: u32, lifecycle: Lifecycle) {
+    fn change(&mut self, endpoint: u32, lifecycle: EndpointState) {
         let position = self.list.iter().position(|entry| entry.server.0 == endpoint).expect("a listed one");
         self.list[position].lifecycle = lifecycle;
         let entry = self.list[position].clone();
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == EndpointState::Removed {
             self.list.remove(position);
         }
-        self.tell(Event::ListChange(&[entry]));
+        self.tell(Event::EndpointsChanged(&[entry]));
     }
 
     fn tell_list(&mut self) {
         let list = self.list.clone();
-        self.tell(Event::List(&list));
+        self.tell(Event::EndpointList(&list));
     }
 
     // ---- The module ----
@@ -341,7 +342,7 @@
                 self.send(id.0, server.0, until);
             }
             Action::SetTimer { after, token } => self.after(after, Due::Timer(token)),
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 self.seen.rejected += 1;
                 self.close(id);
             }
@@ -350,13 +351,13 @@
                 self.close(id);
             }
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
-            Action::Probe(endpoint) => {
+            Action::QueryLoad(endpoint) => {
                 self.seen.queries += 1;
                 let delay = self.rng.u64(..7 * MS);
                 self.after(delay, Due::QueryOver(endpoint.0));
             }
-            Action::Close(_) => self.seen.closed_idle += 1,
-            Action::Watch => self.seen.watches += 1,
+            Action::CloseIdle(_) => self.seen.closed_idle += 1,
+            Action::WatchEndpoints => self.seen.watches += 1,
             Action::Log(_) => {}
         }
     }
@@ -371,7 +372,7 @@
         if let Some(call) = self.calls.get_mut(&id.0)
             && let Some((_, _, outcome)) = &mut call.in_flight
         {
-            *outcome = Outcome::Cancelled;
+            *outcome = AttemptOutcome::Cancelled;
             self.after(MS, Due::AttemptOver { id: id.0, attempt });
         }
     }
@@ -385,16 +386,22 @@
 /// Settings in which every part of the module has something to do.
 fn busy() -> Settings {
     let tenant = Tenant { quota_rps: 300.0 };
-    Settings { tenants: vec![tenant; 3], ramp_time: 3 * SECOND, max_retry_after: SECOND, ..settings() }
+    Settings { tenants: vec![tenant; 3], warm_up_time: 3 * SECOND, max_retry_after: SECOND, ..settings() }
 }
 
 /// Guards the decisions over a change that should not alter any.
 #[test]
 fn actions_are_those_that_were_recorded() {
-    let polled =
-        Settings { ask_discovery: true, siblings: 40, cross_price: 0.02, conn_idle: SECOND / 2, ..busy() };
-    let queried = Settings { report_inflight: Some(0), load_by_probe: true, worth_by_work: true, ..busy() };
-    let deeper = Settings { tier: 1, may_cancel: false, passes_deadline: false, ..busy() };
+    let polled = Settings {
+        polls_discovery: true,
+        siblings: 40,
+        cross_zone_price: 0.02,
+        idle_timeout: SECOND / 2,
+        ..busy()
+    };
+    let queried =
+        Settings { reported_in_flight: Some(0), load_on_request: true, weight_by_work: true, ..busy() };
+    let deeper = Settings { tier: 1, may_cancel: false, propagates_deadline: false, ..busy() };
     let (pushed_line, pushed) = play("pushed", busy(), BUSY);
     let (polled_line, polled) = play("polled", polled, BUSY);
     let (queried_line, queried) = play("queried", queried, BUSY);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -15,7 +15,7 @@
         let mut attempt = 0;
         while sent(&actions) == Some(3) {
             refusals += 1;
-            actions = rig.end(id, attempt, Outcome::Full, MS / 10);
+            actions = rig.end(id, attempt, AttemptOutcome::Rejected, MS / 10);
             attempt += 1;
         }
     }
@@ -34,7 +34,7 @@
         for attempt in 0..4 {
             rig.now += MS;
             let Some(server) = sent(&actions) else { break };
-            let outcome = if server < 3 { Outcome::Full } else { Outcome::Ok };
+            let outcome = if server < 3 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
             actions = rig.end(id, attempt, outcome, MS);
         }
     }
@@ -54,7 +54,7 @@
             kept += u32::from(rig.serve(SAFE, 20 * MS) == Some(1));
             continue;
         }
-        let full = |server| if server == 1 { Outcome::Full } else { Outcome::Ok };
+        let full = |server| if server == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
         let (tried, end) = rig.run(UNSAFE, full);
         assert_eq!(end, None, "another one serves it");
         refused += u32::from(tried.contains(&1));
@@ -74,7 +74,7 @@
         if rng.u8(..3) > 0 {
             kept += u32::from(rig.serve(SAFE, 20 * MS) == Some(1));
         } else {
-            let error = |server| if server == 1 { Outcome::Error } else { Outcome::Ok };
+            let error = |server| if server == 1 { AttemptOutcome::Error } else { AttemptOutcome::Success };
             failed += u32::from(rig.run(UNSAFE, error).0.contains(&1));
         }
     }
@@ -93,7 +93,7 @@
         turns[server as usize] += 1;
         let took = if server == 0 { 80 * MS } else { 20 * MS };
         rig.now += took;
-        rig.end(id, 0, Outcome::Ok, took);
+        rig.end(id, 0, AttemptOutcome::Success, took);
     }
     assert!(turns[0] * 3 < turns[1], "{turns:?}");
 }
@@ -116,7 +116,7 @@
             stuck.push(timer.expect("an overdue timer"));
         } else {
             rig.now += 20 * MS;
-            rig.end(id, 0, Outcome::Ok, 20 * MS);
+            rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
         }
         let now = rig.now;
         for (_, token) in stuck.extract_if(.., |(due, _)| *due <= now) {
@@ -140,8 +140,9 @@
     let mut stuck = 0;
     for _ in 0..14 {
         let (id, actions) = rig.demand(UNSAFE);
-        let outcome = if sent(&actions) == Some(1) { Outcome::Timeout } else { Outcome::Ok };
-        stuck += u32::from(outcome == Outcome::Timeout);
+        let outcome =
+            if sent(&actions) == Some(1) { AttemptOutcome::Timeout } else { AttemptOutcome::Success };
+        stuck += u32::from(outcome == AttemptOutcome::Timeout);
         rig.now += 90 * MS;
         rig.end(id, 0, outcome, 90 * MS);
     }
@@ -155,7 +156,7 @@
     rig.warm_up(100);
     let burst: Vec<_> = (0..16).map(|_| rig.demand(UNSAFE)).collect();
     for (id, actions) in burst {
-        let outcome = if sent(&actions) == Some(1) { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if sent(&actions) == Some(1) { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         rig.end(id, 0, outcome, 20 * MS);
     }
     let open: Vec<_> = (0..4).filter_map(|_| rig.serve(SAFE, MS)).collect();
@@ -197,14 +198,14 @@
         }
         if out.front().is_some_and(|(_, at)| rig.now - at > 20 * MS) {
             let (id, at) = out.pop_front().expect("one is out");
-            rig.end(id, 0, Outcome::Ok, rig.now - at);
+            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
         }
     }
     let longest = out.front().map_or(0, |(_, at)| rig.now - at);
     assert!(first_refusal.is_some() && longest < 500 * MS, "the oldest waits {} ms", longest / MS);
     while let Some((id, at)) = out.pop_front() {
         rig.now += 2 * MS;
-        rig.end(id, 0, Outcome::Ok, rig.now - at);
+        rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
     }
     rig.warm_up(40);
     assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS).is_some()));
@@ -229,12 +230,12 @@
                 out.push_back((id, attempt, rig.now));
                 break;
             }
-            actions = rig.end(id, attempt, Outcome::Full, MS / 10);
+            actions = rig.end(id, attempt, AttemptOutcome::Rejected, MS / 10);
             attempt += 1;
         }
         if out.front().is_some_and(|(_, _, sent)| rig.now - sent > 450 * MS) {
             let (id, attempt, sent) = out.pop_front().expect("one is out");
-            rig.end(id, attempt, Outcome::Ok, rig.now - sent);
+            rig.end(id, attempt, AttemptOutcome::Success, rig.now - sent);
         }
     }
     assert!(shed > 100, "{shed} of 600 were shed");
@@ -250,7 +251,7 @@
         rig.now += 5 * MS;
         while held.front().is_some_and(|(_, sent)| rig.now - sent >= 20 * MS) {
             let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, Outcome::Ok, rig.now - at);
+            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
         }
         let bunch = if step > 1000 && step % 20 == 0 { 7 } else { 1 };
         for _ in 0..bunch {
@@ -283,9 +284,14 @@
         while let Some(server) = sent(&actions) {
             away += u32::from(server >= 4);
             rig.now += MS;
-            let outcome = if (call + attempt) % 4 != 0 { Outcome::ConnectFailed } else { Outcome::Ok };
-            actions = rig.end(id, attempt, outcome, if outcome == Outcome::Ok { 20 * MS } else { MS });
-            if outcome == Outcome::Ok {
+            let outcome = if (call + attempt) % 4 != 0 {
+                AttemptOutcome::ConnectFailed
+            } else {
+                AttemptOutcome::Success
+            };
+            actions =
+                rig.end(id, attempt, outcome, if outcome == AttemptOutcome::Success { 20 * MS } else { MS });
+            if outcome == AttemptOutcome::Success {
                 break;
             }
             attempt += 1;
@@ -317,8 +323,8 @@
     rig.now += 30 * MS;
     for (id, server) in burst {
         idle[server as usize] += 1;
-        for action in rig.end(id, 0, Outcome::Ok, 30 * MS) {
-            if let Action::Close(closed) = action {
+        for action in rig.end(id, 0, AttemptOutcome::Success, 30 * MS) {
+            if let Action::CloseIdle(closed) = action {
                 idle[closed.0 as usize] = 0;
             }
         }
@@ -327,13 +333,15 @@
     let closed = (0..20).any(|_| {
         let (id, _) = rig.demand(SAFE);
         rig.now += 20 * MS;
-        rig.end(id, 0, Outcome::Ok, 20 * MS).iter().any(|action| matches!(action, Action::Close(_)))
+        rig.end(id, 0, AttemptOutcome::Success, 20 * MS)
+            .iter()
+            .any(|action| matches!(action, Action::CloseIdle(_)))
     });
     assert!(!closed, "a steady caller keeps its connection");
 }
 
 fn asking() -> Settings {
-    Settings { report_inflight: Some(0), load_by_probe: true, ..settings() }
+    Settings { reported_in_flight: Some(0), load_on_request: true, ..settings() }
 }
 
 /// A caller with one call a second can't see by its own counts that others keep a server busy.
@@ -348,11 +356,11 @@
         let mut last = Vec::new();
         for (at, &server) in asked.iter().enumerate() {
             let load = if at == 2 { 0.0 } else { 3.0 };
-            last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+            last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
         }
         assert_eq!(sent(&last), Some(asked[2]));
         rig.now += 20 * MS;
-        rig.end(id, 0, Outcome::Ok, 20 * MS);
+        rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
     }
 }
 
@@ -368,8 +376,8 @@
     });
     let (after, token) = timer.expect("an end to the wait");
     assert!(after <= 10 * MS);
-    rig.tell(Event::Probed(ServerId(asked[1]), Outcome::Ok, held(5.0)));
-    rig.tell(Event::Probed(ServerId(asked[3]), Outcome::Timeout, None));
+    rig.tell(Event::LoadQueryEnded(EndpointId(asked[1]), AttemptOutcome::Success, held(5.0)));
+    rig.tell(Event::LoadQueryEnded(EndpointId(asked[3]), AttemptOutcome::Timeout, None));
     rig.now += after;
     assert_eq!(sent(&rig.tell(Event::Timer(token))), Some(asked[1]));
     assert_eq!(sent(&rig.tell(Event::Timer(token))), None, "a stale timer sends nothing again");
@@ -379,7 +387,7 @@
 #[test]
 fn request_with_hardly_any_time_left_is_sent_unasked() {
     let mut rig = Rig::new(asking(), &zones(1, 6));
-    let demand = Demand { class: SAFE, tenant: 0, time_left: MS, work: None, streamed: false };
+    let demand = IncomingRequest { class: SAFE, tenant: 0, time_left: MS, work: None, streamed: false };
     let actions = rig.tell(Event::Request(RequestId(7), demand));
     assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
 }
@@ -390,12 +398,12 @@
     let mut rig = Rig::new(asking(), &zones(1, 6));
     let (_, actions) = rig.demand(SAFE);
     let asked = probed(&actions);
-    let drained = ListEntry { lifecycle: Lifecycle::Draining, ..entry(asked[0], 0) };
-    rig.tell(Event::ListChange(&[drained]));
+    let drained = EndpointEntry { lifecycle: EndpointState::Draining, ..entry(asked[0], 0) };
+    rig.tell(Event::EndpointsChanged(&[drained]));
     let mut last = Vec::new();
     for &server in &asked {
         let load = if server == asked[0] { 0.0 } else { 9.0 };
-        last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+        last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
     }
     assert!(sent(&last).is_some_and(|server| server != asked[0]), "{last:?}");
 }
@@ -419,7 +427,7 @@
         let (id, actions) = rig.demand(UNSAFE);
         let mut last = Vec::new();
         for server in probed(&actions) {
-            last = rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load)));
+            last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
         }
         (id, last)
     };
@@ -428,7 +436,7 @@
         assert!(sent(&actions).is_some());
         let took = (load as u64 + 1) * 100 * MS;
         rig.now += took;
-        rig.end(id, 0, Outcome::Ok, took);
+        rig.end(id, 0, AttemptOutcome::Success, took);
     }
     assert!(sent(&call(&mut rig, 10.0).1).is_some(), "eleven times 100 ms is within 2 s");
     assert!(refused(&call(&mut rig, 30.0).1), "thirty-one times 100 ms is not");
@@ -437,7 +445,7 @@
 /// Where a probe is dear, asking four servers before each call costs more than a better choice brings.
 #[test]
 fn dear_probes_are_not_sent() {
-    let mut rig = Rig::new(Settings { probe_price: 0.01, ..asking() }, &zones(1, 6));
+    let mut rig = Rig::new(Settings { load_query_price: 0.01, ..asking() }, &zones(1, 6));
     let (_, actions) = rig.demand(SAFE);
     assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
 }
@@ -445,8 +453,8 @@
 /// A caller with few calls sees each server too seldom for a breaker, and stayed in a zone where a fifth failed.
 #[test]
 fn zone_with_many_failures_is_left_though_no_breaker_trips() {
-    let strays = |every: u32, cross_price: f64| {
-        let mut rig = Rig::new(Settings { cross_price, ..settings() }, &zones(2, 40));
+    let strays = |every: u32, cross_zone_price: f64| {
+        let mut rig = Rig::new(Settings { cross_zone_price, ..settings() }, &zones(2, 40));
         // As slow as the calls that follow: a zone that gets later has its own reason to be left.
         (0..100).for_each(|_| assert!(rig.serve(SAFE, 100 * MS).is_some()));
         let mut strays = 0;
@@ -456,7 +464,7 @@
             strays += u32::from(server >= 40);
             rig.now += 100 * MS;
             let failed = server < 40 && call % every == 0;
-            rig.end(id, 0, if failed { Outcome::Error } else { Outcome::Ok }, 100 * MS);
+            rig.end(id, 0, if failed { AttemptOutcome::Error } else { AttemptOutcome::Success }, 100 * MS);
         }
         strays
     };
@@ -475,7 +483,7 @@
         let (id, actions) = rig.demand(UNSAFE);
         strays += u32::from(sent(&actions).is_some_and(|server| server >= 40));
         rig.now += 100 * MS;
-        rig.end(id, 0, if call % 7 == 0 { Outcome::Error } else { Outcome::Ok }, 100 * MS);
+        rig.end(id, 0, if call % 7 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success }, 100 * MS);
     }
     assert!(strays < 60, "{strays} of 200 calls crossed");
 }
@@ -497,23 +505,27 @@
 /// A cold server that tells of no calls got only its share of the proposals, and stood idle in a loaded zone.
 #[test]
 fn asked_cold_server_gets_up_to_half_the_multiple_that_pushes_it_over() {
-    let calls_to_the_cold_one = |tip_multiple: f64| {
-        let mut rig = Rig::new(Settings { tip_multiple, ..asking() }, &zones(1, 8));
+    let calls_to_the_cold_one = |overload_multiple: f64| {
+        let mut rig = Rig::new(Settings { overload_multiple, ..asking() }, &zones(1, 8));
         let mut served = 0;
         for call in 0..400 {
             if call == 200 {
                 let started = Some(rig.now);
-                rig.tell(Event::ListChange(&[ListEntry { started, ..entry(3, 0) }]));
+                rig.tell(Event::EndpointsChanged(&[EndpointEntry { started, ..entry(3, 0) }]));
             }
             let (id, mut actions) = rig.demand(UNSAFE);
             for server in probed(&actions) {
                 let load = if server == 3 { 0.0 } else { 1.0 };
-                actions.extend(rig.tell(Event::Probed(ServerId(server), Outcome::Ok, held(load))));
+                actions.extend(rig.tell(Event::LoadQueryEnded(
+                    EndpointId(server),
+                    AttemptOutcome::Success,
+                    held(load),
+                )));
             }
             let server = sent(&actions).expect("a server is free");
             served += u32::from(call >= 200 && server == 3);
             rig.now += 20 * MS;
-            rig.end(id, 0, Outcome::Ok, 20 * MS);
+            rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
         }
         served
     };
@@ -527,21 +539,21 @@
 fn on_new_connection(actions: &[Action]) -> bool {
     let place = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
     let (close, send) =
-        (place(&|a| matches!(a, Action::Close(_))), place(&|a| matches!(a, Action::Send { .. })));
+        (place(&|a| matches!(a, Action::CloseIdle(_))), place(&|a| matches!(a, Action::Send { .. })));
     close.is_some_and(|close| close < send.expect("sent"))
 }
 
 /// Calls spaced so that each server's connection has been idle for seconds; whether it was replaced.
-fn sparse_call(rig: &mut Rig, class: usize, outcome: Outcome) -> bool {
+fn sparse_call(rig: &mut Rig, class: usize, outcome: AttemptOutcome) -> bool {
     sparse_call_to(rig, class, outcome).1
 }
 
-fn sparse_call_to(rig: &mut Rig, class: usize, outcome: Outcome) -> (u32, bool) {
+fn sparse_call_to(rig: &mut Rig, class: usize, outcome: AttemptOutcome) -> (u32, bool) {
     rig.now += SECOND;
     let (id, actions) = rig.demand(class);
     rig.now += 20 * MS;
     if sent(&rig.end(id, 0, outcome, 20 * MS)).is_some() {
-        rig.end(id, 1, Outcome::Ok, 20 * MS);
+        rig.end(id, 1, AttemptOutcome::Success, 20 * MS);
     }
     (sent(&actions).expect("sent"), on_new_connection(&actions))
 }
@@ -549,12 +561,13 @@
 #[test]
 fn connections_that_idled_too_long_are_replaced_and_do_not_trip_servers() {
     let mut rig = Rig::new(settings(), &zones(1, 4));
-    (0..12).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, Outcome::Ok), "sound while idle"));
-    let fail = |rig: &mut Rig| sparse_call_to(rig, SAFE, Outcome::Reset).0;
+    (0..12)
+        .for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, AttemptOutcome::Success), "sound while idle"));
+    let fail = |rig: &mut Rig| sparse_call_to(rig, SAFE, AttemptOutcome::Reset).0;
     let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut rig)).collect();
     // A connection on which a call failed is closed already; every other one is replaced before it is used.
     for _ in 0..12 {
-        let (server, replaced) = sparse_call_to(&mut rig, UNSAFE, Outcome::Ok);
+        let (server, replaced) = sparse_call_to(&mut rig, UNSAFE, AttemptOutcome::Success);
         assert!(replaced || closed.remove(&server), "server {server} on a connection that would fail");
     }
     let servers: std::collections::BTreeSet<_> = (0..8).filter_map(|_| rig.serve(SAFE, MS)).collect();
@@ -565,11 +578,11 @@
 fn idle_connections_are_kept_where_new_ones_fail_as_well() {
     let mut rig = Rig::new(settings(), &zones(1, 1));
     let mut call = |outcome| sparse_call(&mut rig, UNSAFE, outcome);
-    (0..12).for_each(|_| assert!(!call(Outcome::Ok)));
+    (0..12).for_each(|_| assert!(!call(AttemptOutcome::Success)));
     // The first fails on an idle connection, the others on new ones.
-    (0..7).for_each(|_| assert!(!call(Outcome::Reset)));
-    assert!(!call(Outcome::Ok), "on a new one");
-    assert!(!call(Outcome::Ok), "a new one would be no better");
+    (0..7).for_each(|_| assert!(!call(AttemptOutcome::Reset)));
+    assert!(!call(AttemptOutcome::Success), "on a new one");
+    assert!(!call(AttemptOutcome::Success), "a new one would be no better");
 }
 
 /// Calls that take a third of their aim by nature were shed on calm days, and nothing was gained by it.
@@ -581,7 +594,7 @@
         rig.now += 10 * MS;
         while held.front().is_some_and(|(_, sent)| rig.now - sent >= 180 * MS) {
             let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, Outcome::Ok, rig.now - at);
+            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
         }
         let (id, actions) = rig.demand(SAFE);
         refusals += u32::from(step > 200 && refused(&actions)); // in the first seconds, no rate is known yet
@@ -607,7 +620,7 @@
             _ => 250 * MS,
         };
         rig.now += took;
-        rig.end(id, 0, Outcome::Ok, took);
+        rig.end(id, 0, AttemptOutcome::Success, took);
         rig.now += pause;
     }
     assert_eq!(crossed[0], 0, "nothing crosses in calm times");
@@ -627,19 +640,19 @@
     let held: Vec<_> = (0..4).map(|_| hold(&mut rig)).collect();
     let (tight, last) = held[3];
     rig.now += 30 * MS;
-    rig.end(last, 0, Outcome::ConnectFailed, 250 * MS);
+    rig.end(last, 0, AttemptOutcome::ConnectFailed, 250 * MS);
     rig.now += 30 * MS;
     let next: Vec<_> = (0..4).map(|_| hold(&mut rig).0).collect();
     assert!(next.iter().all(|&server| server != tight), "it lets us have no more");
     let (_, first) = *held.iter().find(|(server, _)| *server == tight).expect("sent there before");
-    rig.end(first, 0, Outcome::Ok, 60 * MS);
+    rig.end(first, 0, AttemptOutcome::Success, 60 * MS);
     assert_eq!(hold(&mut rig).0, tight, "its connection is free again");
 }
 
 /// What a process refused says nothing of the one that replaced it.
 #[test]
 fn restarted_server_is_not_held_to_the_connections_of_its_predecessor() {
-    let mut rig = Rig::new(Settings { ramp_time: SECOND, ..settings() }, &zones(1, 2));
+    let mut rig = Rig::new(Settings { warm_up_time: SECOND, ..settings() }, &zones(1, 2));
     rig.warm_up(40);
     // Both hold calls; server 1 takes no further connection.
     let held: Vec<_> = (0..8).map(|_| rig.demand(SAFE)).collect();
@@ -647,13 +660,13 @@
         held.iter().filter(|(_, actions)| sent(actions) == Some(1)).map(|(id, _)| *id).collect()
     };
     let tight = at_one(&held);
-    tight.iter().for_each(|&id| drop(rig.end(id, 0, Outcome::ConnectFailed, MS)));
+    tight.iter().for_each(|&id| drop(rig.end(id, 0, AttemptOutcome::ConnectFailed, MS)));
     rig.now += 60 * MS;
     let next: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
     assert!(at_one(&next).is_empty(), "it takes none");
-    let warm = ListEntry { started: Some(1), ..entry(1, 0) };
+    let warm = EndpointEntry { started: Some(1), ..entry(1, 0) };
     rig.now += 2 * SECOND;
-    rig.tell(Event::ListChange(&[warm]));
+    rig.tell(Event::EndpointsChanged(&[warm]));
     let again: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
     assert!(!at_one(&again).is_empty(), "the new process takes calls");
 }
@@ -662,7 +675,7 @@
 /// all of them together sent on until nothing was answered in time.
 #[test]
 fn caller_with_few_calls_sheds_in_a_jam() {
-    let long = |class: Class| Class { aim: 2 * SECOND, deadline: 8 * SECOND, ..class };
+    let long = |class: RequestClass| RequestClass { aim: 2 * SECOND, deadline: 8 * SECOND, ..class };
     let settings = Settings { classes: settings().classes.into_iter().map(long).collect(), ..settings() };
     let mut rig = Rig::new(settings, &zones(1, 12));
     let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
@@ -672,11 +685,12 @@
         rig.now += 333 * MS;
         while held.front().is_some_and(|&(_, _, due)| rig.now >= due) {
             let (id, at, _): (RequestId, u64, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, Outcome::Ok, rig.now - at);
+            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
         }
         let id = RequestId(rig.next_id);
         rig.next_id += 1;
-        let demand = Demand { class: SAFE, tenant: 0, time_left: 8 * SECOND, work: None, streamed: false };
+        let demand =
+            IncomingRequest { class: SAFE, tenant: 0, time_left: 8 * SECOND, work: None, streamed: false };
         let actions = rig.tell(Event::Request(id, demand));
         refusals += u32::from(refused(&actions));
         assert!(step >= 100 || refusals == 0, "refused in calm times");
@@ -699,9 +713,9 @@
         let Some(server) = sent(&actions) else { continue };
         rig.now += 20 * MS;
         let outcome = match server / 20 {
-            0 if call % 4 == 0 => Outcome::Error,
-            1 => Outcome::ConnectFailed,
-            _ => Outcome::Ok,
+            0 if call % 4 == 0 => AttemptOutcome::Error,
+            1 => AttemptOutcome::ConnectFailed,
+            _ => AttemptOutcome::Success,
         };
         rig.end(id, 0, outcome, 20 * MS);
         to_dead[call / 120] += u32::from(server / 20 == 1);
@@ -712,10 +726,10 @@
 /// A connection that was closed as idle is none that could fail: nothing is to be replaced, or blamed.
 #[test]
 fn connections_closed_as_idle_are_new_ones() {
-    let mut rig = Rig::new(Settings { conn_idle: SECOND, ..settings() }, &zones(1, 4));
-    (0..12).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, Outcome::Ok)));
-    (0..2).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, Outcome::Reset)));
-    (0..4).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, Outcome::Ok), "closed long ago"));
+    let mut rig = Rig::new(Settings { idle_timeout: SECOND, ..settings() }, &zones(1, 4));
+    (0..12).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, AttemptOutcome::Success)));
+    (0..2).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, AttemptOutcome::Reset)));
+    (0..4).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, AttemptOutcome::Success), "closed long ago"));
 }
 
 /// Calls with much work passed for failures of their servers, and breakers of sound ones opened.
@@ -759,13 +773,13 @@
         // One attempt is out at a server that goes; its end still finds what it belongs to.
         let (id, actions) = rig.demand(KEYED_ZONE);
         let first = sent(&actions).expect("sent");
-        let list: Vec<ListEntry> = (0..3).map(|zone| entry(3 * round + u32::from(zone), zone)).collect();
-        rig.tell(Event::List(&list));
+        let list: Vec<EndpointEntry> = (0..3).map(|zone| entry(3 * round + u32::from(zone), zone)).collect();
+        rig.tell(Event::EndpointList(&list));
         rig.now += 20 * MS;
         // The budget for retries does not grant each.
-        if let Some(again) = sent(&rig.end(id, 0, Outcome::Error, 20 * MS)) {
+        if let Some(again) = sent(&rig.end(id, 0, AttemptOutcome::Error, 20 * MS)) {
             assert_eq!(again % 3, first % 3, "the window of its key is that of its zone");
-            rig.end(id, 1, Outcome::Ok, 20 * MS);
+            rig.end(id, 1, AttemptOutcome::Success, 20 * MS);
         }
         size.push(format!("{:?}", rig.balancer).len());
     }
@@ -799,17 +813,17 @@
     const SILENT_WATCH: u64 = 3 * SECOND;
     const CONNECT_HANGS: u64 = SECOND / 2;
     const ANSWER: u64 = SECOND;
-    let settings = Settings { ask_discovery: true, siblings: FLEET as u32, ..settings() };
+    let settings = Settings { polls_discovery: true, siblings: FLEET as u32, ..settings() };
     let (mut first, mut failed, mut moved) = (Vec::new(), vec![Vec::new(); 12], Vec::new());
     for seed in 0..FLEET as u64 {
-        let balancer = woadstall::Balancer::new(settings.clone(), seed, SECOND).unwrap();
+        let balancer = woadstall::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
         let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
-        first.push(asks_within(&mut rig, Event::List(&zones(1, 2))));
+        first.push(asks_within(&mut rig, Event::EndpointList(&zones(1, 2))));
         for waits in &mut failed {
-            waits.push(asks_within(&mut rig, Event::ListFailed));
+            waits.push(asks_within(&mut rig, Event::DiscoveryFailed));
         }
-        moved.push(asks_within(&mut rig, Event::ListMoved));
-        let after_move = asks_within(&mut rig, Event::ListFailed);
+        moved.push(asks_within(&mut rig, Event::DiscoveryMoved));
+        let after_move = asks_within(&mut rig, Event::DiscoveryFailed);
         assert!(after_move <= 350 * MS, "the failures of the service before count for the new one");
     }
     let longest = |waits: &[u64]| *waits.iter().max().unwrap();
@@ -831,15 +845,15 @@
 /// What a fleet of balancers asks of one discovery service, in windows of a tenth of a second, from its return on:
 /// it was away for so long, and each call to it took so long to fail. All watches break as it goes.
 fn calls_at_the_return(fleet: u64, away: u64, fails_after: u64) -> Vec<usize> {
-    let settings = Settings { ask_discovery: true, siblings: fleet as u32, ..settings() };
+    let settings = Settings { polls_discovery: true, siblings: fleet as u32, ..settings() };
     let mut calls = Vec::new();
     for seed in 0..fleet {
-        let balancer = woadstall::Balancer::new(settings.clone(), seed, SECOND).unwrap();
+        let balancer = woadstall::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
         let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
-        asks_within(&mut rig, Event::List(&zones(1, 2)));
+        asks_within(&mut rig, Event::EndpointList(&zones(1, 2)));
         let back = rig.now + away;
         loop {
-            rig.now += asks_within(&mut rig, Event::ListFailed);
+            rig.now += asks_within(&mut rig, Event::DiscoveryFailed);
             if rig.now >= back {
                 break;
             }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -44,7 +44,7 @@
         assert!(!refused(&actions), "call {call}");
         open.push_back(id);
         if open.len() > 14 {
-            let outcome = if call % 2 == 0 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if call % 2 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success };
             rig.end(open.pop_front().unwrap(), 0, outcome, 140 * MS);
         }
     }
@@ -55,7 +55,7 @@
     let mut rig = Rig::new(settings(), &zones(3, 4));
     rig.warm_up(40);
     for _ in 0..60 {
-        rig.run(SAFE, |server| if server < 2 { Outcome::Error } else { Outcome::Ok });
+        rig.run(SAFE, |server| if server < 2 { AttemptOutcome::Error } else { AttemptOutcome::Success });
     }
     let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, 5 * MS)));
     assert!(turns.keys().any(|&server| server >= 4), "{turns:?}");
@@ -76,7 +76,10 @@
     rig.warm_up(40);
     rig.now += 2 * SECOND; // dead for so long that no answer tells otherwise
     for _ in 0..40 {
-        rig.run(SAFE, |server| if server < 3 { Outcome::ConnectFailed } else { Outcome::Ok });
+        rig.run(
+            SAFE,
+            |server| if server < 3 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success },
+        );
     }
     // Unsafe calls are no trials, so that what is left are the ordinary picks.
     let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, MS)));
@@ -106,7 +109,7 @@
     let mut rig = Rig::new(settings(), &zones(1, 4));
     rig.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { Outcome::Reset } else { Outcome::Ok });
+        rig.run(SAFE, |server| if server == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success });
     }
     let open = counts((0..20).filter_map(|_| rig.serve(UNSAFE, MS)));
     assert!(!open.contains_key(&2), "{open:?}");
@@ -120,7 +123,7 @@
     let mut rig = Rig::new(settings(), &zones(1, 4));
     rig.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { Outcome::Reset } else { Outcome::Ok });
+        rig.run(SAFE, |server| if server == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success });
     }
     rig.now += 10 * SECOND;
     let first: Vec<u32> = (0..8).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
@@ -132,7 +135,7 @@
     let mut rig = Rig::new(settings(), &zones(1, 2));
     rig.warm_up(50);
     for _ in 0..30 {
-        rig.run(SAFE, |server| if server == 1 { Outcome::Full } else { Outcome::Ok });
+        rig.run(SAFE, |server| if server == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success });
     }
     rig.now += SECOND / 2;
     let turns = counts((0..10).filter_map(|_| rig.serve(UNSAFE, 20 * MS)));
@@ -142,12 +145,14 @@
 #[test]
 fn rule_1_every_request_is_answered_once() {
     let mut rig = Rig::new(settings(), &zones(3, 2));
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Full, Outcome::Moot] {
+    for outcome in
+        [AttemptOutcome::Error, AttemptOutcome::Timeout, AttemptOutcome::Rejected, AttemptOutcome::NotSent]
+    {
         for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
             let (tried, answer) = rig.run(class, |_| outcome);
             assert!(tried.len() <= 4);
             assert!(
-                matches!(answer, Some(Action::Refuse { .. } | Action::Fail(_))),
+                matches!(answer, Some(Action::Reject { .. } | Action::Fail(_))),
                 "{outcome:?} {answer:?}"
             );
         }
@@ -163,31 +168,34 @@
 #[test]
 fn rule_2_unsafe_work_that_may_have_run_is_failed_not_refused_or_repeated() {
     let mut rig = Rig::new(settings(), &zones(1, 4));
-    let (tried, answer) = rig.run(UNSAFE, |_| Outcome::Reset);
+    let (tried, answer) = rig.run(UNSAFE, |_| AttemptOutcome::Reset);
     assert_eq!((tried.len(), answer), (1, Some(Action::Fail(RequestId(0)))));
-    let (tried, _) = rig.run(UNSAFE, |_| Outcome::Full);
+    let (tried, _) = rig.run(UNSAFE, |_| AttemptOutcome::Rejected);
     assert_eq!(tried.len(), 4);
 }
 
 #[test]
 fn rule_2_keyed_work_is_repeated_inside_its_group_and_window_only() {
     let mut rig = Rig::new(settings(), &zones(3, 4));
-    let (tried, _) = rig.run(KEYED_ZONE, |_| Outcome::Error);
+    let (tried, _) = rig.run(KEYED_ZONE, |_| AttemptOutcome::Error);
     assert!(tried.len() > 1 && tried.iter().all(|server| server / 4 == tried[0] / 4), "{tried:?}");
-    let (tried, _) = rig.run(KEYED_CELL, |_| Outcome::Error);
+    let (tried, _) = rig.run(KEYED_CELL, |_| AttemptOutcome::Error);
     assert!(tried.len() > 1 && tried.iter().all(|server| server % 2 == tried[0] % 2), "{tried:?}");
     let (id, _) = rig.demand(KEYED_ALL);
     rig.now += SECOND + MS;
-    assert_eq!(rig.end(id, 0, Outcome::Error, SECOND + MS), [Action::Fail(id)]);
+    assert_eq!(rig.end(id, 0, AttemptOutcome::Error, SECOND + MS), [Action::Fail(id)]);
 }
 
 #[test]
 fn rule_3_drained_and_gone_servers_get_nothing_new() {
     let mut rig = Rig::new(settings(), &zones(1, 3));
     let mut drained = entry(1, 0);
-    drained.lifecycle = Lifecycle::Draining;
-    rig.tell(Event::ListChange(&[drained]));
-    rig.tell(Event::List(&[entry(0, 0), ListEntry { lifecycle: Lifecycle::Draining, ..entry(1, 0) }]));
+    drained.lifecycle = EndpointState::Draining;
+    rig.tell(Event::EndpointsChanged(&[drained]));
+    rig.tell(Event::EndpointList(&[
+        entry(0, 0),
+        EndpointEntry { lifecycle: EndpointState::Draining, ..entry(1, 0) },
+    ]));
     let turns = counts((0..30).filter_map(|_| sent(&rig.demand(UNSAFE).1)));
     assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0]);
 }
@@ -198,7 +206,7 @@
     let mut rig = Rig::new(settings(), &list);
     rig.warm_up(500);
     list[3].started = Some(rig.now);
-    rig.tell(Event::ListChange(&list[3..]));
+    rig.tell(Event::EndpointsChanged(&list[3..]));
     let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
     let cold = turns.get(&3).copied().unwrap_or(0);
     assert!((1..=11).contains(&cold), "{turns:?}");
@@ -212,7 +220,7 @@
     for server in &mut list[..4] {
         server.started = Some(rig.now);
     }
-    rig.tell(Event::List(&list));
+    rig.tell(Event::EndpointList(&list));
     let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
     let cold: u32 = turns.range(..4).map(|(_, n)| n).sum();
     assert!((1..=45).contains(&cold), "{turns:?}");
@@ -222,21 +230,21 @@
 #[test]
 fn safe_work_is_retried_elsewhere_within_the_retry_budget() {
     let mut rig = Rig::new(settings(), &zones(1, 8));
-    let (tried, _) = rig.run(SAFE, |_| Outcome::Error);
+    let (tried, _) = rig.run(SAFE, |_| AttemptOutcome::Error);
     assert_eq!(tried.len(), 4);
     assert!(tried.windows(2).all(|pair| pair[0] != pair[1]), "{tried:?}");
-    let attempts: usize = (0..200).map(|_| rig.run(SAFE, |_| Outcome::Error).0.len()).sum();
+    let attempts: usize = (0..200).map(|_| rig.run(SAFE, |_| AttemptOutcome::Error).0.len()).sum();
     assert!((200..=260).contains(&attempts), "{attempts} attempts for 200 requests");
 }
 
 #[test]
 fn discovery_is_asked_once_and_again_after_a_jittered_wait() {
-    let mut rig = Rig { balancer: woadstall::Balancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
-    let first = rig.tell(Event::List(&zones(1, 2)));
+    let mut rig = Rig { balancer: woadstall::LoadBalancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
+    let first = rig.tell(Event::EndpointList(&zones(1, 2)));
     let [Action::SetTimer { token, .. }] = first[..] else { panic!("{first:?}") };
-    assert_eq!(rig.tell(Event::Timer(token)), [Action::Watch]);
-    assert_eq!(rig.tell(Event::ListChange(&[])), []);
-    let again = rig.tell(Event::ListFailed);
+    assert_eq!(rig.tell(Event::Timer(token)), [Action::WatchEndpoints]);
+    assert_eq!(rig.tell(Event::EndpointsChanged(&[])), []);
+    let again = rig.tell(Event::DiscoveryFailed);
     assert!(
         matches!(again[..], [Action::SetTimer { after, .. }, Action::Log(_)] if after <= 350 * MS),
         "{again:?}"
@@ -244,16 +252,16 @@
 }
 
 fn asked() -> Settings {
-    Settings { ask_discovery: true, ..settings() }
+    Settings { polls_discovery: true, ..settings() }
 }
 
 #[test]
 fn client_that_left_gets_no_answer_and_its_attempt_is_cancelled() {
     let mut rig = Rig::new(settings(), &zones(1, 2));
     let (id, _) = rig.demand(SAFE);
-    assert_eq!(rig.tell(Event::ClientGone(id)), [Action::Cancel { id, attempt: 0 }]);
-    assert_eq!(rig.tell(Event::ClientGone(id)), []);
-    assert_eq!(rig.end(id, 0, Outcome::Cancelled, MS), []);
+    assert_eq!(rig.tell(Event::ClientDisconnected(id)), [Action::Cancel { id, attempt: 0 }]);
+    assert_eq!(rig.tell(Event::ClientDisconnected(id)), []);
+    assert_eq!(rig.end(id, 0, AttemptOutcome::Cancelled, MS), []);
 }
 
 #[test]
@@ -274,7 +282,7 @@
         }
         if let (0, Some((id, at))) = (step % 2, out.front().copied()) {
             out.pop_front();
-            rig.end(id, 0, Outcome::Ok, rig.now - at);
+            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
         }
     }
     assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
@@ -304,14 +312,14 @@
             all.extend(actions.clone());
             let Some(server) = sent(&actions) else { break };
             rig.now += 10 * MS;
-            let outcome = if server < 4 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if server < 4 { AttemptOutcome::Error } else { AttemptOutcome::Success };
             actions = rig.end(id, attempt, outcome, 10 * MS);
         }
         all.extend(actions);
     }
     let lines = [log(&all, "breaker of server"), log(&all, "zone left")];
     assert!(lines.iter().all(|n| (1..=2).contains(n)), "{lines:?}");
-    let failed = rig.tell(Event::ListFailed);
+    let failed = rig.tell(Event::DiscoveryFailed);
     assert_eq!(log(&failed, "discovery failed 1 times"), 1);
 }
 
@@ -330,17 +338,17 @@
 fn a_server_out_by_hand_is_sent_nothing_on_any_path() {
     let list = zones(1, 2);
     let mut rig = Rig::new(settings(), &list);
-    rig.tell(Event::Offline(ServerId(0)));
+    rig.tell(Event::Offline(EndpointId(0)));
     assert_eq!(rig.balancer.avoided(), 1);
     for _ in 0..20 {
         // Each is repeated as often as may be.
-        let (tried, _) = rig.run(SAFE, |_| Outcome::Full);
+        let (tried, _) = rig.run(SAFE, |_| AttemptOutcome::Rejected);
         assert!(tried.iter().all(|server| *server == 1), "{tried:?}");
         rig.now += SECOND;
-        rig.tell(Event::List(&list));
-        rig.tell(Event::ListChange(&list[..1]));
+        rig.tell(Event::EndpointList(&list));
+        rig.tell(Event::EndpointsChanged(&list[..1]));
     }
-    rig.tell(Event::Offline(ServerId(1)));
+    rig.tell(Event::Offline(EndpointId(1)));
     let (_, actions) = rig.demand(SAFE);
     assert!(sent(&actions).is_none() && refused(&actions));
 }
@@ -349,12 +357,12 @@
 fn a_server_out_by_hand_is_out_when_it_is_listed_again() {
     let list = zones(1, 2);
     let mut rig = Rig::new(settings(), &list[1..]);
-    rig.tell(Event::Offline(ServerId(0)));
-    rig.tell(Event::List(&list));
+    rig.tell(Event::Offline(EndpointId(0)));
+    rig.tell(Event::EndpointList(&list));
     rig.warm_up(20);
     assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS) == Some(1)));
-    rig.tell(Event::List(&list[1..]));
-    rig.tell(Event::List(&list));
+    rig.tell(Event::EndpointList(&list[1..]));
+    rig.tell(Event::EndpointList(&list));
     assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS) == Some(1)));
 }
 
@@ -366,12 +374,12 @@
     rig.warm_up(200);
     let share = |rig: &mut Rig| (0..200).filter(|_| rig.serve(SAFE, 20 * MS) == Some(0)).count();
     let before = share(&mut rig);
-    rig.tell(Event::Offline(ServerId(0)));
-    rig.tell(Event::Online(ServerId(0)));
+    rig.tell(Event::Offline(EndpointId(0)));
+    rig.tell(Event::Online(EndpointId(0)));
     let cold = share(&mut rig);
     assert!(cold > 0 && cold < before / 2, "{before} of 200 calls before, {cold} right after");
     rig.now += 10 * SECOND;
-    rig.tell(Event::Online(ServerId(0)));
+    rig.tell(Event::Online(EndpointId(0)));
     assert!(share(&mut rig) > before / 2, "once more is nothing new");
 }
 
@@ -379,11 +387,11 @@
 #[test]
 fn a_request_that_is_spent_is_not_repeated() {
     let mut rig = Rig::new(settings(), &zones(1, 3));
-    for (outcome, spent) in [(Outcome::ConnectFailed, true), (Outcome::ConnectFailed, false)] {
+    for (outcome, spent) in [(AttemptOutcome::ConnectFailed, true), (AttemptOutcome::ConnectFailed, false)] {
         let (id, actions) = rig.demand(SAFE);
         assert!(sent(&actions).is_some());
-        let end = End { attempt: 0, outcome, elapsed: MS, closed: false, spent, load: None };
-        let actions = rig.tell(Event::Ended(id, end));
+        let end = AttemptEnd { attempt: 0, outcome, elapsed: MS, closed: false, spent, load: None };
+        let actions = rig.tell(Event::AttemptEnded(id, end));
         assert_eq!((sent(&actions).is_some(), refused(&actions)), (!spent, spent));
     }
 }
@@ -395,7 +403,7 @@
     rig.warm_up(50);
     let timers = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
     for (streamed, expected) in [(false, 1), (true, 0)] {
-        let demand = Demand { class: SAFE, tenant: 0, time_left: 2 * SECOND, work: None, streamed };
+        let demand = IncomingRequest { class: SAFE, tenant: 0, time_left: 2 * SECOND, work: None, streamed };
         rig.next_id += 1;
         let actions = rig.tell(Event::Request(RequestId(rig.next_id + 1000), demand));
         assert!(sent(&actions).is_some());
@@ -414,14 +422,15 @@
         let (id, actions) = rig.demand(SAFE);
         begun.push((id, sent(&actions).expect("a server")));
         rig.now += 20 * MS;
-        rig.tell(Event::Started(id, 0));
+        rig.tell(Event::ResponseStarted(id, 0));
     }
     let to = |server: u32| begun.iter().filter(|(_, at)| *at == server).count();
     assert_eq!((to(0), to(1)), (10, 10), "even turns, however many answers go on");
     for &(id, server) in &begun {
-        let outcome = if server == 0 { Outcome::Reset } else { Outcome::Ok };
-        let end = End { attempt: 0, outcome, elapsed: 9 * SECOND, closed: true, spent: false, load: None };
-        assert_eq!(sent(&rig.tell(Event::Ended(id, end))), None, "it is the caller's by now");
+        let outcome = if server == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
+        let end =
+            AttemptEnd { attempt: 0, outcome, elapsed: 9 * SECOND, closed: true, spent: false, load: None };
+        assert_eq!(sent(&rig.tell(Event::AttemptEnded(id, end))), None, "it is the caller's by now");
     }
     assert_eq!(rig.balancer.avoided(), 1, "its breaker is open");
     assert_eq!(rig.serve(SAFE, 20 * MS), Some(1));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -4,13 +4,13 @@
 use common::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use woadstall::Balancer;
+use woadstall::LoadBalancer;
 use woadstall::api::*;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Demand { class: usize, time_left: u64 },
-    End { pick: usize, outcome: usize },
+    IncomingRequest { class: usize, time_left: u64 },
+    AttemptEnd { pick: usize, outcome: usize },
     Leave { pick: usize },
     List { server: u32, lifecycle: u8, size: f32, fresh: bool, whole: bool },
     Failed,
@@ -25,8 +25,8 @@
     let load = prop_oneof![Just(f32::NAN), Just(-1.0), 0.0f32..9.0];
     let size = prop_oneof![Just(1.0f32), Just(0.0), Just(f32::NAN), Just(-3.0), 0.1f32..8.0];
     prop_oneof![
-        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::Demand { class, time_left: ms * MS }),
-        6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
+        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::IncomingRequest { class, time_left: ms * MS }),
+        6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::AttemptEnd { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
         2 => (0u32..12, 0u8..3, size, any::<bool>(), prop::bool::weighted(0.1)).prop_map(
             |(server, lifecycle, size, fresh, whole)| Step::List { server, lifecycle, size, fresh, whole }
@@ -41,15 +41,15 @@
     ]
 }
 
-const OUTCOMES: [Outcome; 8] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Full,
-    Outcome::Timeout,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::Moot,
+const OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::Timeout,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 #[derive(Debug)]
@@ -66,16 +66,16 @@
 struct World {
     rig: Rig,
     calls: BTreeMap<u32, Call>,
-    listed: BTreeMap<u32, ListEntry>,
+    listed: BTreeMap<u32, EndpointEntry>,
     timers: Vec<u64>,
-    probes: Vec<ServerId>,
+    probes: Vec<EndpointId>,
     log: Vec<Action>,
 }
 
 impl World {
     fn new(settings: Settings) -> Self {
         let list = zones(3, 3);
-        let rig = Rig { balancer: Balancer::new(settings, 99, SECOND).unwrap(), now: SECOND, next_id: 0 };
+        let rig = Rig { balancer: LoadBalancer::new(settings, 99, SECOND).unwrap(), now: SECOND, next_id: 0 };
         let listed = list.iter().map(|entry| (entry.server.0, entry.clone())).collect();
         let mut world = Self {
             rig,
@@ -85,7 +85,7 @@
             probes: Vec::new(),
             log: Vec::new(),
         };
-        world.tell(Event::List(&list));
+        world.tell(Event::EndpointList(&list));
         world
     }
 
@@ -105,7 +105,7 @@
                 assert!(call.out.is_none(), "rule 2: two attempts out for {id:?}");
                 assert!(call.attempts < 4, "over the most attempts");
                 let entry = &self.listed[&server.0];
-                assert_eq!(entry.lifecycle, Lifecycle::Ready, "rule 3: sent to {server:?}");
+                assert_eq!(entry.lifecycle, EndpointState::InService, "rule 3: sent to {server:?}");
                 if let Some((first, sent)) = call.ran {
                     let (first, window) = (&self.listed[&first], SECOND);
                     match call.class {
@@ -120,23 +120,23 @@
                 call.attempts += 1;
                 call.out = Some((server.0, now));
             }
-            Action::Refuse { id, .. } | Action::Fail(id) => {
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 let call = self.calls.get_mut(&id.0).expect("a request that was given");
                 assert!(!call.answered && !call.left, "rule 1: a second answer for {id:?}");
                 assert!(call.out.is_none(), "rule 1: answered with an attempt out");
-                let refused = matches!(action, Action::Refuse { .. });
+                let refused = matches!(action, Action::Reject { .. });
                 let harmless = call.ran.is_none() || call.class == SAFE || call.class == KEYED_ALL;
                 assert!(!refused || harmless, "rule 2: {id:?} refused though it may have run");
                 call.answered = true;
             }
             Action::SetTimer { token, .. } => self.timers.push(*token),
             Action::Cancel { id, attempt } => assert!(self.calls[&id.0].attempts > *attempt),
-            Action::Probe(server) => {
-                assert_eq!(self.listed[&server.0].lifecycle, Lifecycle::Ready, "probed {server:?}");
+            Action::QueryLoad(server) => {
+                assert_eq!(self.listed[&server.0].lifecycle, EndpointState::InService, "probed {server:?}");
                 self.probes.push(*server);
             }
-            Action::Close(server) => assert!(self.listed.contains_key(&server.0)),
-            Action::Watch | Action::Log(_) => {}
+            Action::CloseIdle(server) => assert!(self.listed.contains_key(&server.0)),
+            Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
@@ -153,26 +153,31 @@
                     return;
                 }
                 let server = self.probes.swap_remove(pick % self.probes.len());
-                let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
-                self.tell(Event::Probed(server, outcome, held(load).filter(|_| ok)));
+                let outcome = if ok { AttemptOutcome::Success } else { AttemptOutcome::Timeout };
+                self.tell(Event::LoadQueryEnded(server, outcome, held(load).filter(|_| ok)));
             }
-            Step::Failed => self.tell(Event::ListFailed),
-            Step::Moved => self.tell(Event::ListMoved),
+            Step::Failed => self.tell(Event::DiscoveryFailed),
+            Step::Moved => self.tell(Event::DiscoveryMoved),
             Step::Ring { pick } if !self.timers.is_empty() => {
                 let token = self.timers[pick % self.timers.len()];
                 self.tell(Event::Timer(token));
             }
             Step::Ring { pick } => self.tell(Event::Timer(pick as u64)),
-            Step::Demand { class, time_left } => {
+            Step::IncomingRequest { class, time_left } => {
                 let id = self.rig.next_id;
                 self.rig.next_id += 1;
                 let call = Call { class, attempts: 0, out: None, ran: None, answered: false, left: false };
                 self.calls.insert(id, call);
-                let demand =
-                    Demand { class, tenant: class, time_left, work: Some(time_left), streamed: false };
+                let demand = IncomingRequest {
+                    class,
+                    tenant: class,
+                    time_left,
+                    work: Some(time_left),
+                    streamed: false,
+                };
                 self.tell(Event::Request(RequestId(id), demand));
             }
-            Step::End { pick, outcome } => {
+            Step::AttemptEnd { pick, outcome } => {
                 let Some(id) = self.out(pick) else { return };
                 self.end(id, OUTCOMES[outcome]);
             }
@@ -181,57 +186,59 @@
                 let call = self.calls.get_mut(&id).expect("it is out");
                 if !call.answered && !call.left {
                     call.left = true;
-                    self.tell(Event::ClientGone(RequestId(id)));
+                    self.tell(Event::ClientDisconnected(RequestId(id)));
                 }
             }
             Step::List { server, lifecycle, size, fresh, whole } => {
-                let lifecycle = [Lifecycle::Gone, Lifecycle::Ready, Lifecycle::Draining][lifecycle as usize];
+                let lifecycle = [EndpointState::Removed, EndpointState::InService, EndpointState::Draining]
+                    [lifecycle as usize];
                 let started = fresh.then_some(self.rig.now);
-                let entry = ListEntry { lifecycle, size, started, ..entry(server, (server % 4) as u8) };
-                let entry = self.listed.get(&server).map_or(entry.clone(), |old| ListEntry {
+                let entry = EndpointEntry { lifecycle, size, started, ..entry(server, (server % 4) as u8) };
+                let entry = self.listed.get(&server).map_or(entry.clone(), |old| EndpointEntry {
                     zone: old.zone,
                     cell: old.cell,
                     ..entry
                 });
                 if whole {
-                    self.listed.values_mut().for_each(|entry| entry.lifecycle = Lifecycle::Gone);
+                    self.listed.values_mut().for_each(|entry| entry.lifecycle = EndpointState::Removed);
                 }
                 self.listed.insert(server, entry.clone());
-                let event = if whole { Event::List(&[entry]) } else { Event::ListChange(&[entry]) };
+                let event =
+                    if whole { Event::EndpointList(&[entry]) } else { Event::EndpointsChanged(&[entry]) };
                 self.tell(event);
             }
             Step::Noise { id, attempt, token, load } => {
                 let id = RequestId(id);
                 let load = Some(LoadReport { figures: [load; 4], len: 4 });
-                let end = End {
+                let end = AttemptEnd {
                     attempt,
-                    outcome: Outcome::Reset,
+                    outcome: AttemptOutcome::Reset,
                     elapsed: token,
                     closed: false,
                     spent: false,
                     load,
                 };
-                self.tell(Event::Ended(id, end));
-                self.tell(Event::ClientGone(id));
-                self.tell(Event::Started(id, attempt));
+                self.tell(Event::AttemptEnded(id, end));
+                self.tell(Event::ClientDisconnected(id));
+                self.tell(Event::ResponseStarted(id, attempt));
                 self.tell(Event::Timer(token & !(1 << 63)));
             }
         }
     }
 
-    fn end(&mut self, id: u32, outcome: Outcome) {
+    fn end(&mut self, id: u32, outcome: AttemptOutcome) {
         let call = self.calls.get_mut(&id).expect("it was given");
         let (server, sent) = call.out.take().expect("it is out");
         if !outcome.never_ran() {
             call.ran = call.ran.or(Some((server, sent)));
         }
         let attempt = call.attempts - 1;
-        call.answered |= outcome == Outcome::Ok && !call.left;
+        call.answered |= outcome == AttemptOutcome::Success && !call.left;
         let closed = call.answered || call.left;
         let elapsed = self.rig.now - sent;
-        self.tell(Event::Ended(
+        self.tell(Event::AttemptEnded(
             RequestId(id),
-            End { attempt, outcome, elapsed, closed, spent: false, load: None },
+            AttemptEnd { attempt, outcome, elapsed, closed, spent: false, load: None },
         ));
     }
 }
@@ -239,12 +246,12 @@
 fn settings_of(kind: u8) -> Settings {
     Settings {
         tier: u32::from(kind & 1),
-        passes_deadline: kind & 2 == 0,
-        ask_discovery: kind & 4 == 0,
+        propagates_deadline: kind & 2 == 0,
+        polls_discovery: kind & 4 == 0,
         siblings: if kind & 8 == 0 { 0 } else { 3 },
         zone: ZoneId(if kind & 16 == 0 { 0 } else { 2 }),
-        report_inflight: Some(0),
-        load_by_probe: kind & 32 != 0,
+        reported_in_flight: Some(0),
+        load_on_request: kind & 32 != 0,
         tenants: vec![Tenant { quota_rps: 0.0 }, Tenant { quota_rps: 10.0 }],
         ..settings()
     }
@@ -270,7 +277,7 @@
             }
             let Some(id) = world.out(0) else { break };
             world.rig.now += 3 * SECOND;
-            world.end(id, Outcome::Timeout);
+            world.end(id, AttemptOutcome::Timeout);
         }
         for (id, call) in &world.calls {
             prop_assert!(call.answered || call.left, "request {id} has no answer");
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -19,7 +19,7 @@
 /// Answers after the aim are worth nothing, so that calls are given up then.
 fn punctual_settings() -> Settings {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|class| class.late_worth = 0.0);
+    settings.classes.iter_mut().for_each(|class| class.late_weight = 0.0);
     settings
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// A burst of requests, each of whose attempts ends like that after some time.
-fn fail_a_burst(rig: &mut Rig, outcome: Outcome, after: u64) {
+fn fail_a_burst(rig: &mut Rig, outcome: AttemptOutcome, after: u64) {
     let ids: Vec<RequestId> = (0..60).map(|_| rig.demand(UNSAFE).0).collect();
     rig.now += after;
     for id in ids {
@@ -49,7 +49,7 @@
 fn servers_without_answers_are_left_alone_until_a_trial_is_answered() {
     let mut rig = Rig::new(settings(), &zones(1, 3));
     (0..60).for_each(|_| assert!(rig.serve(UNSAFE, 20 * MS).is_some()));
-    fail_a_burst(&mut rig, Outcome::Timeout, 500 * MS);
+    fail_a_burst(&mut rig, AttemptOutcome::Timeout, 500 * MS);
     assert_eq!(rig.balancer.avoided(), 3);
     assert!(refused(&rig.demand(SAFE).1), "all are behind with the burst");
     rig.now += 20 * SECOND; // longer than any breaker stays open
@@ -59,7 +59,7 @@
     assert_eq!(tried, [0, 1, 2], "one trial each");
     assert!(refused(&rig.demand(SAFE).1), "a trial is out at each");
     rig.now += 20 * MS;
-    rig.end(trials[0].0, 0, Outcome::Ok, 20 * MS);
+    rig.end(trials[0].0, 0, AttemptOutcome::Success, 20 * MS);
     let again: Vec<u32> = (0..3).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
     assert!(!again.is_empty() && again.iter().all(|server| Some(*server) == sent(&trials[0].1)), "{again:?}");
 }
@@ -70,7 +70,7 @@
     let mut rig = Rig::new(settings(), &zones(1, 3));
     rig.warm_up(60);
     for _ in 0..60 {
-        let (tried, _) = rig.run(UNSAFE, |_| Outcome::Error);
+        let (tried, _) = rig.run(UNSAFE, |_| AttemptOutcome::Error);
         assert_eq!(tried.len(), 1);
     }
     assert_eq!(rig.balancer.avoided(), 3);
