--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_class_that_fails_wholly_gets_few_further_calls() {
     let fate: Fate =
-        Box::new(|tier, _, class, _, _| (tier == 20 && class == KEYED_ALL).then_some(Outcome::Error));
+        Box::new(|tier, _, class, _, _| (tier == 20 && class == KEYED_ALL).then_some(AttemptOutcome::Error));
     let mut chain = Chain::new(21, 120.0, 1, fate).of_classes(&[SAFE, KEYED_ALL]);
     let total = chain.run(20).total(0, 20);
     assert!(total.amplification() <= 1.5, "{total:?}");
@@ -57,7 +57,8 @@
         let total = Chain::new(8, 120.0, 1, failing(part, |tier| tier == 7)).run(21).total(0, 20);
         assert!(total.share() >= 0.98, "{part} failing: {total:?}");
     }
-    let two_bad: Fate = Box::new(|tier, server, _, _, _| (tier == 2 && server < 2).then_some(Outcome::Error));
+    let two_bad: Fate =
+        Box::new(|tier, server, _, _, _| (tier == 2 && server < 2).then_some(AttemptOutcome::Error));
     let total = Chain::new(3, 120.0, 1, two_bad).run(21).total(0, 20);
     assert!(total.share() >= 0.995, "two of six servers: {total:?}");
 }
@@ -88,26 +89,26 @@
 fn what_never_ran_is_tried_elsewhere_however_futile_retries_were() {
     let mut rig = Rig::new(settings(), &zones(1, 12));
     for _ in 0..4 {
-        rig.run(SAFE, |_| Outcome::Error);
+        rig.run(SAFE, |_| AttemptOutcome::Error);
     }
-    assert_eq!(rig.run(SAFE, |_| Outcome::Error).0.len(), 1);
+    assert_eq!(rig.run(SAFE, |_| AttemptOutcome::Error).0.len(), 1);
     rig.warm_up(20);
     for _ in 0..4 {
-        rig.run(SAFE, |_| Outcome::Error);
+        rig.run(SAFE, |_| AttemptOutcome::Error);
     }
-    assert!(rig.run(SAFE, |_| Outcome::ConnectFailed).0.len() > 1);
+    assert!(rig.run(SAFE, |_| AttemptOutcome::ConnectFailed).0.len() > 1);
 }
 
 #[test]
 fn a_new_balancer_and_one_that_was_idle_retry_their_first_failure() {
     let mut rig = Rig::new(settings(), &zones(1, 12));
-    assert!(rig.run(SAFE, |_| Outcome::Error).0.len() > 1);
+    assert!(rig.run(SAFE, |_| AttemptOutcome::Error).0.len() > 1);
     for _ in 0..4 {
-        rig.run(SAFE, |_| Outcome::Error);
+        rig.run(SAFE, |_| AttemptOutcome::Error);
     }
-    assert_eq!(rig.run(SAFE, |_| Outcome::Error).0.len(), 1);
+    assert_eq!(rig.run(SAFE, |_| AttemptOutcome::Error).0.len(), 1);
     rig.now += 60 * SECOND;
-    assert!(rig.run(SAFE, |_| Outcome::Error).0.len() > 1);
+    assert!(rig.run(SAFE, |_| AttemptOutcome::Error).0.len() > 1);
 }
 
 /// Guards the calls that a server takes along when it breaks: none of their retries is known to be futile.
@@ -115,16 +116,18 @@
 fn all_calls_of_a_server_that_breaks_are_retried() {
     let mut rig = Rig::new(settings(), &zones(1, 2));
     let open: Vec<RequestId> = (0..12).map(|_| rig.demand(SAFE).0).collect();
-    let again = open.iter().step_by(2).filter(|&&id| sent(&rig.end(id, 0, Outcome::Reset, MS)).is_some());
+    let again =
+        open.iter().step_by(2).filter(|&&id| sent(&rig.end(id, 0, AttemptOutcome::Reset, MS)).is_some());
     assert_eq!(again.count(), 6);
 }
 
 /// Rule 2: work that may have run is repeated only where its class allows it.
 #[test]
 fn rule_2_holds_whatever_retries_are_worth() {
-    let half =
-        |outcome: Outcome| -> Fate { Box::new(move |_, _, _, _, rng| (rng.f64() < 0.3).then_some(outcome)) };
-    for outcome in [Outcome::Error, Outcome::Reset] {
+    let half = |outcome: AttemptOutcome| -> Fate {
+        Box::new(move |_, _, _, _, rng| (rng.f64() < 0.3).then_some(outcome))
+    };
+    for outcome in [AttemptOutcome::Error, AttemptOutcome::Reset] {
         let total = Chain::new(3, 120.0, 1, half(outcome)).of_classes(&[UNSAFE]).run(21).total(0, 20);
         assert_eq!(total.further, 0, "{outcome:?}");
         let total = Chain::new(3, 120.0, 1, half(outcome)).of_classes(&[KEYED_ALL]).run(21).total(0, 20);
@@ -134,13 +137,13 @@
     let mut rig = Rig::new(settings(), &zones(2, 6));
     rig.warm_up(40);
     for _ in 0..20 {
-        let (tried, _) = rig.run(KEYED_CELL, |_| Outcome::Error);
+        let (tried, _) = rig.run(KEYED_CELL, |_| AttemptOutcome::Error);
         assert!(tried.iter().all(|server| server % 2 == tried[0] % 2), "{tried:?}");
         rig.warm_up(20);
     }
     let (id, _) = rig.demand(KEYED_ALL);
     rig.now += 3 * SECOND / 2;
-    assert_eq!(sent(&rig.end(id, 0, Outcome::Error, 3 * SECOND / 2)), None);
+    assert_eq!(sent(&rig.end(id, 0, AttemptOutcome::Error, 3 * SECOND / 2)), None);
 }
 
 #[test]
--- a/tests/slow_start_small_fleets.rs
+++ b/tests/slow_start_small_fleets.rs
@@ -38,8 +38,8 @@
             zones: 2,
             each: 4,
             cold: (0..4).collect(),
-            tip_multiple: 4.0,
-            start_capacity: 0.32,
+            overload_multiple: 4.0,
+            initial_capacity: 0.32,
             window: 3 * SECOND,
             ..case("one of two zones cold, four times")
         },
@@ -96,15 +96,15 @@
 
 /// A server that is cold beside a warm one, with a balancer that knows its traffic: calls that the cold one gets
 /// within a second, where each of its attempts ends in an outcome at once.
-fn cold_attempts(outcome: Outcome) -> usize {
+fn cold_attempts(outcome: AttemptOutcome) -> usize {
     let settings =
-        Settings { zones: 1, siblings: 1, start_capacity: 0.25, ramp_time: 60 * SECOND, ..settings() };
+        Settings { zones: 1, siblings: 1, initial_capacity: 0.25, warm_up_time: 60 * SECOND, ..settings() };
     let mut rig = Rig::new(settings, &[entry(0, 0), entry(1, 0)]);
     for _ in 0..1000 {
         rig.serve(SAFE, 10 * MS);
     }
     let started = Some(rig.now);
-    rig.tell(Event::ListChange(&[ListEntry { started, ..entry(1, 0) }]));
+    rig.tell(Event::EndpointsChanged(&[EndpointEntry { started, ..entry(1, 0) }]));
     let (end, mut attempts) = (rig.now + 4 * SECOND, 0);
     while rig.now < end {
         let (id, actions) = rig.demand(SAFE);
@@ -114,10 +114,10 @@
             attempts += 1;
             let again = rig.end(id, 0, outcome, 0);
             if sent(&again) == Some(0) {
-                rig.end(id, 1, Outcome::Ok, 10 * MS);
+                rig.end(id, 1, AttemptOutcome::Success, 10 * MS);
             }
         } else {
-            rig.end(id, 0, Outcome::Ok, 10 * MS);
+            rig.end(id, 0, AttemptOutcome::Success, 10 * MS);
         }
     }
     attempts
@@ -125,7 +125,8 @@
 
 #[test]
 fn an_attempt_that_was_never_sent_gives_its_budget_back() {
-    let (answered, never_sent) = (cold_attempts(Outcome::Ok), cold_attempts(Outcome::Moot));
+    let (answered, never_sent) =
+        (cold_attempts(AttemptOutcome::Success), cold_attempts(AttemptOutcome::NotSent));
     assert!((30..=70).contains(&answered), "{answered} calls were sent");
     // Nothing has reached the server, so that the next call may be sent there each time.
     assert!(never_sent > 2 * answered, "{never_sent} attempts that were never sent, {answered} that were");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -47,21 +47,32 @@
         "07 03000000 f211902c 00 c05c150000000000 00",
         "08 03000000 02000000 00000000 04000000",
     ];
-    let demand =
-        Demand { class: 0, tenant: 0, time_left: 240_000_000, work: Some(12_000_000), streamed: false };
-    let end =
-        End { attempt: 0, outcome: Outcome::Ok, elapsed: 18_500_000, closed: true, spent: false, load: None };
+    let demand = IncomingRequest {
+        class: 0,
+        tenant: 0,
+        time_left: 240_000_000,
+        work: Some(12_000_000),
+        streamed: false,
+    };
+    let end = AttemptEnd {
+        attempt: 0,
+        outcome: AttemptOutcome::Success,
+        elapsed: 18_500_000,
+        closed: true,
+        spent: false,
+        load: None,
+    };
     let id = RequestId(0x5d3a_91c4);
     assert_eq!(
         decode(&batch(&records, &[])),
         [
             Record::Event(3, Event::Request(id, demand)),
             Record::Event(3, Event::Timer(0x4d)),
-            Record::Event(5, Event::ClientGone(RequestId(0x0e6f_2b19))),
-            Record::Event(3, Event::Started(id, 0)),
-            Record::Event(3, Event::Ended(id, end)),
+            Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
+            Record::Event(3, Event::ResponseStarted(id, 0)),
+            Record::Event(3, Event::AttemptEnded(id, end)),
             Record::Retire(3),
-            Record::Event(3, Event::Probed(ServerId(0x2c90_11f2), Outcome::Ok, None)),
+            Record::Event(3, Event::LoadQueryEnded(EndpointId(0x2c90_11f2), AttemptOutcome::Success, None)),
             Record::Ignored,
         ]
     );
@@ -74,11 +85,11 @@
     );
     let frame = batch(&["0a 00000000 00000000 02000000", "01 03000000 29000000 00000000 02"], &tail);
     let records = decode(&frame);
-    let entry = |server, zone, size, started| ListEntry {
-        server: ServerId(server),
+    let entry = |server, zone, size, started| EndpointEntry {
+        server: EndpointId(server),
         zone: ZoneId(zone),
         cell: 0,
-        lifecycle: Lifecycle::Ready,
+        lifecycle: EndpointState::InService,
         size,
         started,
     };
@@ -90,24 +101,24 @@
 #[test]
 fn load_reports_decode() {
     let frame = batch(&["04 03000000 c4913a5d a0491a0100000000 00 01 074a1203 02 02 0000803f 00002041"], &[]);
-    let Record::Event(3, Event::Ended(_, end)) = &decode(&frame)[0] else { panic!() };
+    let Record::Event(3, Event::AttemptEnded(_, end)) = &decode(&frame)[0] else { panic!() };
     assert_eq!(end.load, Some(LoadReport { figures: [1.0, 10.0, 0.0, 0.0], len: 2 }));
-    assert_eq!((end.attempt, end.outcome, end.closed), (1, Outcome::Full, false));
+    assert_eq!((end.attempt, end.outcome, end.closed), (1, AttemptOutcome::Rejected, false));
 }
 
 #[test]
 fn documented_actions_encode() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a_91c4);
-    reply.push(3, &Action::Send { id, server: ServerId(0x0312_4a07), until: 8492250000, begin_by: None });
+    reply.push(3, &Action::Send { id, server: EndpointId(0x0312_4a07), until: 8492250000, begin_by: None });
     reply.push(3, &Action::SetTimer { after: 500_000_000, token: 0x4d });
     reply.push(5, &Action::Log("two servers known".into()));
-    reply.push(3, &Action::Refuse { id: RequestId(0x0e6f_2b19), retry_after: 250_000_000 });
+    reply.push(3, &Action::Reject { id: RequestId(0x0e6f_2b19), retry_after: 250_000_000 });
     reply.push(3, &Action::Fail(RequestId(0x0e6f_2b19)));
-    reply.push(3, &Action::Watch);
+    reply.push(3, &Action::WatchEndpoints);
     reply.push(3, &Action::Cancel { id, attempt: 0 });
-    reply.push(3, &Action::Probe(ServerId(0x2c90_11f2)));
-    reply.push(3, &Action::Close(ServerId(0x2c90_11f2)));
+    reply.push(3, &Action::QueryLoad(EndpointId(0x2c90_11f2)));
+    reply.push(3, &Action::CloseIdle(EndpointId(0x2c90_11f2)));
     reply.fault(3, "index out of range");
     let mut frame = Vec::new();
     reply.finish(12, &mut frame);
@@ -132,14 +143,14 @@
 #[test]
 fn settings_read_what_decisions_need_and_ignore_the_rest() {
     let settings = wire::settings(SETTINGS.as_bytes()).unwrap();
-    assert_eq!(settings.classes[0].effect, Effect::Safe);
-    assert_eq!(settings.classes[1].effect, Effect::Keyed(Group::Zone, 5_000_000_000));
+    assert_eq!(settings.classes[0].effect, Idempotency::Idempotent);
+    assert_eq!(settings.classes[1].effect, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.siblings, settings.zones, settings.max_attempts), (4, 2, 4));
-    assert_eq!(settings.report_inflight, Some(1));
-    assert!(settings.ask_discovery && settings.passes_deadline);
-    assert_eq!(settings.conn_idle, u64::MAX, "idle connections stay where nothing is said");
+    assert_eq!(settings.reported_in_flight, Some(1));
+    assert!(settings.polls_discovery && settings.propagates_deadline);
+    assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay where nothing is said");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
-    assert_eq!(wire::settings(text.as_bytes()).unwrap().conn_idle, 5_000_000_000);
+    assert_eq!(wire::settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
 }
 
 #[test]
@@ -225,7 +236,7 @@
         (("\"Siblings\": 4", "\"Siblings\": \"four\""), "expected u32"),
         (("\"Zone\": 1", "\"Zone\": 2"), "`zone` is 2 of 2 zones"),
         (("\"TryLimit\": 4", "\"TryLimit\": 0"), "`max_attempts` is 0"),
-        (("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"), "`start_capacity` is 1.5"),
+        (("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"), "`initial_capacity` is 1.5"),
         (("\"Value\": 5.0", "\"Value\": -5.0"), "`classes[0].worth` is -5"),
         (("\"Value\": 5.0", "\"Value\": 1e999"), "number out of range"),
         (("\"Effect\": \"read_like\"", "\"Effect\": \"maybe\""), "maybe"),
@@ -242,13 +253,13 @@
     let check = |change: fn(&mut Settings)| {
         let mut settings = common::settings();
         change(&mut settings);
-        woadstall::Balancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
+        woadstall::LoadBalancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
     };
     assert_eq!(check(|s| s.classes.clear()), "`classes` is empty");
     assert_eq!(check(|s| s.zone = ZoneId(3)), "`zone` is 3 of 3 zones");
-    assert_eq!(check(|s| s.start_capacity = f64::NAN), "`start_capacity` is NaN, not between 0 and 1");
-    assert_eq!(check(|s| s.over_quota_worth = f64::INFINITY), "`over_quota_worth` is inf");
-    assert_eq!(check(|s| s.classes[2].late_worth = -1.0), "`classes[2].late_worth` is -1");
+    assert_eq!(check(|s| s.initial_capacity = f64::NAN), "`initial_capacity` is NaN, not between 0 and 1");
+    assert_eq!(check(|s| s.over_quota_weight = f64::INFINITY), "`over_quota_weight` is inf");
+    assert_eq!(check(|s| s.classes[2].late_weight = -1.0), "`classes[2].late_weight` is -1");
     assert_eq!(check(|s| s.tenants = vec![Tenant { quota_rps: f64::NAN }]), "`tenants[0].quota_rps` is NaN");
 }
 
