--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -5,10 +5,10 @@
 //! and the next one follows on its answer. Discovery works on the calls of all balancers in turn.
 
 use crate::engine::{Queue, SECOND, Time, millis, seconds};
+use balancer::decision::EndpointEntry;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use woadstall::decision::EndpointEntry;
 
 /// How long a watch waits, how long one may be silent beyond that, and the time in which a connection comes up:
 /// those of the balancer's own client.
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -14,6 +14,11 @@
 use crate::load::{self, Arrival, Load};
 use crate::report;
 use crate::topology::{Instance, Owner, Topology};
+use balancer::decision::LoadBalancer;
+use balancer::decision::{
+    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event as ModuleEvent,
+    IncomingRequest, RequestClass, RequestId, Settings, ZoneId,
+};
 use hdrhistogram::Histogram;
 use outcome::{Counts, RequestCount, TierCount};
 use rand::Rng;
@@ -22,11 +27,6 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
-use woadstall::decision::LoadBalancer;
-use woadstall::decision::{
-    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event as ModuleEvent,
-    IncomingRequest, RequestClass, RequestId, Settings, ZoneId,
-};
 
 /// Where the virtual clock starts: a server may have started long before.
 const START: Time = 1_000 * SECOND;
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -2,10 +2,10 @@
 
 use crate::engine::{SECOND, Time, millis};
 use crate::hollow::Config;
+use balancer::decision::{DeduplicationGroup, Idempotency, RequestClass};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
-use woadstall::decision::{DeduplicationGroup, Idempotency, RequestClass};
 
 /// How long the servers of a group drop the repeats of a keyed request.
 const KEY_WINDOW: Time = 10 * SECOND;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,7 +1,7 @@
-//! `woadstall-scale run SCENARIO` and `woadstall-scale sweep SCENARIO --over KEY=a,b,c`.
+//! `fleet-emulator run SCENARIO` and `fleet-emulator sweep SCENARIO --over KEY=a,b,c`.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    woadstall_scale::cli::main()
+    fleet_emulator::cli::main()
 }
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -10,12 +10,12 @@
 
 pub use config::{Config, DiscoveryDown, ListsCome, RollingRestart};
 
+use self::balancer::{Balancer, Program};
 use crate::experiment::Progress;
 use crate::interrupt::Interrupt;
 use crate::report::Outcome;
 use crate::{lock, random};
 use anyhow::{Context, Result, bail};
-use balancer::{Balancer, Program};
 use client::{Clients, Front};
 use discovery::Discovery;
 use measure::{Measured, Watch};
@@ -48,7 +48,7 @@
             let own = std::env::current_exe().context("cannot find the folder of this program")?;
             let target =
                 own.parent().and_then(Path::parent).context("this program is in no target folder")?;
-            target.join("release/woadstall")
+            target.join("release/balancer")
         }
     };
     match path.is_file() {
--- a/scale/src/real/balancer.rs
+++ b/scale/src/real/balancer.rs
@@ -99,8 +99,7 @@
 
 impl<'a> Program<'a> {
     pub fn new(path: &'a Path, config: &'a Config, seed: u64) -> Result<Self> {
-        let folder =
-            TempDir::with_prefix("woadstall-scale-").context("no folder for the balancers' files")?;
+        let folder = TempDir::with_prefix("fleet-emulator-").context("no folder for the balancers' files")?;
         Ok(Self { path, config, seed, folder })
     }
 
--- a/scale/tests/cli.rs
+++ b/scale/tests/cli.rs
@@ -6,7 +6,7 @@
 use tempfile::TempDir;
 
 fn scale(folder: &Path, arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-emulator"));
     command.current_dir(folder).args(arguments).env_remove("RUST_LOG").stdin(Stdio::null());
     command
 }
--- a/scale/tests/engine.rs
+++ b/scale/tests/engine.rs
@@ -1,8 +1,8 @@
 //! The queue of events and the places of what is under way.
 
+use fleet_emulator::engine::{Queue, SECOND, Slab};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use woadstall_scale::engine::{Queue, SECOND, Slab};
 
 #[test]
 fn events_come_in_the_order_of_time_and_of_arrival() {
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -1,10 +1,10 @@
 //! Small seeded versions of what the capacity page promises, on virtual time.
 
+use fleet_emulator::engine::SECOND;
+use fleet_emulator::hollow::{Config, Shape, run};
+use fleet_emulator::report::Outcome;
+use fleet_emulator::topology::{Owner, Topology};
 use std::path::Path;
-use woadstall_scale::engine::SECOND;
-use woadstall_scale::hollow::{Config, Shape, run};
-use woadstall_scale::report::Outcome;
-use woadstall_scale::topology::{Owner, Topology};
 
 /// Most calls of a tier that fails wholly for each request, at any depth: the module ends the retries of a class
 /// where they are futile.
@@ -79,9 +79,9 @@
 fn the_same_seed_gives_the_same_report_byte_for_byte() {
     let mut config = small();
     config.discovery.changes_per_day = 100_000.0;
-    config.tier_fault = woadstall_scale::faults::TierFault { share: 0.2, for_s: 1.0, ..Default::default() };
-    config.zone_lost = woadstall_scale::faults::ZoneLost { zone: 3, from_s: 1.0, for_s: 1.0 };
-    config.region_cut = woadstall_scale::faults::Span { from_s: 2.5, for_s: 1.0 };
+    config.tier_fault = fleet_emulator::faults::TierFault { share: 0.2, for_s: 1.0, ..Default::default() };
+    config.zone_lost = fleet_emulator::faults::ZoneLost { zone: 3, from_s: 1.0, for_s: 1.0 };
+    config.region_cut = fleet_emulator::faults::Span { from_s: 2.5, for_s: 1.0 };
     config.rolling_restart.for_s = 3.0;
     for ask in [false, true] {
         config.discovery.ask = ask;
@@ -238,7 +238,7 @@
         let mut config = Config { rate: 200.0, warmup_s: 0.0, duration_s: 40.0, ..small() };
         config.discovery.ask = ask;
         config.discovery.changes_per_day = 86_400.0;
-        config.discovery_down = woadstall_scale::faults::Span { from_s: 5.0, for_s: 20.0 };
+        config.discovery_down = fleet_emulator::faults::Span { from_s: 5.0, for_s: 20.0 };
         let outcome = quietly(&config, 4);
         let told = figure(&outcome, "told_s_max");
         assert!(told > 0.1 && told <= most, "ask: {ask}, told after {told} s");
@@ -250,7 +250,7 @@
 #[test]
 fn regions_that_lose_each_other_serve_on_and_are_whole_again_after() {
     let mut config = Config { duration_s: 20.0, warmup_s: 0.0, ..small() };
-    config.region_cut = woadstall_scale::faults::Span { from_s: 4.0, for_s: 8.0 };
+    config.region_cut = fleet_emulator::faults::Span { from_s: 4.0, for_s: 8.0 };
     let outcome = quietly(&config, 6);
     assert!(served_in(&outcome, 0..3) > 0.999, "{:?}", outcome.tables[1].rows);
     let cut = served_in(&outcome, 5..12);
@@ -263,7 +263,7 @@
 #[test]
 fn a_lost_zone_and_a_rolling_restart_are_served_through() {
     let mut config = Config { duration_s: 22.0, warmup_s: 0.0, ..small() };
-    config.zone_lost = woadstall_scale::faults::ZoneLost { zone: 1, from_s: 2.0, for_s: 3.0 };
+    config.zone_lost = fleet_emulator::faults::ZoneLost { zone: 1, from_s: 2.0, for_s: 3.0 };
     config.rolling_restart.from_s = 1.0;
     config.rolling_restart.for_s = 8.0;
     // In the second round the whole fleet is replaced within the time in which a server is warm: nearly all are
@@ -283,7 +283,7 @@
 #[test]
 fn every_request_ends_in_one_way() {
     let mut config = small();
-    config.tier_fault = woadstall_scale::faults::TierFault { share: 0.3, for_s: 9.0, ..Default::default() };
+    config.tier_fault = fleet_emulator::faults::TierFault { share: 0.3, for_s: 9.0, ..Default::default() };
     config.deadline_ms = 40.0;
     let outcome = quietly(&config, 9);
     let parts = ["served_ratio", "refused_ratio", "failed_ratio", "lost_ratio"];
--- a/scale/tests/real.rs
+++ b/scale/tests/real.rs
@@ -7,7 +7,7 @@
 
 /// The balancer beside the emulator that is tested.
 fn balancer() -> PathBuf {
-    let balancer = Path::new(env!("CARGO_BIN_EXE_woadstall-scale")).with_file_name("woadstall");
+    let balancer = Path::new(env!("CARGO_BIN_EXE_fleet-emulator")).with_file_name("balancer");
     assert!(balancer.is_file(), "no {}: test with --workspace", balancer.display());
     balancer
 }
@@ -24,7 +24,7 @@
 }
 
 fn scale(folder: &Path, arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-emulator"));
     command.current_dir(folder).args(arguments).arg("--balancer").arg(balancer());
     // Of its own, so that what it leaves there is seen.
     std::fs::create_dir_all(folder.join("tmp")).unwrap();
@@ -159,7 +159,7 @@
 #[test]
 fn a_program_that_is_no_balancer_is_one_clear_line() {
     let folder = scenario("rate = 50\nload_s = 1\n");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-emulator"));
     let output = command
         .current_dir(folder.path())
         .args(["run", "s.toml", "--balancer", "/bin/true"])
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -1,9 +1,9 @@
 //! What a report makes of figures.
 
+use fleet_emulator::experiment::Fit;
+use fleet_emulator::report::{Outcome, Promise, Table, number};
+use fleet_emulator::scenario::{Axis, Bounds};
 use std::collections::BTreeMap;
-use woadstall_scale::experiment::Fit;
-use woadstall_scale::report::{Outcome, Promise, Table, number};
-use woadstall_scale::scenario::{Axis, Bounds};
 
 #[test]
 fn a_line_is_found_with_its_spread_and_its_residual_at_the_largest() {
--- a/src/bin/woadstall-wirehost.rs
+++ b/src/bin/simulator-adapter.rs
@@ -2,19 +2,19 @@
 
 #![forbid(unsafe_code)]
 
+use balancer::decision::LoadBalancer;
+use balancer::decision::{Action, EndpointEntry, Event, Time};
+use balancer::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
 use std::process::ExitCode;
-use woadstall::decision::LoadBalancer;
-use woadstall::decision::{Action, EndpointEntry, Event, Time};
-use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
 
 fn main() -> ExitCode {
     match serve(BufReader::with_capacity(1 << 16, io::stdin().lock()), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("woadstall-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -4,6 +4,7 @@
 use super::gate::lock;
 use super::minimum_rate::MinimumRate;
 use super::upstream::{Connection, Finished};
+use balancer::decision::AttemptOutcome;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -14,7 +15,6 @@
 use std::task::{Context, Poll};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
-use woadstall::decision::AttemptOutcome;
 
 /// Largest body that is kept whole: a request so that it can be sent again, an answer so that it can be judged
 /// before its caller gets any of it. The time of a longer one is that of its first bytes.
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -3,9 +3,9 @@
 //! A wall clock may be stepped at any moment. So wall time is only read to place the moments that others tell in it,
 //! and never kept as a time to compare with later.
 
+use balancer::decision::Time;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{Duration, Instant};
-use woadstall::decision::Time;
 
 /// The clock's reading when the process starts: what happened before the process can be told, too.
 pub const PROCESS_START: Time = 1 << 60;
--- a/src/net/clock_offsets.rs
+++ b/src/net/clock_offsets.rs
@@ -1,8 +1,8 @@
 //! How far the wall clock stood ahead of the monotonic clock, and when: steps of the wall clock are seen here.
 
 use super::clock::{ClockReading, WallTime};
+use balancer::decision::Time;
 use std::collections::VecDeque;
-use woadstall::decision::Time;
 
 /// An offset that changes by less since the last reading was slewed, or the process was held up while it read.
 const LEAST_STEP: u128 = 200_000_000;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,6 +2,8 @@
 
 use super::discovery::Listing;
 use super::transient::{retry, retry_blocking};
+use balancer::decision::Settings;
+use balancer::wire;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -9,8 +11,6 @@
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 use std::time::Duration;
-use woadstall::decision::Settings;
-use woadstall::wire;
 
 /// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's,
 /// files that are open for a moment, and callers taken only to be refused.
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -12,6 +12,11 @@
 use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use super::start_times::{ListOrigin, StartTimes};
 use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
+use balancer::decision::LoadBalancer;
+use balancer::decision::{
+    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event, IncomingRequest,
+    LoadReport, RequestId, Time, ZoneId,
+};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
 use std::cmp::Reverse;
@@ -24,11 +29,6 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
-use woadstall::decision::LoadBalancer;
-use woadstall::decision::{
-    Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event, IncomingRequest,
-    LoadReport, RequestId, Time, ZoneId,
-};
 
 /// The safety net answers this much after a request's time, when the module should long have done so.
 const NET_AFTER: Time = 25_000_000;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -57,8 +57,8 @@
         .unwrap_or_else(|| (Instant::now(), 0));
     *lately = Some((since, lines.saturating_add(1)));
     match lines {
-        ..LOG_LINES => writeln!(io::stderr().lock(), "woadstall: {text}").ok(),
-        LOG_LINES => writeln!(io::stderr().lock(), "woadstall: more lines than may be written").ok(),
+        ..LOG_LINES => writeln!(io::stderr().lock(), "balancer: {text}").ok(),
+        LOG_LINES => writeln!(io::stderr().lock(), "balancer: more lines than may be written").ok(),
         _ => None,
     };
 }
--- a/src/net/offline_endpoints/tests.rs
+++ b/src/net/offline_endpoints/tests.rs
@@ -4,7 +4,7 @@
 fn folder(name: &str) -> PathBuf {
     let in_memory = Path::new("/dev/shm"); // as the platform's folder is
     let parent = if in_memory.is_dir() { in_memory.to_owned() } else { std::env::temp_dir() };
-    let folder = parent.join(format!("woadstall-{name}-{}", std::process::id()));
+    let folder = parent.join(format!("balancer-{name}-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     folder
 }
--- a/src/net/process_handover/tests.rs
+++ b/src/net/process_handover/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("woadstall-{name}-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("balancer-{name}-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     folder
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -8,6 +8,7 @@
 use super::gate::{Gate, Idle, Line, MOST_HEAD, Seen, lock};
 use super::panic::catch_panic;
 use super::transient::{Backoff, is_shortage};
+use balancer::decision::{Idempotency, RequestId, Settings};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -28,7 +29,6 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
-use woadstall::decision::{Idempotency, RequestId, Settings};
 
 /// How long callers are still served after a signal to stop, at least: they hear of it late.
 const GO_ON: Duration = Duration::from_millis(500);
--- a/src/net/start_times.rs
+++ b/src/net/start_times.rs
@@ -3,8 +3,8 @@
 
 use super::clock::{ClockReading, WallTime};
 use super::clock_offsets::ClockOffsets;
+use balancer::decision::Time;
 use std::collections::HashMap;
-use woadstall::decision::Time;
 
 /// Where a list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -4,6 +4,7 @@
 use super::connect::{ConnectError, Patience, Reachability, connect};
 use super::gate::{Presence, lock, poll_io};
 use super::send_check::{Conditions, NotSent, Sending, seconds};
+use balancer::decision::{AttemptOutcome, EndpointId};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -23,7 +24,6 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant};
-use woadstall::decision::{AttemptOutcome, EndpointId};
 
 /// How long the start of a long answer may be held, for a server that breaks off at once to be found out.
 const GATHER: Duration = Duration::from_millis(50);
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -11,13 +11,13 @@
 #[allow(dead_code)]
 mod start_times;
 
+use balancer::decision::Time;
 use clock::{Clock, ClockReading, PROCESS_START, WallTime};
 use common::process::*;
 use common::wall_clock::WallClock;
 use common::{MS, SECOND};
 use start_times::{ListOrigin, StartTimes};
 use std::time::{Duration, Instant};
-use woadstall::decision::Time;
 
 const HOUR: i64 = 3_600_000;
 /// Steps of a wall clock, in milliseconds.
--- a/tests/common/chain.rs
+++ b/tests/common/chain.rs
@@ -2,9 +2,9 @@
 //! played. Each server of a tier calls the next tier through a balancer of its own, once for each call it gets.
 
 use super::{SAFE, SECOND, settings};
+use balancer::decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
-use woadstall::decision::*;
 
 /// Servers of each tier.
 pub const EACH: usize = 6;
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -3,9 +3,9 @@
 //! them is held against the rule of slow start.
 
 use super::{MS, SECOND, settings, zones};
+use balancer::decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
-use woadstall::decision::*;
 
 /// Mean time that a call takes a slot of a warm server, and the slots of one.
 const MEAN_WORK: f64 = 40e6;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub mod streams;
 pub mod wall_clock;
 
-use woadstall::decision::*;
+use balancer::decision::*;
 
 pub const MS: u64 = 1_000_000;
 pub const SECOND: u64 = 1000 * MS;
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -354,13 +354,13 @@
 
     /// Starts it with more in its environment.
     pub fn start_with(config: &serde_json::Value, environment: &[(&str, String)]) -> Self {
-        Self::start_as(config, &mut Command::new(env!("CARGO_BIN_EXE_woadstall")), environment)
+        Self::start_as(config, &mut Command::new(env!("CARGO_BIN_EXE_balancer")), environment)
     }
 
     /// Starts it where the kernel lets it open no more descriptors than its configuration allows.
     pub fn start_limited(config: &serde_json::Value) -> Self {
         let most = config["limits"]["sockets"].to_string();
-        let limited = ["-c", r#"ulimit -n "$0" && exec "$1""#, &most, env!("CARGO_BIN_EXE_woadstall")];
+        let limited = ["-c", r#"ulimit -n "$0" && exec "$1""#, &most, env!("CARGO_BIN_EXE_balancer")];
         Self::start_as(config, Command::new("sh").args(limited), &[])
     }
 
@@ -500,7 +500,7 @@
 }
 
 pub fn run_to_end_with(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
-    let command = &mut Command::new(env!("CARGO_BIN_EXE_woadstall"));
+    let command = &mut Command::new(env!("CARGO_BIN_EXE_balancer"));
     let (mut child, mut log, _) = spawn(config, command, environment);
     let mut text = String::new();
     log.read_to_string(&mut text).unwrap();
--- a/tests/common/queued_tier.rs
+++ b/tests/common/queued_tier.rs
@@ -3,9 +3,9 @@
 //! decision module, the servers and the clients are played.
 
 use super::{SECOND, entry};
+use balancer::decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
-use woadstall::decision::*;
 
 /// What the balancers are placed before, and what the clients send.
 #[derive(Clone, Copy)]
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -7,11 +7,11 @@
 
 mod common;
 
+use balancer::decision::*;
+use balancer::wire::Reply;
 use common::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
-use woadstall::decision::*;
-use woadstall::wire::Reply;
 
 const RECORDED: &str = include_str!("golden/decision_actions.txt");
 const ENDPOINTS: u32 = 12;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One test for each failure found by measurement. Each fails without the fix that it names.
 
 mod common;
+use balancer::decision::*;
 use common::*;
-use woadstall::decision::*;
 
 /// A full server refuses at once, so it held none of our calls and got all turns of the others at their limit.
 #[test]
@@ -817,7 +817,7 @@
     let settings = Settings { polls_discovery: true, replicas: FLEET as u32, ..settings() };
     let (mut first, mut failed, mut moved) = (Vec::new(), vec![Vec::new(); 12], Vec::new());
     for seed in 0..FLEET as u64 {
-        let balancer = woadstall::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
+        let balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
         let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
         first.push(asks_within(&mut rig, Event::EndpointList(&zones(1, 2))));
         for waits in &mut failed {
@@ -849,7 +849,7 @@
     let settings = Settings { polls_discovery: true, replicas: fleet as u32, ..settings() };
     let mut calls = Vec::new();
     for seed in 0..fleet {
-        let balancer = woadstall::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
+        let balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
         let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
         asks_within(&mut rig, Event::EndpointList(&zones(1, 2)));
         let back = rig.now + away;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,9 +1,9 @@
 //! The steps of the mechanism and the four rules, on the module alone.
 
 mod common;
+use balancer::decision::*;
 use common::*;
 use std::collections::BTreeMap;
-use woadstall::decision::*;
 
 fn counts(servers: impl IntoIterator<Item = u32>) -> BTreeMap<u32, u32> {
     let mut counts = BTreeMap::new();
@@ -240,7 +240,7 @@
 #[test]
 fn discovery_is_asked_once_and_again_after_a_jittered_wait() {
     let mut rig =
-        Rig { balancer: woadstall::decision::LoadBalancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
+        Rig { balancer: balancer::decision::LoadBalancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
     let first = rig.tell(Event::EndpointList(&zones(1, 2)));
     let [Action::SetTimer { token, .. }] = first[..] else { panic!("{first:?}") };
     assert_eq!(rig.tell(Event::Timer(token)), [Action::WatchEndpoints]);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,10 +1,10 @@
 //! Random legal event orders never break rules 1 to 3, never panic, and give the same actions again.
 
 mod common;
+use balancer::decision::*;
 use common::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use woadstall::decision::*;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,9 +1,9 @@
 //! What a tier recovers from by itself: states that could go on when what brought them about is over.
 
 mod common;
+use balancer::decision::*;
 use common::queued_tier::{Load, QueuedTier};
 use common::*;
-use woadstall::decision::*;
 
 /// Under half of what the servers can do, but for a burst of three times that.
 const LOAD: Load = Load {
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,9 +1,9 @@
 //! Retries over chains of tiers: they must not multiply where they are futile, and must go on where they help.
 
 mod common;
+use balancer::decision::*;
 use common::chain::*;
 use common::*;
-use woadstall::decision::*;
 
 const DEPTHS: [usize; 4] = [1, 3, 8, 21];
 
--- a/tests/slow_start_small_fleets.rs
+++ b/tests/slow_start_small_fleets.rs
@@ -5,9 +5,9 @@
 //! hundred. Each line says what was served, and how soon the cold servers got their share.
 
 mod common;
+use balancer::decision::*;
 use common::fleet::{Case, HEAVY, OVERLOAD, assert_kept, case};
 use common::{MS, Rig, SAFE, SECOND, entry, sent, settings};
-use woadstall::decision::*;
 
 /// Seeds of each cell, unless `SLOW_START_SEEDS` asks for more.
 const SEEDS: u64 = 1;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use balancer::decision::*;
+use balancer::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use woadstall::decision::*;
-use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -173,7 +173,7 @@
   "Zones": ["x", "y"]}"#;
 
 fn run_adapter(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_woadstall-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -253,7 +253,7 @@
     let check = |change: fn(&mut Settings)| {
         let mut settings = common::settings();
         change(&mut settings);
-        woadstall::decision::LoadBalancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
+        balancer::decision::LoadBalancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
     };
     assert_eq!(check(|s| s.classes.clear()), "`classes` is empty");
     assert_eq!(check(|s| s.zone = ZoneId(3)), "`zone` is 3 of 3 zones");
