--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -4,7 +4,7 @@
 
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, EndpointEntry, Event, Time};
-use balancer::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
+use balancer::simulator::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
@@ -30,7 +30,7 @@
         if got < header.length {
             return Err(format!("batch {}: truncated frame", header.sequence).into());
         }
-        for record in wire::records(header, &body) {
+        for record in simulator::records(header, &body) {
             let record = record.map_err(|error| format!("batch {}: {error}", header.sequence))?;
             host.apply(header.now, record);
         }
@@ -70,7 +70,7 @@
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
             Record::PowerOn { instance, seed, settings } => {
-                let balancer = wire::settings(settings).and_then(|settings| {
+                let balancer = simulator::settings(settings).and_then(|settings| {
                     LoadBalancer::new(settings, seed, now)
                         .map_err(|error| WireError::new(format!("settings: {error}")))
                 });
--- a/src/net/config.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,11 @@
 //! What a balancer is told at its start, from the environment and a JSON file.
 
-use super::discovery::Listing;
-use super::transient::{retry, retry_blocking};
+pub mod endpoint_listing;
+
+use crate::transient_errors::{retry, retry_blocking};
 use balancer::decision::Settings;
-use balancer::wire;
+use balancer::simulator;
+use endpoint_listing::Listing;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -12,9 +14,16 @@
 use std::os::fd::RawFd;
 use std::time::Duration;
 
+/// Connections taken beyond those that are served, to refuse their requests: left in the kernel's backlog,
+/// they would count as taken and get no answer.
+pub const SURPLUS_CONNECTIONS: usize = 16;
+/// Connections of operators held at a time.
+pub const ADMIN_CONNECTIONS: usize = 12;
+/// Descriptors that the door needs: its connections, one more that is just taken, its listener and its runtime.
+pub const ADMIN_DESCRIPTORS: usize = ADMIN_CONNECTIONS + 6;
 /// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's,
 /// files that are open for a moment, and callers taken only to be refused.
-const RESERVED: usize = 16 + super::server::SURPLUS;
+const RESERVED: usize = 16 + SURPLUS_CONNECTIONS;
 /// Part of the descriptors that callers hold for requests at most, as one over this.
 const CALLING: usize = 3;
 /// Less memory than this, in MB, cannot serve anybody.
@@ -132,7 +141,7 @@
         let raw: Raw = json("configuration", text)?;
         let settings = raw.settings.to_string();
         let names: RawNames = json("settings", &settings)?;
-        let settings = wire::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
+        let settings = simulator::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
         settings.check().map_err(|error| format!("settings: {error}"))?;
         let admin = variable("LB_ADMIN_ADDR").or(raw.admin_addr).filter(|admin| !admin.is_empty());
         let sockets = raw.limits.sockets;
@@ -144,7 +153,7 @@
             return Err(format!("`limits.memory_mb` is {memory}, less than {LEAST_MEMORY}"));
         }
         // Every caller that waits has an attempt out; callers that do not only hold a place.
-        let reserved = RESERVED + admin.as_ref().map_or(0, |_| super::admin::DESCRIPTORS);
+        let reserved = RESERVED + admin.as_ref().map_or(0, |_| ADMIN_DESCRIPTORS);
         let upstreams = (sockets / CALLING).min((sockets - reserved) / 2);
         let callers = sockets - reserved - upstreams;
         Ok(Self {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,6 @@
 #![warn(missing_docs)]
 
 pub mod decision;
-pub mod wire;
+pub mod simulator;
 
 pub use decision::LoadBalancer;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,22 +2,24 @@
 
 #![deny(unsafe_code)]
 
-mod net;
+mod config;
+mod proxy;
+mod transient_errors;
 
-use net::transient::retry_blocking;
 use std::process::ExitCode;
 use tokio::runtime::Builder;
+use transient_errors::retry_blocking;
 
 fn main() -> ExitCode {
-    let outcome = net::config::Config::load().and_then(|config| {
+    let outcome = config::Config::load().and_then(|config| {
         let runtime = retry_blocking(|| Builder::new_current_thread().enable_all().build())
             .map_err(|error| format!("cannot start the runtime: {error}"))?;
-        runtime.block_on(net::run(config))
+        runtime.block_on(proxy::run(config))
     });
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            net::log(format_args!("{error}"));
+            proxy::logging::log(format_args!("{error}"));
             ExitCode::FAILURE
         }
     }
--- a/src/net/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,10 +1,11 @@
 //! The operators' door: a second address, on a thread and a runtime of its own, so that no load of callers can
 //! keep an operator waiting. It decides nothing and holds nothing: it reads figures and asks the driver.
 
-use super::counters::Counters;
-use super::driver::Input;
+use super::metrics::Counters;
 use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
-use super::transient::{Backoff, retry, retry_blocking};
+use crate::config::ADMIN_CONNECTIONS;
+use crate::proxy::messages::Input;
+use crate::transient_errors::{Backoff, retry, retry_blocking};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -25,10 +26,6 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Connections held at a time.
-const MOST_CONNECTIONS: usize = 12;
-/// Descriptors that the door needs: its connections, one more that is just taken, its listener and its runtime.
-pub const DESCRIPTORS: usize = MOST_CONNECTIONS + 6;
 /// How long the head of a call may take.
 const HEAD_PATIENCE: Duration = Duration::from_millis(2500);
 /// How long the driver may take over an order: an answer is owed within a second.
@@ -54,12 +51,14 @@
         runtime.block_on(async {
             match retry(|| TcpListener::from_std(listener.try_clone()?)).await {
                 Ok(listener) => serve(listener, Arc::new(door)).await,
-                Err(error) => super::log(format_args!("the operators' door stays shut: {error}")),
+                Err(error) => {
+                    crate::proxy::logging::log(format_args!("the operators' door stays shut: {error}"))
+                }
             }
         });
     };
     std::thread::Builder::new().name("admin".into()).spawn(serving).map_err(failed)?;
-    super::log(format_args!("operators are served on {address}"));
+    crate::proxy::logging::log(format_args!("operators are served on {address}"));
     Ok(())
 }
 
@@ -77,7 +76,7 @@
             Ok((tcp, _)) => {
                 backoff = Backoff::default();
                 held.retain(|held| !held.task.is_finished());
-                if held.len() >= MOST_CONNECTIONS {
+                if held.len() >= ADMIN_CONNECTIONS {
                     // The one that has kept its call to itself for longest makes room for a caller.
                     let silent = held.iter().position(|held| !held.asked.load(Ordering::Relaxed));
                     if let Some(Held { task, .. }) = held.remove(silent.unwrap_or(0)) {
@@ -90,7 +89,7 @@
                 held.push_back(Held { task, asked });
             }
             Err(error) => {
-                super::log(format_args!("cannot take an operator's connection: {error}"));
+                crate::proxy::logging::log(format_args!("cannot take an operator's connection: {error}"));
                 sleep(backoff.pause()).await;
             }
         }
--- a/src/net/body.rs
+++ b/src/proxy/body.rs
@@ -1,9 +1,9 @@
 //! Bodies both ways. A small one is kept whole. A longer one is passed on as it comes, each piece only once the
 //! other side has taken the one before: what is held of it does not grow with its length.
 
-use super::gate::lock;
 use super::minimum_rate::MinimumRate;
-use super::upstream::{Connection, Finished};
+use crate::proxy::sync::lock;
+use crate::proxy::upstream::{Connection, Finished};
 use balancer::decision::AttemptOutcome;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
--- a/src/net/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -1,14 +1,14 @@
 //! The list of upstreams: a watch on discovery that is taken up again whenever it ends.
 
-use super::config::Config;
-use super::connect::{Patience, Reachability, connect};
-use super::driver::Input;
+use crate::config::Config;
+use crate::config::endpoint_listing::Listing;
+use crate::proxy::messages::Input;
+use crate::proxy::upstream::connect::{Patience, Reachability, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::Request;
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
-use serde::Deserialize;
 use std::error::Error;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -39,47 +39,6 @@
 /// A list is never this large: guards the memory.
 const MOST_BYTES: usize = 8 << 20;
 
-/// A list of upstreams, whole or what changed, in discovery's form.
-#[derive(Clone, Debug, Default, Deserialize)]
-pub struct Listing {
-    pub rev: u64,
-    #[serde(default)]
-    pub all: bool,
-    #[serde(default)]
-    pub targets: Vec<Target>,
-}
-
-/// One upstream of a list.
-#[derive(Clone, Debug, Deserialize)]
-pub struct Target {
-    pub uid: String,
-    pub endpoint: String,
-    #[serde(default)]
-    pub az: String,
-    #[serde(default)]
-    pub pod_group: u16,
-    pub state: State,
-    #[serde(default = "one")]
-    pub capacity_hint: f32,
-    /// Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub boot_ms: u64,
-}
-
-/// State of an upstream; what is not known is not sent to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum State {
-    InService,
-    Terminated,
-    #[serde(other)]
-    Terminating,
-}
-
-fn one() -> f32 {
-    1.0
-}
-
 /// Tells the driver of every change, for ever. Another address ends what was asked of the one before, and its
 /// whole list is asked for first: versions of two services cannot be compared. `told` turns true once the
 /// first call has ended, where lists are pushed: what the agent has counts as told from the start.
@@ -142,7 +101,9 @@
                 Ok(listing) if listing.rev < rev && !listing.all => whole = true,
                 Ok(listing) => {
                     if failures > 0 {
-                        super::log(format_args!("discovery answers again after {failures} failures"));
+                        crate::proxy::logging::log(format_args!(
+                            "discovery answers again after {failures} failures"
+                        ));
                     }
                     let idle = listing.rev == rev && !missed;
                     (rev, whole, missed, failures) = (listing.rev, false, false, 0);
@@ -157,7 +118,7 @@
                 Err(error) => {
                     watch.open = None;
                     if failures == 0 {
-                        super::log(format_args!("discovery failed: {error}"));
+                        crate::proxy::logging::log(format_args!("discovery failed: {error}"));
                     }
                     self.told.send_replace(true); // there is nothing to wait for
                     (missed, failures) = (true, failures.saturating_add(1));
--- a/src/net/driver.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -1,24 +1,25 @@
 //! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
 
-use super::body::{Budget, Payload, Reply, Rest};
-use super::clock::{Clock, ClockReading};
-use super::config::Config;
-use super::counters::{self, Counters};
-use super::discovery::{Listing, State, Target};
-use super::gate::Presence;
-use super::minimum_rate::IDLE_TIMEOUT;
-use super::orders::{OfflineList, Order, OrderRequest, Verdict};
-use super::send_check::budget;
-use super::shared_folder::{FolderEvent, FolderState, SharedFolder};
-use super::start_times::{ListOrigin, StartTimes};
-use super::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
+use crate::config::Config;
+use crate::config::endpoint_listing::{Listing, State, Target};
+use crate::proxy::body::{Budget, Payload, Reply, Rest};
+use crate::proxy::clock::{Clock, ClockReading};
+use crate::proxy::downstream::connection::Presence;
+use crate::proxy::messages::{Answer, Call, Input};
+use crate::proxy::metrics::{self, Counters};
+use crate::proxy::minimum_rate::IDLE_TIMEOUT;
+use crate::proxy::orders::{OfflineList, Order, OrderRequest, Verdict};
+use crate::proxy::send_check::budget;
+use crate::proxy::shared_folder::{FolderEvent, FolderState, SharedFolder};
+use crate::proxy::start_times::{ListOrigin, StartTimes};
+use crate::proxy::upstream::{Begun, Exchanged, Finished, Idle, Link, Means, exchange};
 use balancer::decision::LoadBalancer;
 use balancer::decision::{
     Action, AttemptEnd, AttemptOutcome, EndpointEntry, EndpointId, EndpointState, Event, IncomingRequest,
     LoadReport, RequestId, Time, ZoneId,
 };
 use hyper::header::{HOST, HeaderValue};
-use hyper::{Request, Response, StatusCode, Uri, Version};
+use hyper::{Request, Response, Uri, Version};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::future::pending;
@@ -43,69 +44,6 @@
 /// Inputs taken in a row before timers get their turn.
 const BURST: usize = 32;
 
-/// What the other tasks tell the driver.
-pub enum Input {
-    /// A caller's request, read to its last byte or for as much as is kept of it.
-    Called(Box<Call>),
-    /// All of a request that was still coming has come; its caller waits until then.
-    Whole(RequestId, Instant),
-    /// The caller of a request has closed its connection.
-    CallerGone(RequestId),
-    /// An attempt's answer has begun.
-    Begun(RequestId, u32, Box<Begun>),
-    /// An attempt ended.
-    Ended(RequestId, u32, Finished),
-    /// A probe of an upstream ended.
-    Probed(EndpointId, Finished),
-    /// There are no descriptors left to take callers with.
-    DescriptorsShort,
-    /// Discovery has answered.
-    Listed(Listing),
-    /// A watch on discovery failed.
-    ListFailed,
-    /// Lists have to be asked for at another address.
-    ListMoved,
-    /// An operator takes an upstream out, or puts it back.
-    Ordered(OrderRequest),
-    /// The folder that processes share was looked at, or an order was carried out there.
-    Folder(FolderEvent),
-}
-
-/// A caller's request.
-pub struct Call {
-    pub id: RequestId,
-    pub request: Request<Payload>,
-    pub caller: Presence,
-    pub class: usize,
-    pub tenant: usize,
-    /// Its work, in nanoseconds, where the caller has a guess.
-    pub work: Option<u64>,
-    /// When the caller stops waiting; of a request that is still coming, if its last byte came now.
-    pub deadline: Instant,
-    pub answer: oneshot::Sender<Answer>,
-}
-
-/// The final answer to a request.
-pub enum Answer {
-    /// An upstream's answer.
-    Served(Response<Reply>),
-    /// Refused, with advice on how long to stay away; zero for none.
-    Refused(Duration),
-    /// Failed, with no promise on its effect.
-    Failed,
-}
-
-impl Answer {
-    /// How the request ends with it.
-    fn end(&self) -> counters::End {
-        match self {
-            Self::Served(response) if response.status() == StatusCode::OK => counters::End::Success,
-            Self::Refused(_) => counters::End::Busy,
-            Self::Served(_) | Self::Failed => counters::End::Failure,
-        }
-    }
-}
-
 /// A request that is not answered yet, or has attempts out.
 struct Open {
     request: Request<Payload>,
@@ -131,7 +69,7 @@
     upstream: Upstream,
     sent: Time,
     /// How the request ends if the answer that has begun comes to its end, and the figures that came with it.
-    begun: Option<(counters::End, Option<LoadReport>)>,
+    begun: Option<(metrics::End, Option<LoadReport>)>,
     /// It has its connection: from here on it may be written. Before, it can be taken back as if never sent.
     under_way: Arc<AtomicBool>,
     /// Dropping it withdraws the attempt.
@@ -315,7 +253,7 @@
 
     /// Guards the callers: what the module has left open past its time is answered all the same.
     fn on_net(&mut self, id: RequestId) {
-        super::log(format_args!("request {} was left open past its time", id.0));
+        crate::proxy::logging::log(format_args!("request {} was left open past its time", id.0));
         self.answer(id, Answer::Failed);
         self.tell(Event::ClientDisconnected(id));
     }
@@ -350,7 +288,7 @@
             let most = self.config.limits.upstreams;
             self.idle.limit(if overlapping { most / 2 } else { most });
             let beside = if overlapping { "beside another process" } else { "alone" };
-            super::log(format_args!("this process serves {beside}"));
+            crate::proxy::logging::log(format_args!("this process serves {beside}"));
             self.overlapping = overlapping;
         }
         self.show_hosts();
@@ -378,7 +316,10 @@
     fn on_kept(&mut self, order: &Order) {
         self.show_hosts();
         let uid = &order.uid;
-        super::log(format_args!("upstream {uid} is {} by hand", if order.offline { "out" } else { "back" }));
+        crate::proxy::logging::log(format_args!(
+            "upstream {uid} is {} by hand",
+            if order.offline { "out" } else { "back" }
+        ));
     }
 
     fn enforce(&mut self, offline: OfflineList) {
@@ -476,7 +417,10 @@
         let server = self.id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
-            super::log(format_args!("upstream {}: no address in {:?}", target.uid, target.endpoint));
+            crate::proxy::logging::log(format_args!(
+                "upstream {}: no address in {:?}",
+                target.uid, target.endpoint
+            ));
         }
         let in_service = target.state == State::InService;
         let upstream = Upstream { address, boot_ms: target.boot_ms, in_service };
@@ -723,7 +667,7 @@
             match finished.outcome {
                 AttemptOutcome::Success => self.counters.count(class, end),
                 AttemptOutcome::Cancelled => {} // its caller left
-                _ => self.counters.count(class, counters::End::Failure),
+                _ => self.counters.count(class, metrics::End::Failure),
             }
         }
         let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
@@ -816,7 +760,7 @@
             Action::WatchEndpoints => {
                 self.subscribe.send(()).ok(); // discovery ends only with the program
             }
-            Action::Log(text) => super::log(format_args!("{text}")),
+            Action::Log(text) => crate::proxy::logging::log(format_args!("{text}")),
         }
     }
 }
--- a/src/net/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -1,7 +1,8 @@
 //! How a connection to a client ends: what is still owed on it is answered, and the close resets nothing that the
 //! client has yet to read.
 
-use super::gate::{Line, lock};
+use crate::proxy::downstream::connection::Line;
+use crate::proxy::sync::lock;
 use rustix::io::Errno;
 use socket2::SockRef;
 use std::io::ErrorKind;
--- a/src/net/gate.rs
+++ b/src/proxy/downstream/connection.rs
@@ -1,7 +1,8 @@
 //! A caller's socket: hands hyper one request at a time, and notes what hyper does not tell.
 
-use super::closing::Owed;
-use super::transient::{SHORTAGE_PAUSE, is_shortage, poll_later};
+use crate::proxy::downstream::closing::Owed;
+use crate::proxy::sync::lock;
+use crate::transient_errors::{SHORTAGE_PAUSE, is_shortage, poll_later};
 use bytes::{Buf, BytesMut};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::retry_on_intr;
@@ -10,7 +11,7 @@
 use std::io::{self, ErrorKind, IoSlice, Read};
 use std::net::Shutdown;
 use std::pin::Pin;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
+use std::sync::{Arc, Mutex, Weak};
 use std::task::{Context, Poll, Waker, ready};
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
@@ -491,10 +492,6 @@
     }
 }
 
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl AsyncRead for Gate {
     fn poll_read(
         self: Pin<&mut Self>,
--- a/src/net/server.rs
+++ b/src/proxy/downstream/mod.rs
@@ -1,13 +1,17 @@
 //! The callers' side: takes connections, reads and checks requests, writes answers.
 
-use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Payload, Reply, Rest, Room, gather};
-use super::closing::{Ending, LINGER};
-use super::config::Config;
-use super::counters::{Counters, End, Taken};
-use super::driver::{Answer, Call, Input};
-use super::gate::{Gate, Idle, Line, MOST_HEAD, Seen, lock};
-use super::panic::catch_panic;
-use super::transient::{Backoff, is_shortage};
+pub mod closing;
+pub mod connection;
+
+use crate::config::{Config, SURPLUS_CONNECTIONS};
+use crate::proxy::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Payload, Reply, Rest, Room, gather};
+use crate::proxy::downstream::closing::{Ending, LINGER};
+use crate::proxy::downstream::connection::{Gate, Idle, Line, MOST_HEAD, Seen};
+use crate::proxy::messages::{Answer, Call, Input};
+use crate::proxy::metrics::{Counters, End, Taken};
+use crate::proxy::panic::catch_panic;
+use crate::proxy::sync::lock;
+use crate::transient_errors::{Backoff, is_shortage};
 use balancer::decision::{Idempotency, RequestId, Settings};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -52,9 +56,6 @@
 /// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They are
 /// counted and not timed: the process may have been held up itself.
 const LASTING_SHORTAGE: u32 = 8;
-/// Connections taken beyond those that are served, to refuse their requests: left in the kernel's backlog,
-/// they would count as taken and get no answer.
-pub const SURPLUS: usize = 16;
 /// How long a surplus caller is to stay away, and one whose body found no room.
 const COME_BACK: Duration = Duration::from_millis(500);
 /// hyper's buffer for what a caller sends: beyond a head, it only makes bodies come in larger pieces.
@@ -119,7 +120,7 @@
     async fn serve(self, gate: Gate, closing: watch::Receiver<bool>) {
         let ending = catch_panic(self.exchange(gate, closing)).await.unwrap_or(Ending::Panicked);
         if ending == Ending::Panicked {
-            super::log(format_args!("the task of a client's connection has panicked"));
+            crate::proxy::logging::log(format_args!("the task of a client's connection has panicked"));
         }
         self.caller.line.close(ending, self.caller.close.notified()).await;
     }
@@ -310,7 +311,7 @@
                 }
                 // The others still wait: closing the listener would reset them.
                 Ok(Err(error)) => {
-                    super::log(format_args!("cannot take a connection: {error}"));
+                    crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
                     sleep(backoff.pause()).await;
                 }
                 Err(_) => return,
@@ -352,7 +353,7 @@
                     self.take(tcp, closing);
                 }
                 Err(error) => {
-                    super::log(format_args!("cannot take a connection: {error}"));
+                    crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
                     let failing = failing.get_or_insert_default();
                     if is_shortage(&error) {
                         self.make_room(failing);
@@ -380,7 +381,7 @@
     /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
     /// that is soon.
     async fn has_room(&self) {
-        while self.count() >= self.config.limits.callers + SURPLUS {
+        while self.count() >= self.config.limits.callers + SURPLUS_CONNECTIONS {
             self.close_idle();
             self.left.notified().await;
         }
--- a/src/net/mod.rs
+++ b/src/proxy/mod.rs
@@ -4,74 +4,51 @@
 mod body;
 mod clock;
 mod clock_offsets;
-mod closing;
-pub mod config;
-mod connect;
-mod counters;
 mod discovery;
-mod driver;
+mod dispatcher;
+mod downstream;
 mod durable_file;
-mod gate;
+pub mod logging;
+mod messages;
+mod metrics;
 mod minimum_rate;
 mod offline_endpoints;
 mod orders;
 mod panic;
 mod process_handover;
 mod send_check;
-mod server;
 mod shared_folder;
 mod start_times;
-pub mod transient;
+mod sync;
 mod upstream;
 
-use config::Config;
-use driver::Input;
+use crate::config::Config;
+use crate::transient_errors::retry_blocking;
+use messages::Input;
 use shared_folder::{FolderState, SharedFolder};
-use std::fmt;
-use std::io::{self, Write};
+use std::io::{self};
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, RawFd};
 use std::os::unix::fs::FileTypeExt;
 use std::path::PathBuf;
-use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant};
+use std::sync::Arc;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
-use transient::retry_blocking;
 
 /// Part of the memory that bodies may fill, as one over this.
 const BODIES: usize = 4;
 /// Connections that wait to be taken, at most.
 const BACKLOG: u32 = 1024;
-/// Lines written in a second at most: in trouble, what they tell of happens many times a second.
-const LOG_LINES: u32 = 20;
-
-/// Writes one line to standard error, unless too many were written lately. Unlike `eprintln`, it does not
-/// panic where that is closed.
-pub fn log(text: fmt::Arguments<'_>) {
-    static LATELY: Mutex<Option<(Instant, u32)>> = Mutex::new(None);
-    let mut lately = LATELY.lock().unwrap_or_else(PoisonError::into_inner);
-    let (since, lines) = lately
-        .filter(|(since, _)| since.elapsed() < Duration::from_secs(1))
-        .unwrap_or_else(|| (Instant::now(), 0));
-    *lately = Some((since, lines.saturating_add(1)));
-    match lines {
-        ..LOG_LINES => writeln!(io::stderr().lock(), "balancer: {text}").ok(),
-        LOG_LINES => writeln!(io::stderr().lock(), "balancer: more lines than may be written").ok(),
-        _ => None,
-    };
-}
-
 /// Takes over a new configuration: where discovery is. All else needs a new start. One that is not sound
 /// changes nothing.
 async fn reload(discovery: watch::Sender<SocketAddr>) {
     match Config::load_again().await {
         Ok(config) => {
-            log(format_args!("configuration read again, discovery at {}", config.discovery));
+            logging::log(format_args!("configuration read again, discovery at {}", config.discovery));
             discovery.send_replace(config.discovery);
         }
-        Err(error) => log(format_args!("configuration kept, as the new one is not sound: {error}")),
+        Err(error) => logging::log(format_args!("configuration kept, as the new one is not sound: {error}")),
     }
 }
 
@@ -121,7 +98,7 @@
             .map_err(|error| failed(&format!("`listen` {}", config.listen), error))?,
     };
     let address = listener.local_addr().map_err(|error| failed("`listen`", error))?;
-    log(format_args!("listening on {address}"));
+    logging::log(format_args!("listening on {address}"));
 
     let config = Arc::new(config);
     let (events, inbox) = mpsc::unbounded_channel();
@@ -131,18 +108,18 @@
     let (discovery, discovery_at) = watch::channel(config.discovery);
     let (tell, told) = watch::channel(false);
 
-    let counters = Arc::new(counters::Counters::new(&config.names.classes));
+    let counters = Arc::new(metrics::Counters::new(&config.names.classes));
     let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let budget = body::Budget::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), budget.clone());
-    let driver = driver::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
+    let driver = dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
     if let Some(address) = config.admin {
         let (counters, ready, driver) = (counters.clone(), is_ready.clone(), events.clone());
         admin::open(address, admin::Door { counters, ready, driver })?;
     }
     let mut driving = tokio::spawn(driver.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
-    let server = server::Server::new(config, events, (is_ready, told), counters, budget);
+    let server = downstream::Server::new(config, events, (is_ready, told), counters, budget);
     let mut serving = tokio::spawn(server.run(listener, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
--- a/src/net/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -209,7 +209,9 @@
         Err(error) if error.step == FileStep::SyncFolder => Err(unsynced.into()),
         Err(error) => {
             // Neither can be made to survive a failure of the machine; all processes see the order as carried out.
-            super::log(format_args!("an order holds, but its folder cannot be synced: {unsynced}, {error}"));
+            crate::proxy::logging::log(format_args!(
+                "an order holds, but its folder cannot be synced: {unsynced}, {error}"
+            ));
             Ok(())
         }
     }
--- a/src/net/process_handover.rs
+++ b/src/proxy/process_handover.rs
@@ -66,7 +66,9 @@
                 self.failing = false;
             }
             Err(error) if !self.failing => {
-                super::log(format_args!("this process cannot be announced, and is tried again: {error}"));
+                crate::proxy::logging::log(format_args!(
+                    "this process cannot be announced, and is tried again: {error}"
+                ));
                 self.failing = true;
             }
             Err(_) => {}
--- a/src/net/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -4,7 +4,7 @@
 //! process is held up. So both are looked at right before each write: the clock first, as the process may be held
 //! up when it has read that, and then the kernel's state of the caller's connection.
 
-use super::gate::Presence;
+use crate::proxy::downstream::connection::Presence;
 use std::fmt;
 use std::ops::Range;
 use std::sync::Arc;
--- a/src/net/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -125,9 +125,11 @@
         let reading = self.endpoints.read();
         match &reading {
             Reading::Unreadable(error) if !self.reading_fails => {
-                super::log(format_args!("the list of upstreams taken out cannot be read now: {error}"));
+                crate::proxy::logging::log(format_args!(
+                    "the list of upstreams taken out cannot be read now: {error}"
+                ));
             }
-            Reading::Damaged(error) => super::log(format_args!(
+            Reading::Damaged(error) => crate::proxy::logging::log(format_args!(
                 "the list of upstreams taken out is damaged, and not followed: {error}"
             )),
             _ => {}
@@ -146,7 +148,9 @@
         if let Err(error) = &repaired
             && !self.repair_fails
         {
-            super::log(format_args!("the list of upstreams taken out cannot be written now: {error}"));
+            crate::proxy::logging::log(format_args!(
+                "the list of upstreams taken out cannot be written now: {error}"
+            ));
         }
         self.repair_fails = repaired.is_err();
     }
@@ -159,7 +163,9 @@
             Ok(list) => FolderEvent::Kept(request, list),
             Err(error) => {
                 let uid = &request.order.uid;
-                super::log(format_args!("an order about upstream {uid} cannot be kept: {error}"));
+                crate::proxy::logging::log(format_args!(
+                    "an order about upstream {uid} cannot be kept: {error}"
+                ));
                 FolderEvent::NotKept(request)
             }
         }
--- a/src/net/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -1,7 +1,7 @@
 //! Connections to peers. What the own machine fails in is tried again and not held against the peer.
 
-use super::gate::lock;
-use super::transient::{Backoff, Origin, origin};
+use crate::proxy::sync::lock;
+use crate::transient_errors::{Backoff, Origin, origin};
 use std::error::Error;
 use std::fmt;
 use std::io;
--- a/src/net/upstream.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,9 +1,12 @@
 //! Connections to upstreams, and attempts on them: one attempt at a time on each.
 
-use super::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Outgoing, Payload, Room, gather};
-use super::connect::{ConnectError, Patience, Reachability, connect};
-use super::gate::{Presence, lock, poll_io};
-use super::send_check::{Conditions, NotSent, Sending, seconds};
+pub mod connect;
+
+use crate::proxy::body::{Budget, Gathered, MOST_BODY, MOST_KEPT, Outgoing, Payload, Room, gather};
+use crate::proxy::downstream::connection::{Presence, poll_io};
+use crate::proxy::send_check::{Conditions, NotSent, Sending, seconds};
+use crate::proxy::sync::lock;
+use crate::proxy::upstream::connect::{ConnectError, Patience, Reachability, connect};
 use balancer::decision::{AttemptOutcome, EndpointId};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -456,8 +459,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::gate::{Gate, Line};
     use super::*;
+    use crate::proxy::downstream::connection::{Gate, Line};
     use std::io::{Read, Write};
     use std::net::TcpListener;
     use tokio::io::AsyncWriteExt;
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-#[path = "../src/net/clock.rs"]
+#[path = "../src/proxy/clock.rs"]
 #[allow(dead_code)]
 mod clock;
-#[path = "../src/net/clock_offsets.rs"]
+#[path = "../src/proxy/clock_offsets.rs"]
 mod clock_offsets;
-#[path = "../src/net/start_times.rs"]
+#[path = "../src/proxy/start_times.rs"]
 #[allow(dead_code)]
 mod start_times;
 
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,7 +1,7 @@
 //! Wherever a connection to a client is closed, a request that was read has its answer, and the close resets nothing
 //! that the client has yet to read.
 
-#[path = "../src/net/panic.rs"]
+#[path = "../src/proxy/panic.rs"]
 mod panic;
 
 mod common;
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use balancer::decision::*;
-use balancer::wire::Reply;
+use balancer::simulator::Reply;
 use common::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use balancer::decision::*;
-use balancer::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply};
+use balancer::simulator::{self, BATCH_HEADER, BatchHeader, Record, Reply};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -32,7 +32,7 @@
 
 fn decode(frame: &[u8]) -> Vec<Record<'_>> {
     let header = BatchHeader::decode(frame[..BATCH_HEADER].try_into().unwrap()).unwrap();
-    wire::records(header, &frame[BATCH_HEADER..]).collect::<Result<_, _>>().unwrap()
+    simulator::records(header, &frame[BATCH_HEADER..]).collect::<Result<_, _>>().unwrap()
 }
 
 #[test]
@@ -142,7 +142,7 @@
 
 #[test]
 fn settings_read_what_decisions_need_and_ignore_the_rest() {
-    let settings = wire::settings(SETTINGS.as_bytes()).unwrap();
+    let settings = simulator::settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[1].idempotency, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.replicas, settings.zones, settings.max_attempts), (4, 2, 4));
@@ -150,14 +150,14 @@
     assert!(settings.polls_discovery && settings.propagates_deadline);
     assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay where nothing is said");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
-    assert_eq!(wire::settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
+    assert_eq!(simulator::settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
 }
 
 #[test]
 fn settings_that_lack_a_key_name_it() {
     for key in ["Siblings", "TryLimit", "StartCapacity", "AimNs", "AskWithinNs", "WindowNs"] {
         let text = SETTINGS.replace(&format!("\"{key}\""), "\"Other\"");
-        let error = wire::settings(text.as_bytes()).unwrap_err().to_string();
+        let error = simulator::settings(text.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
 }
