--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,6 +6,7 @@
 pub mod fleet;
 pub mod operator;
 pub mod process;
+pub mod queued_tier;
 pub mod streams;
 pub mod wall_clock;
 
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -218,9 +218,11 @@
     fn outcome(&mut self, id: u32, endpoint: u32) -> Outcome {
         let chance = self.rng.f64();
         let class = self.calls[&id].class;
+        if endpoint == 0 && self.since_start() >= FAULTS.start && chance < 0.9 {
+            return Outcome::Error; // to the end: its breaker opens for longer and longer
+        }
         if FAULTS.contains(&self.since_start()) {
             match endpoint {
-                0 if chance < 0.9 => return Outcome::Error,
                 1 if class == UNSAFE || class == KEYED_ALL => return Outcome::Full,
                 2 if chance < 0.8 => return Outcome::ConnectFailed,
                 3 if chance < 0.7 => return Outcome::Reset,
