--- /dev/null
+++ b/src/proxy/dispatcher/actions.rs
@@ -0,0 +1,47 @@
+//! What the decision module is told, and what it wants done.
+
+use super::{Driver, Timer};
+use crate::proxy::messages::Answer;
+use balancer::decision::{Action, Event};
+use std::time::Duration;
+
+impl Driver {
+    /// Tells the module of an event, does what it says, and tells it of what came of that at once.
+    pub(super) fn tell(&mut self, event: Event<'_>) {
+        self.handle(event);
+        while let Some((id, end)) = self.pending.pop_front() {
+            self.handle(Event::AttemptEnded(id, end));
+        }
+    }
+
+    pub(super) fn handle(&mut self, event: Event<'_>) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.balancer.handle(self.clock.now(), event, &mut actions);
+        actions.drain(..).for_each(|action| self.act(action));
+        self.actions = actions;
+    }
+
+    pub(super) fn act(&mut self, action: Action) {
+        match action {
+            Action::Send { id, endpoint: server, until, begin_by } => self.send(id, server, until, begin_by),
+            Action::Reject { id, retry_after } => {
+                self.answer(id, Answer::Refused(Duration::from_nanos(retry_after)));
+            }
+            Action::Fail(id) => self.answer(id, Answer::Failed),
+            Action::Cancel { id, attempt } => {
+                let out = self.requests.get_mut(&id).map(|open| &mut open.out);
+                let out = out.and_then(|out| out.iter_mut().find(|out| out.number == attempt));
+                if let Some(out) = out {
+                    out.cancel = None;
+                }
+            }
+            Action::QueryLoad(server) => self.probe(server),
+            Action::CloseIdle(server) => self.idle.close(server),
+            Action::SetTimer { after, token } => self.set_timer(after, Timer::Module(token)),
+            Action::WatchEndpoints => {
+                self.subscribe.send(()).ok(); // discovery ends only with the program
+            }
+            Action::Log(text) => crate::proxy::logging::log(format_args!("{text}")),
+        }
+    }
+}
--- /dev/null
+++ b/src/proxy/dispatcher/attempts.rs
@@ -0,0 +1,241 @@
+//! Attempts: their start, their response and their end.
+
+use super::{Driver, Out};
+use crate::proxy::body::request_body::{Payload, Rest};
+use crate::proxy::body::response_body::Reply;
+use crate::proxy::messages::{Answer, Input};
+use crate::proxy::metrics::{self};
+use crate::proxy::minimum_rate::IDLE_TIMEOUT;
+use crate::proxy::send_check::budget;
+use crate::proxy::upstream::exchange::{Begun, Exchanged, Finished, Means, exchange};
+use crate::proxy::upstream::pool::Link;
+use balancer::decision::{AttemptEnd, AttemptOutcome, EndpointId, Event, LoadReport, RequestId, Time};
+use hyper::header::{HOST, HeaderValue};
+use hyper::{Request, Response, Version};
+use std::collections::HashMap;
+use std::future::pending;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::sync::{oneshot, watch};
+use tokio::time::{Instant, sleep_until, timeout};
+
+impl Driver {
+    pub(super) fn send(&mut self, id: RequestId, server: EndpointId, until: Time, begin_by: Option<Time>) {
+        let now = self.clock.now();
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
+        open.attempts += 1;
+        let upstream = self.servers.get(&server).copied();
+        let caller_until = open.caller_until;
+        let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
+        let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
+        let allowed = in_time && number < self.config.settings.max_attempts;
+        let possible = open.answer.is_some() && allowed && !open.request.body().is_spent();
+        let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
+        let Some((upstream, address)) = target else { return self.not_sent(id, number) };
+        let Some(link) = self.idle.link(server) else { return self.not_sent(id, number) };
+        let request = forwarded(&open.request, address);
+        let (cancel, cancelled) = oneshot::channel::<()>();
+        let under_way = Arc::new(AtomicBool::new(false));
+        let mark = under_way.clone();
+        open.out.push(Out {
+            number,
+            server,
+            upstream,
+            sent: now,
+            begun: None,
+            under_way,
+            cancel: Some(cancel),
+        });
+        let rest = open.request.body().rest.clone().filter(|_| open.deadline.is_none());
+        let expiry = expiry(self.clock.instant(until), rest.map(|rest| (open.whole.subscribe(), rest)));
+        let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
+        let tally = Some(self.counters.attempts());
+        let begin_by = begin_by.map(|end| self.clock.instant(end));
+        let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
+        let means = self.means(link, address, self.clock.instant(until), tally);
+        let held_up = means.held_up.clone();
+        let caller_until = Some(self.clock.instant(caller_until));
+        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, caller_until, ..means };
+        let exchange = exchange(request, means);
+        let expiry = async move {
+            expiry.await;
+            if let Some(deadline) = deadline.filter(|_| held_up.load(Ordering::Relaxed)) {
+                sleep_until(deadline).await;
+            }
+        };
+        tokio::spawn(async move {
+            let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
+            let exchanged = tokio::select! {
+                biased; // nobody wants the answer to what is withdrawn, while one that comes just in time counts
+                _ = cancelled => unless_sent(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
+                exchanged = exchange => exchanged,
+                () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
+            };
+            let input = match exchanged {
+                Exchanged::Ended(finished) => Input::Ended(id, number, finished),
+                Exchanged::CallerLeft(finished) => {
+                    inputs.send(Input::CallerGone(id)).ok(); // first, or the request would be sent again
+                    Input::Ended(id, number, finished)
+                }
+                Exchanged::Begun(begun) => Input::Begun(id, number, begun),
+            };
+            inputs.send(input).ok();
+        });
+    }
+
+    pub(super) fn means(
+        &self,
+        link: Link,
+        address: SocketAddr,
+        until: Instant,
+        tally: Option<Arc<AtomicU64>>,
+    ) -> Means {
+        Means {
+            link,
+            address,
+            connect_timeout: self.config.names.connect_timeout,
+            until,
+            deadline: None,
+            held_up: Arc::default(),
+            begin_by: None,
+            tally,
+            budget: self.budget.clone(),
+            caller: None,
+            caller_until: None,
+            under_way: Arc::default(),
+        }
+    }
+
+    /// The module hears of it once it is done with what it is at.
+    pub(super) fn not_sent(&mut self, id: RequestId, attempt: u32) {
+        let open = self.requests.get(&id);
+        let closed = open.is_none_or(|open| open.answer.is_none());
+        let spent = open.is_some_and(|open| open.request.body().is_spent());
+        let end = AttemptEnd {
+            attempt,
+            outcome: AttemptOutcome::NotSent,
+            elapsed: 0,
+            request_closed: closed,
+            body_consumed: spent,
+            load: None,
+        };
+        self.pending.push_back((id, end));
+    }
+
+    /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
+    pub(super) fn on_begun(&mut self, id: RequestId, number: u32, begun: Begun) {
+        let deadline = self.requests.get(&id).and_then(|open| open.deadline);
+        let deadline = deadline.map(|deadline| self.clock.instant(deadline));
+        let Some((sender, _)) = self.take_answer(id) else {
+            return self.on_ended(id, number, AttemptOutcome::Cancelled.into());
+        };
+        let load = self.load_report(&begun.head);
+        let open = self.requests.get_mut(&id);
+        let out = open.and_then(|open| open.out.iter_mut().find(|out| out.number == number));
+        let inputs = self.inputs.clone();
+        let report = Box::new(move |finished| {
+            inputs.send(Input::Ended(id, number, finished)).ok();
+        });
+        let Begun { head, body, connection, room } = begun;
+        let passing = |kept| Reply::passing(kept, body, connection, room, deadline, report);
+        let answer = Answer::Served(head.map(passing));
+        if let Some(out) = out {
+            out.begun = Some((answer.end(), load));
+        }
+        self.tell(Event::ResponseStarted(id, number));
+        sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
+    }
+
+    pub(super) fn on_ended(&mut self, id: RequestId, attempt: u32, finished: Finished) {
+        let now = self.clock.now();
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(at) = open.out.iter().position(|out| out.number == attempt) else { return };
+        let out = open.out.swap_remove(at);
+        let (class, spent) = (open.class, open.request.body().is_spent());
+        // A request that was still coming held up its attempt.
+        let whole = open.whole.borrow().map_or(0, |whole| self.clock.time(whole));
+        let elapsed = now.saturating_sub(out.sent.max(whole));
+        // One to a process that has drained, gone or been replaced since is of no use.
+        let current = out.upstream.in_service && self.servers.get(&out.server) == Some(&out.upstream);
+        if let Some(connection) = finished.connection.filter(|_| current) {
+            self.idle.put(out.server, connection);
+        }
+        let mut load = finished.response.as_ref().and_then(|response| self.load_report(response));
+        if let Some((end, figures)) = out.begun {
+            load = figures;
+            match finished.outcome {
+                AttemptOutcome::Success => self.counters.count(class, end),
+                AttemptOutcome::Cancelled => {} // its caller left
+                _ => self.counters.count(class, metrics::End::Failure),
+            }
+        }
+        let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
+        if let Some(response) = finished.response.filter(|_| closing) {
+            self.answer(id, Answer::Served(response.map(Reply::from)));
+        }
+        let closed = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
+        let end = AttemptEnd {
+            attempt,
+            outcome: finished.outcome,
+            elapsed,
+            request_closed: closed,
+            body_consumed: spent,
+            load,
+        };
+        self.tell(Event::AttemptEnded(id, end));
+        self.forget_if_done(id);
+    }
+
+    /// The load figures that came with an answer.
+    pub(super) fn load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
+        let report = response.headers().get("x-load-report")?;
+        load_report(report.as_bytes(), &self.config.names.report_fields)
+    }
+}
+
+/// Waits until an attempt is given up: at a time, or as much after its request has come whole, or when that
+/// gets no further.
+pub(super) async fn expiry(until: Instant, coming: Option<(watch::Receiver<Option<Instant>>, Arc<Rest>)>) {
+    let Some((mut whole, rest)) = coming else { return sleep_until(until).await };
+    let limit = until.saturating_duration_since(Instant::now());
+    let (mut left, mut moved) = (rest.left(), Instant::now());
+    loop {
+        let came = timeout(IDLE_TIMEOUT / 10, whole.wait_for(Option::is_some)).await;
+        match came.map(|came| came.ok().and_then(|came| *came)) {
+            Ok(Some(came)) => return sleep_until(came + limit).await,
+            Ok(None) => return pending().await, // nobody waits for its end any more
+            Err(_) if rest.left() != left => (left, moved) = (rest.left(), Instant::now()),
+            Err(_) if moved.elapsed() > IDLE_TIMEOUT => return,
+            Err(_) => {}
+        }
+    }
+}
+
+/// The request as an upstream gets it: as it came, in the form for an origin.
+pub(super) fn forwarded(request: &Request<Payload>, address: SocketAddr) -> Request<Payload> {
+    let mut request = request.clone();
+    *request.version_mut() = Version::HTTP_11;
+    if let Some(path) = request.uri().path_and_query().filter(|_| request.uri().authority().is_some()) {
+        *request.uri_mut() = path.clone().into();
+    }
+    let headers = request.headers_mut();
+    if !headers.contains_key(HOST) {
+        let host = HeaderValue::from_str(&address.to_string());
+        headers.insert(HOST, host.unwrap_or(HeaderValue::from_static("upstream")));
+    }
+    request
+}
+
+/// The load figures in a report, in the order of the settings.
+pub(super) fn load_report(text: &[u8], fields: &[String]) -> Option<LoadReport> {
+    let values: HashMap<String, f32> = serde_json::from_slice(text).ok()?;
+    let mut report = LoadReport::default();
+    for (figure, field) in report.figures.iter_mut().zip(fields) {
+        *figure = *values.get(field)?;
+        report.len += 1;
+    }
+    (report.len > 0).then_some(report)
+}
--- /dev/null
+++ b/src/proxy/downstream/admission.rs
@@ -0,0 +1,133 @@
+//! Which connections are accepted, and which make room for them.
+
+use crate::config::SURPLUS_CONNECTIONS;
+use crate::proxy::downstream::client::Caller;
+use crate::proxy::downstream::client_task::Place;
+use crate::proxy::downstream::connection::Gate;
+use crate::proxy::downstream::request_framing::Idle;
+use crate::proxy::downstream::timing::{LOOK_EVERY, NEWLY, PATIENCE};
+use crate::proxy::downstream::{LASTING_SHORTAGE, Server};
+use crate::proxy::messages::Input;
+use crate::proxy::sync::lock;
+use crate::transient_errors::{Backoff, is_shortage};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Notify, watch};
+use tokio::time::{Instant, sleep};
+
+/// Part of the room that connections without a call may fill, as one over this.
+pub const UNCALLED: usize = 2;
+
+/// Connections that could not be taken, in a row.
+#[derive(Default)]
+pub struct Failing {
+    pub failures: u32,
+    pub backoff: Backoff,
+}
+
+impl Server {
+    /// Cuts off the callers that take too long over a request. Guards the places of the others.
+    pub async fn cut_overdue(self: Arc<Self>) {
+        loop {
+            sleep(LOOK_EVERY).await;
+            let callers = lock(&self.callers);
+            let overdue = callers.values().filter(|caller| lock(&caller.line.seen).overdue(PATIENCE));
+            overdue.for_each(|caller| caller.cut.notify_one());
+        }
+    }
+
+    pub async fn accept(self: &Arc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
+        let mut failing: Option<Failing> = None;
+        loop {
+            self.has_room().await;
+            match listener.accept().await {
+                Ok((tcp, _)) => {
+                    failing = None;
+                    self.take(tcp, closing);
+                }
+                Err(error) => {
+                    crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
+                    let failing = failing.get_or_insert_default();
+                    if is_shortage(&error) {
+                        self.make_room(failing);
+                    }
+                    failing.failures += 1;
+                    sleep(failing.backoff.pause()).await;
+                }
+            }
+        }
+    }
+
+    /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request on
+    /// the way is closed for a lack of a moment.
+    pub fn make_room(&self, failing: &Failing) {
+        if failing.failures == 0 {
+            return;
+        }
+        self.driver.send(Input::DescriptorsShort).ok();
+        let is_lasting = failing.failures >= LASTING_SHORTAGE;
+        self.close_idle_where(|idle, _| {
+            is_lasting || matches!(idle, Idle::Resting | Idle::Strange | Idle::Lingering)
+        });
+    }
+
+    /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
+    /// that is soon.
+    pub async fn has_room(&self) {
+        while self.count() >= self.config.limits.callers + SURPLUS_CONNECTIONS {
+            self.close_idle();
+            self.left.notified().await;
+        }
+    }
+
+    pub fn count(&self) -> usize {
+        lock(&self.callers).len()
+    }
+
+    /// Has an idle connection closed: one that has brought no call for a while goes before one that rests, and a
+    /// request that has begun goes last, as it would be lost; of each kind, the one idle for longest. Those without
+    /// a call have a part of the room, and where they fill it, one of them goes: a crowd pushes out nobody but
+    /// itself. One that is closed may be writing just now; its caller knows then that its request was not taken.
+    pub fn close_idle(&self) -> bool {
+        self.close_idle_where(|_, _| true)
+    }
+
+    /// The same among those of which this holds.
+    pub fn close_idle_where(&self, may_go: impl Fn(Idle, Instant) -> bool) -> bool {
+        let callers = lock(&self.callers);
+        let idle = callers.values().filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller)));
+        // One beyond the room that lingers holds no place in it.
+        let idle: Vec<_> =
+            idle.filter(|((idle, _), caller)| *idle != Idle::Lingering || !caller.surplus).collect();
+        // Those on their way out hold their places until they are gone.
+        let uncalled = idle.iter().filter(|((idle, _), _)| *idle != Idle::Resting).count();
+        let crowded = uncalled > self.config.limits.callers / UNCALLED;
+        let rank = |idle, since: Instant| match idle {
+            Idle::Strange | Idle::Lingering => 0,
+            Idle::Silent if since.elapsed() > NEWLY => 0,
+            Idle::Resting if !crowded => 1,
+            Idle::Silent => 2,
+            Idle::Begun => 3,
+            Idle::Resting => 4,
+        };
+        let staying = idle.into_iter().filter(|(_, caller)| !caller.leaving.load(Ordering::Relaxed));
+        let candidates = staying.filter(|((idle, since), _)| may_go(*idle, *since));
+        let goes = candidates.min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
+        let Some((_, caller)) = goes else { return false };
+        caller.leaving.store(true, Ordering::Relaxed);
+        caller.close.notify_one();
+        true
+    }
+
+    pub fn take(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
+        tcp.set_nodelay(true).ok();
+        let surplus = self.count() >= self.config.limits.callers && !self.close_idle();
+        let (gate, line) = Gate::new(tcp);
+        let (close, cut) = (Notify::new(), Notify::new());
+        let caller = Arc::new(Caller { surplus, line, leaving: AtomicBool::new(false), close, cut });
+        let number = self.next_caller.fetch_add(1, Ordering::Relaxed);
+        lock(&self.callers).insert(number, caller.clone());
+        tokio::spawn(Place { server: self.clone(), number, caller }.serve(gate, closing.clone()));
+    }
+}
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -2,6 +2,7 @@
 //! client has yet to read.
 
 use crate::proxy::downstream::connection::Line;
+use crate::proxy::downstream::request_framing::Owed;
 use crate::proxy::sync::lock;
 use rustix::io::Errno;
 use socket2::SockRef;
@@ -40,17 +41,6 @@
     Panicked,
 }
 
-/// What is owed on a connection that is not served any longer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owed {
-    /// No request has begun, or the answer to it has.
-    Nothing,
-    /// An answer to a request that has not come whole.
-    ToPartial,
-    /// An answer to a whole request.
-    ToWhole,
-}
-
 impl Line {
     /// Ends a connection: answers what is owed, ends the sending, and waits until the client has read that, unless its
     /// place is needed.
--- /dev/null
+++ b/src/proxy/downstream/requests.rs
@@ -0,0 +1,226 @@
+//! Requests: they are read, checked, and handed to the dispatcher.
+
+use crate::proxy::body::buffer::{Gathered, gather};
+use crate::proxy::body::request_body::{Payload, Rest};
+use crate::proxy::body::response_body::Reply;
+use crate::proxy::body::{MOST_BODY, MOST_KEPT};
+use crate::proxy::downstream::Server;
+use crate::proxy::downstream::connection::Line;
+use crate::proxy::downstream::guards::{Held, Named, Owed};
+use crate::proxy::downstream::responses::{COME_BACK, end_to_end, refusal, status};
+use crate::proxy::downstream::timing::PATIENCE;
+use crate::proxy::messages::{Answer, Call, Input};
+use crate::proxy::metrics::End;
+use crate::proxy::sync::lock;
+use balancer::decision::{Idempotency, RequestId};
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONTENT_LENGTH, HeaderMap};
+use hyper::{Method, Request, Response, StatusCode, Version};
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout};
+
+/// No caller waits for longer.
+pub const MOST_BUDGET: Duration = Duration::from_secs(3600);
+
+pub struct Asked {
+    pub call_id: String,
+    pub class: usize,
+    pub tenant: usize,
+    pub budget: Duration,
+    pub work: Option<u64>,
+}
+
+pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok()
+}
+
+impl Server {
+    pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<Reply> {
+        match self.class(request) {
+            Some(class) => self.refuse(class),
+            None => refusal(COME_BACK),
+        }
+    }
+
+    /// Refuses a request of a class that nobody has heard of yet.
+    pub fn refuse(&self, class: usize) -> Response<Reply> {
+        self.counters.count(class, End::Busy);
+        refusal(COME_BACK)
+    }
+
+    /// The class that a request's path names.
+    pub fn class(&self, request: &Request<Incoming>) -> Option<usize> {
+        let in_path = request.uri().path().split('/').nth(1)?;
+        self.config.names.classes.iter().position(|class| class == in_path)
+    }
+
+    pub async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<Reply> {
+        if request.uri().path() == "/healthz" {
+            self.first_list().await;
+            return match *self.ready.borrow() {
+                true => status(StatusCode::OK),
+                false => status(StatusCode::SERVICE_UNAVAILABLE),
+            };
+        }
+        match self.call(request, line).await {
+            Ok(reply) => reply,
+            Err((code, text)) => {
+                let mut reply = Response::new(Reply::from(Bytes::from_static(text.as_bytes())));
+                *reply.status_mut() = code;
+                reply
+            }
+        }
+    }
+
+    pub async fn call(
+        &self,
+        request: Request<Incoming>,
+        line: &Line,
+    ) -> Result<Response<Reply>, (StatusCode, &'static str)> {
+        let seen = &line.seen;
+        if lock(seen).both_lengths() {
+            return Err((StatusCode::BAD_REQUEST, "Content-Length beside Transfer-Encoding\n"));
+        }
+        let asked = self.check(&request)?;
+        let size = request.body().size_hint();
+        if size.lower() > MOST_BODY {
+            return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"));
+        }
+        let size = size.exact().and_then(|size| usize::try_from(size).ok());
+        let Some(room) = self.budget.take(size.map_or(MOST_KEPT, |size| size.min(MOST_KEPT))) else {
+            return Ok(self.refuse(asked.class));
+        };
+        let Some(named) = Named::take(&self.open, asked.call_id) else {
+            self.counters.count(asked.class, End::Failure);
+            return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
+        };
+        let (mut head, mut body) = request.into_parts();
+        let (kept, whole) = match timeout(PATIENCE, gather(&mut body, MOST_KEPT, None)).await {
+            Ok(Ok(Gathered { kept, whole })) => (kept, whole || body.is_end_stream()),
+            Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
+            Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
+        };
+        let first_deadline = Instant::now() + asked.budget;
+        // Read before it waits, so that its time runs meanwhile.
+        let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
+        if !is_told || self.refusing.load(Ordering::Relaxed) {
+            return Ok(self.refuse(asked.class));
+        }
+        end_to_end(&mut head.headers);
+        let mut held = Held { seen: None, _taken: None, _named: named, _room: room };
+        let (rest, came) = if whole { (None, None) } else { Some(Rest::new(body)).unzip() };
+        let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
+        let request = Request::from_parts(head, Payload { kept, rest });
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
+        let mut owed = Owed(Some(id), &self.driver);
+        let (answer, mut answered) = oneshot::channel();
+        let Asked { class, tenant, work, budget, .. } = asked;
+        let mut has_come = || {
+            held._taken = Some(self.counters.taken());
+            lock(seen).whole() + budget
+        };
+        let deadline = if whole { has_come() } else { first_deadline };
+        let caller = line.presence();
+        let call = Call { id, request, caller, class, tenant, work, deadline, answer };
+        self.driver.send(Input::Called(Box::new(call))).ok();
+        let left = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // nobody reads this
+        let early = match came {
+            None => None,
+            Some(came) => tokio::select! {
+                biased;
+                Ok(()) = came => {
+                    self.driver.send(Input::Whole(id, has_come())).ok();
+                    None
+                }
+                answer = &mut answered => Some(answer),
+                // Nobody reads on while an attempt waits for its connection.
+                () = line.closed() => return left,
+            },
+        };
+        let answer = match early {
+            Some(answer) => answer,
+            None => tokio::select! {
+                biased;
+                answer = answered => answer,
+                () = line.left() => return left, // with it the request is given up
+            },
+        };
+        owed.0 = None;
+        Ok(match answer.unwrap_or(Answer::Failed) {
+            Answer::Served(mut reply) => {
+                *reply.version_mut() = Version::HTTP_11;
+                let length = reply.headers().get(CONTENT_LENGTH).filter(|_| is_head).cloned();
+                end_to_end(reply.headers_mut());
+                // The length of what a HEAD does not bring is for its caller to know.
+                length.map(|length| reply.headers_mut().insert(CONTENT_LENGTH, length));
+                if !reply.body().is_whole() {
+                    held.seen = Some(seen.clone());
+                    // Without chunks, the end of the connection is that of the body.
+                    if is_old && reply.body().size_hint().exact().is_none() {
+                        let seen = seen.clone();
+                        reply.body_mut().on_break(move || lock(&seen).resets = true);
+                    }
+                    reply.body_mut().hold(held);
+                }
+                reply
+            }
+            Answer::Refused(stay_away) => refusal(stay_away),
+            Answer::Failed => status(StatusCode::BAD_GATEWAY),
+        })
+    }
+
+    /// What a request asks for, or why it cannot be taken.
+    pub fn check(&self, request: &Request<Incoming>) -> Result<Asked, (StatusCode, &'static str)> {
+        let bad = |text| (StatusCode::BAD_REQUEST, text);
+        let (headers, names) = (request.headers(), &self.config.names);
+        let in_path = request.uri().path().split('/').nth(1).unwrap_or("");
+        let class = self.class(request).ok_or((StatusCode::NOT_FOUND, "no such path\n"))?;
+        if text(headers, "x-call-class") != Some(in_path) {
+            return Err(bad("X-Call-Class is missing or not that of the path\n"));
+        }
+        let keyed = text(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
+        let method = match self.config.settings.classes[class].idempotency {
+            Idempotency::Idempotent if request.method() == Method::HEAD => Method::HEAD,
+            Idempotency::Idempotent => Method::GET,
+            Idempotency::Keyed(..) if !keyed => return Err(bad("Idempotency-Key is missing\n")),
+            Idempotency::Keyed(..) | Idempotency::NonIdempotent => Method::POST,
+        };
+        if request.method() != method {
+            return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n"));
+        }
+        // What is there twice may be read one way here and another way by the upstream.
+        for name in ["x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-cost", "idempotency-key"] {
+            if headers.get_all(name).iter().nth(1).is_some() {
+                return Err(bad("a header is there twice\n"));
+            }
+        }
+        let call_id = text(headers, "x-call-id").filter(|id| !id.is_empty());
+        let tenant = match names.tenants.is_empty() {
+            true => Some(0),
+            false => {
+                text(headers, "x-caller").and_then(|caller| names.tenants.iter().position(|t| t == caller))
+            }
+        };
+        let budget = text(headers, "x-budget").and_then(|budget| budget.parse().ok());
+        let cost = match headers.contains_key("x-call-cost") {
+            false => Some(None),
+            true => text(headers, "x-call-cost")
+                .and_then(|cost| cost.parse::<f64>().ok())
+                .filter(|cost| cost.is_finite() && *cost >= 0.0)
+                .map(|micros| Some((micros * 1e3) as u64)),
+        };
+        Ok(Asked {
+            call_id: call_id.ok_or(bad("X-Call-Id is missing or malformed\n"))?.to_owned(),
+            class,
+            tenant: tenant.ok_or(bad("X-Caller is missing or not known\n"))?,
+            budget: budget
+                .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
+                .filter(|budget| *budget <= MOST_BUDGET)
+                .ok_or(bad("X-Budget is missing or malformed\n"))?,
+            work: cost.ok_or(bad("X-Call-Cost is malformed\n"))?,
+        })
+    }
+}
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,12 +1,13 @@
 //! What the tasks of the proxy tell each other.
 
 use crate::config::endpoint_listing::Listing;
-use crate::proxy::body::{Payload, Reply};
+use crate::proxy::body::request_body::Payload;
+use crate::proxy::body::response_body::Reply;
 use crate::proxy::downstream::connection::Presence;
 use crate::proxy::metrics;
 use crate::proxy::orders::OrderRequest;
 use crate::proxy::shared_folder::FolderEvent;
-use crate::proxy::upstream::{Begun, Finished};
+use crate::proxy::upstream::exchange::{Begun, Finished};
 use balancer::decision::{EndpointId, RequestId};
 use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -110,7 +110,7 @@
 
     let counters = Arc::new(metrics::Counters::new(&config.names.classes));
     let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
-    let budget = body::Budget::new(config.limits.memory / BODIES);
+    let budget = body::memory::Budget::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), budget.clone());
     let driver = dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
     if let Some(address) = config.admin {
--- /dev/null
+++ b/src/proxy/upstream/pool.rs
@@ -0,0 +1,89 @@
+//! The connections to upstreams: idle ones, and room for new ones.
+
+use crate::proxy::upstream::connection::Connection;
+use crate::proxy::upstream::permit::{Links, Slot};
+use balancer::decision::EndpointId;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use tokio::time::{Duration, Instant};
+
+/// An idle connection is dropped by this much, or by half its time, before its upstream may close it.
+pub const IDLE_MARGIN: Duration = Duration::from_millis(500);
+
+/// What an attempt is sent on.
+pub enum Link {
+    Idle(Connection),
+    New(Slot),
+}
+
+/// Idle connections, the latest used last.
+pub struct Idle {
+    pub keep: Duration,
+    pub most: usize,
+    pub links: Arc<Links>,
+    pub idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
+}
+
+impl Idle {
+    /// Connections are kept for less than `limit`, and no more than `most` are open, idle or not.
+    pub fn new(limit: Duration, most: usize) -> Self {
+        let keep = limit - IDLE_MARGIN.min(limit / 2);
+        Self { keep, most, links: Arc::default(), idle: HashMap::new() }
+    }
+
+    /// Changes how many may be open, and closes idle ones that are too many then.
+    pub fn limit(&mut self, most: usize) {
+        self.most = most;
+        while self.links.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
+    }
+
+    /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
+    pub fn link(&mut self, server: EndpointId) -> Option<Link> {
+        while let Some((since, connection)) = self.idle.get_mut(&server).and_then(Vec::pop) {
+            if since.elapsed() < self.keep && connection.is_quiet() {
+                return Some(Link::Idle(connection));
+            }
+        }
+        self.make_room().then(|| Link::New(Slot::take(&self.links)))
+    }
+
+    /// Keeps a connection for the next attempt.
+    pub fn put(&mut self, server: EndpointId, connection: Connection) {
+        self.idle.entry(server).or_default().push((Instant::now(), connection));
+    }
+
+    /// Closes the idle connections to an upstream.
+    pub fn close(&mut self, server: EndpointId) {
+        self.idle.remove(&server);
+    }
+
+    /// Closes all idle connections.
+    pub fn close_all(&mut self) {
+        self.idle.clear();
+    }
+
+    /// Closes what has been idle for too long, or has ended.
+    pub fn sweep(&mut self) {
+        self.idle.retain(|_, idle| {
+            idle.retain(|(since, connection)| since.elapsed() < self.keep && connection.is_quiet());
+            !idle.is_empty()
+        });
+    }
+
+    /// Whether one more connection may be opened, after closing the one idle for longest if need be.
+    pub fn make_room(&mut self) -> bool {
+        let full = |idle: &Self| idle.links.open.load(Ordering::Relaxed) >= idle.most;
+        if full(self) {
+            self.close_oldest();
+        }
+        !full(self)
+    }
+
+    /// Closes the connection that has been idle for longest, if there is one.
+    pub fn close_oldest(&mut self) -> bool {
+        let oldest = self.idle.iter().filter_map(|(server, idle)| Some((idle.first()?.0, *server))).min();
+        let idle = oldest.and_then(|(_, server)| self.idle.get_mut(&server));
+        idle.map(|idle| idle.remove(0)).is_some()
+    }
+}
--- /dev/null
+++ b/src/proxy/upstream/tests.rs
@@ -0,0 +1,180 @@
+//! Tests of connections to upstreams, with a peer on the loopback address.
+
+use super::connection::*;
+use super::exchange::{Exchanged, Finished, Means, exchange};
+use super::permit::Slot;
+use super::pool::Link;
+use crate::proxy::body::memory::Budget;
+use crate::proxy::body::request_body::Payload;
+use crate::proxy::downstream::connection::Presence;
+use crate::proxy::downstream::connection::{Gate, Line};
+use balancer::decision::AttemptOutcome;
+use hyper::Request;
+use socket2::SockRef;
+use std::io::{Read, Write};
+use std::net::SocketAddr;
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::{Duration, Instant};
+
+fn means(address: SocketAddr, link: Link) -> Means {
+    Means {
+        link,
+        address,
+        connect_timeout: Duration::from_secs(30),
+        until: Instant::now() + Duration::from_secs(30),
+        deadline: None,
+        held_up: Arc::default(),
+        begin_by: None,
+        tally: None,
+        budget: Budget::new(1 << 20),
+        caller: None,
+        caller_until: None,
+        under_way: Arc::default(),
+    }
+}
+
+/// A connection that has had an answer, and its peer.
+async fn used(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
+    let address = listener.local_addr().unwrap();
+    let peer = listener.try_clone().unwrap();
+    let peer = tokio::task::spawn_blocking(move || {
+        let mut stream = peer.accept().unwrap().0;
+        let mut got = Vec::new();
+        while !got.ends_with(b"\r\n\r\n") {
+            let mut byte = [0];
+            stream.read_exact(&mut byte).unwrap();
+            got.push(byte[0]);
+        }
+        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+        stream
+    });
+    let means = means(address, Link::New(Slot::take(&Arc::default())));
+    let Exchanged::Ended(finished) = exchange(Request::new(Payload::default()), means).await else {
+        panic!("the answer is whole");
+    };
+    (finished.connection.expect("a connection to use again"), peer.await.unwrap())
+}
+
+/// Guards against a balancer that is held up: between the end of an idle connection and the runtime's
+/// next look at its sockets, work would be written to it and lost.
+#[tokio::test]
+async fn an_end_shows_before_the_runtime_has_heard_of_it() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (connection, peer) = used(&listener).await;
+    assert!(connection.is_quiet());
+    drop(peer);
+    let asked = Instant::now();
+    while connection.is_quiet() {
+        assert!(asked.elapsed() < Duration::from_secs(30)); // no await: the runtime hears of nothing
+    }
+}
+
+/// What becomes of an attempt on a used connection where the process does this between the choice and the write.
+async fn held_up(caller: Option<Presence>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (connection, mut peer) = used(&listener).await;
+    let under_way = Arc::new(AtomicBool::new(false));
+    let until = Instant::now() + left;
+    let means = Means {
+        link: Link::Idle(connection),
+        caller,
+        caller_until: Some(until),
+        until,
+        under_way: under_way.clone(),
+        ..means(listener.local_addr().unwrap(), Link::New(Slot::take(&Arc::default())))
+    };
+    let exchanged = tokio::spawn(exchange(Request::new(Payload::default()), means));
+    tokio::spawn(async move { by() }); // its turn is after that of the exchange, and before that of the connection
+    let got = tokio::task::spawn_blocking(move || {
+        peer.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
+        let mut got = vec![0; 1 << 10];
+        let length = peer.read(&mut got).unwrap();
+        String::from_utf8(got[..length].to_vec()).unwrap()
+    });
+    let got = got.await.unwrap();
+    exchanged.abort();
+    let exchanged = exchanged.await.ok();
+    Held { got, exchanged, under_way: under_way.load(Ordering::Relaxed) }
+}
+
+struct Held {
+    /// What the upstream got.
+    got: String,
+    exchanged: Option<Exchanged>,
+    under_way: bool,
+}
+
+/// A caller's end of a connection, and what an attempt for it is given.
+async fn caller() -> (std::net::TcpStream, Line) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let caller = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let taken = listener.accept().unwrap().0;
+    taken.set_nonblocking(true).unwrap();
+    (caller, Gate::new(TcpStream::from_std(taken).unwrap()).1)
+}
+
+/// Guards upstreams against work that nobody waits for: a late turn of the event loop lies between the choice and
+/// the write.
+#[tokio::test]
+async fn a_caller_that_leaves_before_the_write_gets_no_attempt() {
+    for reset in [false, true] {
+        let (caller, line) = caller().await;
+        let held = held_up(Some(line.presence()), Duration::from_secs(30), move || {
+            if reset {
+                SockRef::from(&caller).set_linger(Some(Duration::ZERO)).unwrap();
+            }
+            drop(caller);
+        });
+        let held = held.await;
+        assert_eq!(held.got, "", "reset: {reset}");
+        assert!(!held.under_way, "it ends as never sent");
+        assert!(matches!(
+            held.exchanged,
+            Some(Exchanged::CallerLeft(Finished { outcome: AttemptOutcome::NotSent, .. }))
+        ));
+    }
+}
+
+/// Guards the time that an upstream is told against the same.
+#[tokio::test]
+async fn an_upstream_is_told_what_is_left_at_the_write() {
+    const HELD_UP: Duration = Duration::from_millis(300);
+    let hold_up = || std::thread::sleep(HELD_UP);
+    let held = held_up(None, Duration::from_secs(20), hold_up).await;
+    let told = held.got.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
+    let told = Duration::from_secs_f64(told.parse().unwrap());
+    assert!(told <= Duration::from_secs(20) - HELD_UP, "{told:?}");
+    assert!(held.under_way);
+
+    let held = held_up(None, HELD_UP, hold_up).await;
+    assert_eq!(held.got, "", "nothing is left");
+    assert!(!held.under_way);
+    assert!(matches!(
+        held.exchanged,
+        Some(Exchanged::Ended(Finished { outcome: AttemptOutcome::NotSent, .. }))
+    ));
+}
+
+/// Guards rule 2: only a request whose last byte was not written is known not to have run.
+#[tokio::test]
+async fn written_is_what_has_left_to_the_last_byte() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let tcp = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let progress = Arc::new(Progress::default());
+    let mut socket = Socket { tcp: Arc::new(tcp), progress: progress.clone() };
+    let written = || progress.written.load(Ordering::Relaxed);
+    socket.write_all(b"head").await.unwrap();
+    assert!(!written(), "the body is still to come");
+    progress.body_taken.store(true, Ordering::Relaxed);
+    let most = socket.write(&vec![0; 64 << 20]).await.unwrap();
+    assert!(most < 64 << 20 && !written(), "the peer's buffer holds a part only");
+    let mut peer = listener.accept().unwrap().0;
+    std::thread::spawn(move || std::io::copy(&mut peer, &mut std::io::sink()));
+    socket.write_all(b"the rest").await.unwrap();
+    assert!(written());
+}
