--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -16,7 +16,7 @@
 const BUDGET_FIELD: &[u8] = b"\r\nx-budget: ";
 /// The caller's time ran while its request was on its way here, and runs on until the upstream has the last byte.
 /// What an upstream is told is less by this, so that a hold-up has all of the slack.
-const BUDGET_MARGIN: Duration = Duration::from_millis(1);
+const BUDGET_MARGIN: Duration = Duration::from_millis(5);
 /// With less time than this an upstream could only drop the request.
 const LEAST_BUDGET: Duration = Duration::from_millis(5);
 /// A request whose bytes the upstream has not taken within this time of the first is given up: the time that its head
