--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -213,10 +213,11 @@
             assert!([None, Some(502), Some(503)].contains(&status), "{status:?}");
             failures += usize::from(status != Some(503)); // its breaker may refuse some
         }
+        // An open breaker lets a trial through now and then: calls in between would only be refused.
+        eventually("it serves again", || {
+            program.connect().call("pay", LONG, &body).expect("an answer").status() == 200
+        });
     }
-    eventually("it serves again", || {
-        program.connect().call("pay", LONG, &body).expect("an answer").status() == 200
-    });
     eventually("all descriptors are given back", || program.descriptors() <= before);
     eventually("nothing is open", || counters(door)["inflight"] == 0);
     eventually("all is counted", || counters(door)["calls"]["post"]["failure"] == failures);
