--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -13,6 +13,7 @@
 use super::request_table::{Lateness, PendingRequest, SentAttempt};
 use super::settings::{Idempotency, RequestClass};
 use super::statistics::LatencyStatistics;
+use super::zone_routing::ZoneRouting;
 
 /// Mean deviations above the mean at which an attempt is late: it tells of its endpoint, not of all ...
 const LATE_DEVIATIONS: f64 = 4.0;
@@ -96,9 +97,9 @@
         }
     }
 
-    /// Selects an endpoint from the zone that is to be used, or else from all.
-    fn select(&mut self, request: &PendingRequest) -> Option<Selected> {
-        let mut selector = Selector {
+    /// What selecting an endpoint works on, beside the zone routing that it begins with.
+    fn selector(&mut self) -> (&mut ZoneRouting, Selector<'_>) {
+        let selector = Selector {
             settings: &self.settings,
             now: self.now,
             traffic: &self.traffic,
@@ -106,7 +107,13 @@
             endpoints: &mut self.endpoints,
             rng: &mut self.rng,
         };
-        let choice = self.zone_routing.choose(&mut selector);
+        (&mut self.zone_routing, selector)
+    }
+
+    /// Selects an endpoint from the zone that is to be used, or else from all.
+    fn select(&mut self, request: &PendingRequest) -> Option<Selected> {
+        let (zone_routing, mut selector) = self.selector();
+        let choice = zone_routing.choose(&mut selector);
         let all = selector.endpoints.all_zones();
         let mut selected = selector.pick(choice.pool, request).map(|endpoint| (choice.pool, endpoint));
         if selected.is_none() && choice.pool != all {
@@ -132,15 +139,8 @@
 
     fn query_candidates(&mut self, request: &PendingRequest, first: &Selected) -> Vec<usize> {
         let mut candidates = vec![first.endpoint];
+        let (_, mut selector) = self.selector();
         for _ in 1..QUERIED_ENDPOINTS {
-            let mut selector = Selector {
-                settings: &self.settings,
-                now: self.now,
-                traffic: &self.traffic,
-                slow_start: &self.slow_start,
-                endpoints: &mut self.endpoints,
-                rng: &mut self.rng,
-            };
             match selector.pick(first.pool, request) {
                 Some(endpoint) if !candidates.contains(&endpoint) => candidates.push(endpoint),
                 _ => break,
