--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -4,7 +4,7 @@
 use super::metrics::Counters;
 use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
 use crate::config::ADMIN_CONNECTIONS;
-use crate::proxy::messages::Input;
+use crate::proxy::messages::DispatcherMessage;
 use crate::transient_errors::{Backoff, retry, retry_blocking};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -30,17 +30,17 @@
 const HEAD_PATIENCE: Duration = Duration::from_millis(2500);
 /// How long the driver may take over an order: an answer is owed within a second.
 const ORDER_PATIENCE: Duration = Duration::from_millis(800);
-/// What the door shows, and whom it asks.
-pub struct Door {
+/// What the admin server reads its figures from, and where it sends orders.
+pub struct AdminContext {
     pub counters: Arc<Counters>,
     pub ready: watch::Receiver<bool>,
-    pub driver: UnboundedSender<Input>,
+    pub dispatcher: UnboundedSender<DispatcherMessage>,
 }
 
-type Reply = Response<Full<Bytes>>;
+type AdminResponse = Response<Full<Bytes>>;
 
 /// Listens, and serves for as long as the process runs.
-pub fn open(address: SocketAddr, door: Door) -> Result<(), String> {
+pub fn open(address: SocketAddr, door: AdminContext) -> Result<(), String> {
     let failed = |error| format!("`admin_addr` {address}: {error}");
     let listener = retry_blocking(|| std::net::TcpListener::bind(address)).map_err(failed)?;
     listener.set_nonblocking(true).map_err(failed)?;
@@ -62,14 +62,14 @@
     Ok(())
 }
 
-/// A connection, and whether its call has come.
-struct Held {
+/// A connection to the admin server, and whether it has sent a request.
+struct AdminConnection {
     task: JoinHandle<()>,
     asked: Arc<AtomicBool>,
 }
 
-async fn serve(listener: TcpListener, door: Arc<Door>) {
-    let mut held: VecDeque<Held> = VecDeque::new();
+async fn serve(listener: TcpListener, door: Arc<AdminContext>) {
+    let mut held: VecDeque<AdminConnection> = VecDeque::new();
     let mut backoff = Backoff::default();
     loop {
         match listener.accept().await {
@@ -79,14 +79,14 @@
                 if held.len() >= ADMIN_CONNECTIONS {
                     // The one that has kept its call to itself for longest makes room for a caller.
                     let silent = held.iter().position(|held| !held.asked.load(Ordering::Relaxed));
-                    if let Some(Held { task, .. }) = held.remove(silent.unwrap_or(0)) {
+                    if let Some(AdminConnection { task, .. }) = held.remove(silent.unwrap_or(0)) {
                         task.abort();
                         task.await.ok(); // its descriptor is free with this, not before
                     }
                 }
                 let asked = Arc::new(AtomicBool::new(false));
                 let task = tokio::spawn(connection(tcp, door.clone(), asked.clone()));
-                held.push_back(Held { task, asked });
+                held.push_back(AdminConnection { task, asked });
             }
             Err(error) => {
                 crate::proxy::logging::log(format_args!("cannot take an operator's connection: {error}"));
@@ -96,7 +96,7 @@
     }
 }
 
-async fn connection(tcp: TcpStream, door: Arc<Door>, asked: Arc<AtomicBool>) {
+async fn connection(tcp: TcpStream, door: Arc<AdminContext>, asked: Arc<AtomicBool>) {
     let service = service_fn(async |request: Request<Incoming>| {
         asked.store(true, Ordering::Relaxed);
         Ok::<_, Infallible>(reply(request.method(), request.uri().path(), &door).await)
@@ -109,7 +109,7 @@
     served.await.ok(); // a caller that leaves or never asks needs nothing
 }
 
-async fn reply(method: &Method, path: &str, door: &Door) -> Reply {
+async fn reply(method: &Method, path: &str, door: &AdminContext) -> AdminResponse {
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     let (allowed, known) = match parts[..] {
         ["control", "ready" | "counters"] => (Method::GET, true),
@@ -139,7 +139,7 @@
     }
 }
 
-async fn order_about(id: &str, offline: bool, door: &Door) -> Reply {
+async fn order_about(id: &str, offline: bool, door: &AdminContext) -> AdminResponse {
     let order = Order { uid: id.to_owned(), offline };
     match verdict_on(order, door).await {
         Some(Verdict::Done) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
@@ -150,10 +150,12 @@
 }
 
 /// What becomes of an order; `None` if that takes too long, and then it never comes into force.
-async fn verdict_on(order: Order, door: &Door) -> Option<Verdict> {
+async fn verdict_on(order: Order, door: &AdminContext) -> Option<Verdict> {
     let claim = OrderClaim::default();
     let (answer, mut answered) = oneshot::channel();
-    door.driver.send(Input::Ordered(OrderRequest { order, claim: claim.clone(), answer })).ok();
+    door.dispatcher
+        .send(DispatcherMessage::OperatorOrder(OrderRequest { order, claim: claim.clone(), answer }))
+        .ok();
     if let Ok(verdict) = timeout(ORDER_PATIENCE, &mut answered).await {
         return verdict.ok();
     }
@@ -163,7 +165,7 @@
     answered.await.ok() // it is just being committed: neither yes nor no would be true before the end of that
 }
 
-fn text(status: StatusCode, text: &'static str) -> Reply {
+fn text(status: StatusCode, text: &'static str) -> AdminResponse {
     let mut reply = Response::new(Full::from(text));
     *reply.status_mut() = status;
     reply
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::config::endpoint_listing::Listing;
-use crate::proxy::messages::Input;
+use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::upstream::connect::{Patience, Reachability, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -44,7 +44,7 @@
 /// first call has ended, where lists are pushed: what the agent has counts as told from the start.
 pub async fn follow(
     config: Arc<Config>,
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DispatcherMessage>,
     mut subscribed: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
     told: watch::Sender<bool>,
@@ -67,7 +67,7 @@
 struct Follower<'a> {
     /// Lists come only when asked for.
     asked: bool,
-    events: &'a UnboundedSender<Input>,
+    events: &'a UnboundedSender<DispatcherMessage>,
     told: &'a watch::Sender<bool>,
 }
 
@@ -83,7 +83,7 @@
         let mut missed = true;
         if self.asked {
             let is_wanted = match whole {
-                true => self.wanted_after(Input::ListMoved, subscribed).await,
+                true => self.wanted_after(DispatcherMessage::DiscoveryMoved, subscribed).await,
                 false => subscribed.recv().await.is_some(),
             };
             if !is_wanted {
@@ -107,7 +107,7 @@
                     }
                     let idle = listing.rev == rev && !missed;
                     (rev, whole, missed, failures) = (listing.rev, false, false, 0);
-                    if self.events.send(Input::Listed(listing)).is_err() {
+                    if self.events.send(DispatcherMessage::EndpointList(listing)).is_err() {
                         return;
                     }
                     self.told.send_replace(true);
@@ -123,7 +123,7 @@
                     self.told.send_replace(true); // there is nothing to wait for
                     (missed, failures) = (true, failures.saturating_add(1));
                     if self.asked {
-                        if !self.wanted_after(Input::ListFailed, subscribed).await {
+                        if !self.wanted_after(DispatcherMessage::DiscoveryFailed, subscribed).await {
                             return;
                         }
                     } else {
@@ -136,7 +136,7 @@
 
     /// Tells the driver, and waits until the decision module wants a call. What it wanted before, it wanted of a
     /// call that is over. Returns whether there is anybody still.
-    async fn wanted_after(&self, input: Input, subscribed: &mut UnboundedReceiver<()>) -> bool {
+    async fn wanted_after(&self, input: DispatcherMessage, subscribed: &mut UnboundedReceiver<()>) -> bool {
         while subscribed.try_recv().is_ok() {}
         self.events.send(input).is_ok() && subscribed.recv().await.is_some()
     }
--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -1,7 +1,7 @@
 //! What the decision module is told, and what it wants done.
 
 use super::{Driver, Timer};
-use crate::proxy::messages::Answer;
+use crate::proxy::messages::FinalResponse;
 use balancer::decision::{Action, Event};
 use std::time::Duration;
 
@@ -25,9 +25,9 @@
         match action {
             Action::Send { id, endpoint: server, until, begin_by } => self.send(id, server, until, begin_by),
             Action::Reject { id, retry_after } => {
-                self.answer(id, Answer::Refused(Duration::from_nanos(retry_after)));
+                self.answer(id, FinalResponse::Rejected(Duration::from_nanos(retry_after)));
             }
-            Action::Fail(id) => self.answer(id, Answer::Failed),
+            Action::Fail(id) => self.answer(id, FinalResponse::Failed),
             Action::Cancel { id, attempt } => {
                 let out = self.requests.get_mut(&id).map(|open| &mut open.out);
                 let out = out.and_then(|out| out.iter_mut().find(|out| out.number == attempt));
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Driver, Out};
 use crate::proxy::body::request_body::{Payload, Rest};
 use crate::proxy::body::response_body::Reply;
-use crate::proxy::messages::{Answer, Input};
+use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self};
 use crate::proxy::minimum_rate::IDLE_TIMEOUT;
 use crate::proxy::send_check::budget;
@@ -75,12 +75,12 @@
                 () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
             };
             let input = match exchanged {
-                Exchanged::Ended(finished) => Input::Ended(id, number, finished),
+                Exchanged::Ended(finished) => DispatcherMessage::AttemptEnded(id, number, finished),
                 Exchanged::CallerLeft(finished) => {
-                    inputs.send(Input::CallerGone(id)).ok(); // first, or the request would be sent again
-                    Input::Ended(id, number, finished)
+                    inputs.send(DispatcherMessage::ClientDisconnected(id)).ok(); // first, or the request would be sent again
+                    DispatcherMessage::AttemptEnded(id, number, finished)
                 }
-                Exchanged::Begun(begun) => Input::Begun(id, number, begun),
+                Exchanged::Begun(begun) => DispatcherMessage::ResponseStarted(id, number, begun),
             };
             inputs.send(input).ok();
         });
@@ -137,13 +137,13 @@
         let out = open.and_then(|open| open.out.iter_mut().find(|out| out.number == number));
         let inputs = self.inputs.clone();
         let report = Box::new(move |finished| {
-            inputs.send(Input::Ended(id, number, finished)).ok();
+            inputs.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
         });
         let Begun { head, body, connection, room } = begun;
         let passing = |kept| Reply::passing(kept, body, connection, room, deadline, report);
-        let answer = Answer::Served(head.map(passing));
+        let answer = FinalResponse::Served(head.map(passing));
         if let Some(out) = out {
-            out.begun = Some((answer.end(), load));
+            out.begun = Some((answer.outcome(), load));
         }
         self.tell(Event::ResponseStarted(id, number));
         sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
@@ -169,12 +169,12 @@
             match finished.outcome {
                 AttemptOutcome::Success => self.counters.count(class, end),
                 AttemptOutcome::Cancelled => {} // its caller left
-                _ => self.counters.count(class, metrics::End::Failure),
+                _ => self.counters.count(class, metrics::RequestOutcome::Failure),
             }
         }
         let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
         if let Some(response) = finished.response.filter(|_| closing) {
-            self.answer(id, Answer::Served(response.map(Reply::from)));
+            self.answer(id, FinalResponse::Served(response.map(Reply::from)));
         }
         let closed = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
         let end = AttemptEnd {
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -2,7 +2,7 @@
 
 use super::{Driver, PROBE_PATIENCE, attempts::forwarded, attempts::load_report};
 use crate::proxy::body::request_body::Payload;
-use crate::proxy::messages::Input;
+use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::upstream::exchange::{Exchanged, Finished, exchange};
 use balancer::decision::{AttemptOutcome, EndpointId, Event};
 use hyper::{Request, Uri};
@@ -23,7 +23,7 @@
                 Ok(Exchanged::Begun(_)) => AttemptOutcome::Error.into(), // no figures are so long
                 Err(_) => AttemptOutcome::Timeout.into(),
             };
-            inputs.send(Input::Probed(server, finished)).ok();
+            inputs.send(DispatcherMessage::LoadQueryEnded(server, finished)).ok();
         });
     }
 
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -14,7 +14,7 @@
 use crate::proxy::body::request_body::Payload;
 use crate::proxy::clock::Clock;
 use crate::proxy::downstream::connection::Presence;
-use crate::proxy::messages::{Answer, Input};
+use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self, Counters};
 use crate::proxy::orders::OfflineList;
 use crate::proxy::shared_folder::{FolderState, SharedFolder};
@@ -63,7 +63,7 @@
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: u32,
     out: Vec<Out>,
 }
@@ -76,7 +76,7 @@
     upstream: Upstream,
     sent: Time,
     /// How the request ends if the answer that has begun comes to its end, and the figures that came with it.
-    begun: Option<(metrics::End, Option<LoadReport>)>,
+    begun: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
     /// It has its connection: from here on it may be written. Before, it can be taken back as if never sent.
     under_way: Arc<AtomicBool>,
     /// Dropping it withdraws the attempt.
@@ -107,7 +107,7 @@
     config: Arc<Config>,
     balancer: LoadBalancer,
     clock: Clock,
-    inputs: UnboundedSender<Input>,
+    inputs: UnboundedSender<DispatcherMessage>,
     subscribe: UnboundedSender<()>,
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
@@ -146,7 +146,7 @@
     /// A driver that knows the configured list. `ready` turns true once there is an upstream to send to.
     pub fn new(
         config: Arc<Config>,
-        inputs: UnboundedSender<Input>,
+        inputs: UnboundedSender<DispatcherMessage>,
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, budget): (Arc<Counters>, Arc<Budget>),
@@ -194,7 +194,7 @@
     }
 
     /// Serves until nobody can tell it anything any more.
-    pub async fn run(mut self, mut inbox: UnboundedReceiver<Input>) {
+    pub async fn run(mut self, mut inbox: UnboundedReceiver<DispatcherMessage>) {
         let mut inputs = Vec::new();
         loop {
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
@@ -212,20 +212,20 @@
         }
     }
 
-    fn on_input(&mut self, input: Input) {
+    fn on_input(&mut self, input: DispatcherMessage) {
         match input {
-            Input::Called(call) => self.on_called(*call),
-            Input::CallerGone(id) => self.on_caller_gone(id),
-            Input::Whole(id, deadline) => self.on_whole(id, deadline),
-            Input::Begun(id, number, begun) => self.on_begun(id, number, *begun),
-            Input::Ended(id, number, finished) => self.on_ended(id, number, finished),
-            Input::Probed(server, finished) => self.on_probed(server, finished),
-            Input::DescriptorsShort => self.idle.close_all(),
-            Input::Listed(listing) => self.on_listed(listing, ListOrigin::Discovery),
-            Input::ListFailed => self.tell(Event::DiscoveryFailed),
-            Input::ListMoved => self.tell(Event::DiscoveryMoved),
-            Input::Ordered(request) => self.on_ordered(request),
-            Input::Folder(event) => self.on_folder(event),
+            DispatcherMessage::Request(call) => self.on_called(*call),
+            DispatcherMessage::ClientDisconnected(id) => self.on_caller_gone(id),
+            DispatcherMessage::RequestReceived(id, deadline) => self.on_whole(id, deadline),
+            DispatcherMessage::ResponseStarted(id, number, begun) => self.on_begun(id, number, *begun),
+            DispatcherMessage::AttemptEnded(id, number, finished) => self.on_ended(id, number, finished),
+            DispatcherMessage::LoadQueryEnded(server, finished) => self.on_probed(server, finished),
+            DispatcherMessage::DescriptorShortage => self.idle.close_all(),
+            DispatcherMessage::EndpointList(listing) => self.on_listed(listing, ListOrigin::Discovery),
+            DispatcherMessage::DiscoveryFailed => self.tell(Event::DiscoveryFailed),
+            DispatcherMessage::DiscoveryMoved => self.tell(Event::DiscoveryMoved),
+            DispatcherMessage::OperatorOrder(request) => self.on_ordered(request),
+            DispatcherMessage::SharedFolder(event) => self.on_folder(event),
         }
     }
 }
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -1,13 +1,13 @@
 //! Requests: from the client's task to the final answer.
 
 use super::{Driver, NET_AFTER, Open, Out};
-use crate::proxy::messages::{Answer, Call};
+use crate::proxy::messages::{ClientRequest, FinalResponse};
 use balancer::decision::{Event, IncomingRequest, RequestId};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
 impl Driver {
-    pub(super) fn on_called(&mut self, call: Call) {
+    pub(super) fn on_called(&mut self, call: ClientRequest) {
         let (id, deadline, now) = (call.id, self.clock.time(call.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().rest.is_some();
@@ -24,12 +24,12 @@
             id,
             Open {
                 request: call.request,
-                caller: call.caller,
+                caller: call.client,
                 class: call.class,
                 deadline,
                 caller_until,
                 whole: watch::Sender::new(None),
-                answer: Some(call.answer),
+                answer: Some(call.response_sender),
                 attempts: 0,
                 out: Vec::new(),
             },
@@ -56,7 +56,7 @@
 
     /// Where the answer to a request goes, if it is owed one still. Nothing else is, then: an attempt that waits
     /// for its connection is not sent any more, also where those that are out must not be cancelled.
-    pub(super) fn take_answer(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, usize)> {
+    pub(super) fn take_answer(&mut self, id: RequestId) -> Option<(oneshot::Sender<FinalResponse>, usize)> {
         let open = self.requests.get_mut(&id)?;
         let answer = open.answer.take()?;
         open.out.iter_mut().for_each(Out::take_back);
@@ -66,9 +66,9 @@
         Some((answer, open.class))
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some((sender, class)) = self.take_answer(id) {
-            let end = answer.end();
+            let end = answer.outcome();
             // A caller that has just gone needs none.
             if sender.send(answer).is_ok() {
                 self.counters.count(class, end);
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, and the deadline guard behind the decision module.
 
 use super::{Driver, FOLLOW_EVERY, SWEEP_EVERY, Timer};
-use crate::proxy::messages::Answer;
+use crate::proxy::messages::FinalResponse;
 use crate::proxy::shared_folder::SharedFolder;
 use balancer::decision::{Event, RequestId, Time};
 use std::cmp::Reverse;
@@ -37,7 +37,7 @@
     /// Guards the callers: what the module has left open past its time is answered all the same.
     pub(super) fn on_net(&mut self, id: RequestId) {
         crate::proxy::logging::log(format_args!("request {} was left open past its time", id.0));
-        self.answer(id, Answer::Failed);
+        self.answer(id, FinalResponse::Failed);
         self.tell(Event::ClientDisconnected(id));
     }
 }
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -7,7 +7,7 @@
 use crate::proxy::downstream::request_framing::Idle;
 use crate::proxy::downstream::timing::{LOOK_EVERY, NEWLY, PATIENCE};
 use crate::proxy::downstream::{LASTING_SHORTAGE, Server};
-use crate::proxy::messages::Input;
+use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::sync::lock;
 use crate::transient_errors::{Backoff, is_shortage};
 use std::sync::Arc;
@@ -65,7 +65,7 @@
         if failing.failures == 0 {
             return;
         }
-        self.driver.send(Input::DescriptorsShort).ok();
+        self.driver.send(DispatcherMessage::DescriptorShortage).ok();
         let is_lasting = failing.failures >= LASTING_SHORTAGE;
         self.close_idle_where(|idle, _| {
             is_lasting || matches!(idle, Idle::Resting | Idle::Strange | Idle::Lingering)
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -2,8 +2,8 @@
 
 use crate::proxy::body::memory::Room;
 use crate::proxy::downstream::request_framing::Seen;
-use crate::proxy::messages::Input;
-use crate::proxy::metrics::Taken;
+use crate::proxy::messages::DispatcherMessage;
+use crate::proxy::metrics::InFlightGuard;
 use crate::proxy::sync::lock;
 use balancer::decision::RequestId;
 use std::collections::HashSet;
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Tells the driver that a caller has gone, unless it got its answer.
-pub struct Owed<'a>(pub Option<RequestId>, pub &'a UnboundedSender<Input>);
+pub struct Owed<'a>(pub Option<RequestId>, pub &'a UnboundedSender<DispatcherMessage>);
 
 impl Drop for Owed<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.0 {
-            self.1.send(Input::CallerGone(id)).ok();
+            self.1.send(DispatcherMessage::ClientDisconnected(id)).ok();
         }
     }
 }
@@ -41,7 +41,7 @@
 pub struct Held {
     /// Its connection, where its answer goes on after it has begun.
     pub seen: Option<Arc<Mutex<Seen>>>,
-    pub _taken: Option<Taken>,
+    pub _in_flight: Option<InFlightGuard>,
     pub _named: Named,
     pub _room: Room,
 }
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -16,7 +16,7 @@
 use crate::config::Config;
 use crate::proxy::body::memory::Budget;
 use crate::proxy::downstream::client::Caller;
-use crate::proxy::messages::Input;
+use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::Counters;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64};
@@ -31,7 +31,7 @@
 /// What all connections share.
 pub struct Server {
     pub config: Arc<Config>,
-    pub driver: UnboundedSender<Input>,
+    pub driver: UnboundedSender<DispatcherMessage>,
     pub ready: watch::Receiver<bool>,
     /// Whether the first list has been told: before that, nothing is sent on.
     pub told: watch::Receiver<bool>,
@@ -57,7 +57,7 @@
     /// A server that hands its requests to the driver.
     pub fn new(
         config: Arc<Config>,
-        driver: UnboundedSender<Input>,
+        driver: UnboundedSender<DispatcherMessage>,
         (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         budget: Arc<Budget>,
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -9,8 +9,8 @@
 use crate::proxy::downstream::guards::{Held, Named, Owed};
 use crate::proxy::downstream::responses::{COME_BACK, end_to_end, refusal, status};
 use crate::proxy::downstream::timing::PATIENCE;
-use crate::proxy::messages::{Answer, Call, Input};
-use crate::proxy::metrics::End;
+use crate::proxy::messages::{ClientRequest, DispatcherMessage, FinalResponse};
+use crate::proxy::metrics::RequestOutcome;
 use crate::proxy::sync::lock;
 use balancer::decision::{Idempotency, RequestId};
 use bytes::Bytes;
@@ -47,7 +47,7 @@
 
     /// Refuses a request of a class that nobody has heard of yet.
     pub fn refuse(&self, class: usize) -> Response<Reply> {
-        self.counters.count(class, End::Busy);
+        self.counters.count(class, RequestOutcome::Busy);
         refusal(COME_BACK)
     }
 
@@ -94,7 +94,7 @@
             return Ok(self.refuse(asked.class));
         };
         let Some(named) = Named::take(&self.open, asked.call_id) else {
-            self.counters.count(asked.class, End::Failure);
+            self.counters.count(asked.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
         let (mut head, mut body) = request.into_parts();
@@ -110,7 +110,7 @@
             return Ok(self.refuse(asked.class));
         }
         end_to_end(&mut head.headers);
-        let mut held = Held { seen: None, _taken: None, _named: named, _room: room };
+        let mut held = Held { seen: None, _in_flight: None, _named: named, _room: room };
         let (rest, came) = if whole { (None, None) } else { Some(Rest::new(body)).unzip() };
         let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
         let request = Request::from_parts(head, Payload { kept, rest });
@@ -119,20 +119,21 @@
         let (answer, mut answered) = oneshot::channel();
         let Asked { class, tenant, work, budget, .. } = asked;
         let mut has_come = || {
-            held._taken = Some(self.counters.taken());
+            held._in_flight = Some(self.counters.start_request());
             lock(seen).whole() + budget
         };
         let deadline = if whole { has_come() } else { first_deadline };
-        let caller = line.presence();
-        let call = Call { id, request, caller, class, tenant, work, deadline, answer };
-        self.driver.send(Input::Called(Box::new(call))).ok();
+        let client = line.presence();
+        let call =
+            ClientRequest { id, request, client, class, tenant, work, deadline, response_sender: answer };
+        self.driver.send(DispatcherMessage::Request(Box::new(call))).ok();
         let left = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // nobody reads this
         let early = match came {
             None => None,
             Some(came) => tokio::select! {
                 biased;
                 Ok(()) = came => {
-                    self.driver.send(Input::Whole(id, has_come())).ok();
+                    self.driver.send(DispatcherMessage::RequestReceived(id, has_come())).ok();
                     None
                 }
                 answer = &mut answered => Some(answer),
@@ -149,8 +150,8 @@
             },
         };
         owed.0 = None;
-        Ok(match answer.unwrap_or(Answer::Failed) {
-            Answer::Served(mut reply) => {
+        Ok(match answer.unwrap_or(FinalResponse::Failed) {
+            FinalResponse::Served(mut reply) => {
                 *reply.version_mut() = Version::HTTP_11;
                 let length = reply.headers().get(CONTENT_LENGTH).filter(|_| is_head).cloned();
                 end_to_end(reply.headers_mut());
@@ -167,8 +168,8 @@
                 }
                 reply
             }
-            Answer::Refused(stay_away) => refusal(stay_away),
-            Answer::Failed => status(StatusCode::BAD_GATEWAY),
+            FinalResponse::Rejected(stay_away) => refusal(stay_away),
+            FinalResponse::Failed => status(StatusCode::BAD_GATEWAY),
         })
     }
 
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the proxy tell each other.
+//! Messages that the tasks of the proxy exchange.
 
 use crate::config::endpoint_listing::Listing;
 use crate::proxy::body::request_body::Payload;
@@ -14,65 +14,66 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the other tasks tell the driver.
-pub enum Input {
-    /// A caller's request, read to its last byte or for as much as is kept of it.
-    Called(Box<Call>),
-    /// All of a request that was still coming has come; its caller waits until then.
-    Whole(RequestId, Instant),
-    /// The caller of a request has closed its connection.
-    CallerGone(RequestId),
-    /// An attempt's answer has begun.
-    Begun(RequestId, u32, Box<Begun>),
+/// A message from another task to the dispatcher.
+pub enum DispatcherMessage {
+    /// A client's request, received whole or up to the size that is buffered.
+    Request(Box<ClientRequest>),
+    /// The rest of a streamed request was received; the time is the client's deadline.
+    RequestReceived(RequestId, Instant),
+    /// The client of a request has closed its connection.
+    ClientDisconnected(RequestId),
+    /// The response to an attempt has started.
+    ResponseStarted(RequestId, u32, Box<Begun>),
     /// An attempt ended.
-    Ended(RequestId, u32, Finished),
-    /// A probe of an upstream ended.
-    Probed(EndpointId, Finished),
-    /// There are no descriptors left to take callers with.
-    DescriptorsShort,
-    /// Discovery has answered.
-    Listed(Listing),
+    AttemptEnded(RequestId, u32, Finished),
+    /// A load query to an endpoint ended.
+    LoadQueryEnded(EndpointId, Finished),
+    /// No file descriptors are left to accept clients with.
+    DescriptorShortage,
+    /// Discovery returned a list or a change of it.
+    EndpointList(Listing),
     /// A watch on discovery failed.
-    ListFailed,
-    /// Lists have to be asked for at another address.
-    ListMoved,
-    /// An operator takes an upstream out, or puts it back.
-    Ordered(OrderRequest),
-    /// The folder that processes share was looked at, or an order was carried out there.
-    Folder(FolderEvent),
+    DiscoveryFailed,
+    /// Discovery has moved to another address.
+    DiscoveryMoved,
+    /// An operator takes an endpoint offline or brings it back online.
+    OperatorOrder(OrderRequest),
+    /// The folder shared with other processes was checked, or an order was carried out there.
+    SharedFolder(FolderEvent),
 }
 
-/// A caller's request.
-pub struct Call {
+/// A client's request.
+pub struct ClientRequest {
     pub id: RequestId,
     pub request: Request<Payload>,
-    pub caller: Presence,
+    pub client: Presence,
     pub class: usize,
     pub tenant: usize,
-    /// Its work, in nanoseconds, where the caller has a guess.
+    /// The expected work in nanoseconds, if the client states it.
     pub work: Option<u64>,
-    /// When the caller stops waiting; of a request that is still coming, if its last byte came now.
+    /// When the client stops waiting. For a request that is still being received: the deadline if its last byte
+    /// arrived now.
     pub deadline: Instant,
-    pub answer: oneshot::Sender<Answer>,
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
-/// The final answer to a request.
-pub enum Answer {
-    /// An upstream's answer.
+/// The final response to a request.
+pub enum FinalResponse {
+    /// An endpoint's response.
     Served(Response<Reply>),
-    /// Refused, with advice on how long to stay away; zero for none.
-    Refused(Duration),
-    /// Failed, with no promise on its effect.
+    /// Rejected, with the time after which the client may retry; zero for no advice.
+    Rejected(Duration),
+    /// Failed; the request may or may not have taken effect.
     Failed,
 }
 
-impl Answer {
-    /// How the request ends with it.
-    pub fn end(&self) -> metrics::End {
+impl FinalResponse {
+    /// The outcome that this response is counted as.
+    pub fn outcome(&self) -> metrics::RequestOutcome {
         match self {
-            Self::Served(response) if response.status() == StatusCode::OK => metrics::End::Success,
-            Self::Refused(_) => metrics::End::Busy,
-            Self::Served(_) | Self::Failed => metrics::End::Failure,
+            Self::Served(response) if response.status() == StatusCode::OK => metrics::RequestOutcome::Success,
+            Self::Rejected(_) => metrics::RequestOutcome::Busy,
+            Self::Served(_) | Self::Failed => metrics::RequestOutcome::Failure,
         }
     }
 }
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// How a request ended for its caller.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug)]
-pub enum End {
+pub enum RequestOutcome {
     Success,
     Busy,
     Failure,
@@ -34,7 +34,7 @@
         Self { classes: classes.collect(), ..Self::default() }
     }
 
-    pub fn count(&self, class: usize, end: End) {
+    pub fn count(&self, class: usize, end: RequestOutcome) {
         if let Some(class) = self.classes.get(class) {
             class.ends[end as usize].fetch_add(1, Ordering::Relaxed);
         }
@@ -45,10 +45,10 @@
         self.attempts.clone()
     }
 
-    /// A request is taken: it counts as in flight until this is dropped.
-    pub fn taken(&self) -> Taken {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn start_request(&self) -> InFlightGuard {
         self.inflight.fetch_add(1, Ordering::Relaxed);
-        Taken(self.inflight.clone())
+        InFlightGuard(self.inflight.clone())
     }
 
     /// How many upstreams are listed, and how many of those are avoided.
@@ -72,10 +72,10 @@
     }
 }
 
-/// A request that is taken and has not ended.
-pub struct Taken(Arc<AtomicUsize>);
+/// Counts one request as in flight until it is dropped.
+pub struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for Taken {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::config::Config;
 use crate::transient_errors::retry_blocking;
-use messages::Input;
+use messages::DispatcherMessage;
 use shared_folder::{FolderState, SharedFolder};
 use std::io::{self};
 use std::net::SocketAddr;
@@ -76,12 +76,12 @@
 /// Opens the folder that is shared with the process before and after this one.
 fn open_shared_folder(
     config: &Config,
-    driver: mpsc::UnboundedSender<Input>,
+    dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
 ) -> Result<(SharedFolder, FolderState), String> {
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let name = format!("{}-{:x}", std::process::id(), config.seed);
     let report = move |event| {
-        driver.send(Input::Folder(event)).ok(); // the driver ends only with the program
+        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // the driver ends only with the program
     };
     SharedFolder::open(folder, &name, report).map_err(|error| format!("shared folder: {error}"))
 }
@@ -112,12 +112,13 @@
     let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let budget = body::memory::Budget::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), budget.clone());
-    let driver = dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
+    let dispatcher =
+        dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
     if let Some(address) = config.admin {
-        let (counters, ready, driver) = (counters.clone(), is_ready.clone(), events.clone());
-        admin::open(address, admin::Door { counters, ready, driver })?;
+        let (counters, ready, dispatcher) = (counters.clone(), is_ready.clone(), events.clone());
+        admin::open(address, admin::AdminContext { counters, ready, dispatcher })?;
     }
-    let mut driving = tokio::spawn(driver.run(inbox));
+    let mut driving = tokio::spawn(dispatcher.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
     let server = downstream::Server::new(config, events, (is_ready, told), counters, budget);
     let mut serving = tokio::spawn(server.run(listener, stopping));
