--- a/src/proxy/body/buffer.rs
+++ b/src/proxy/body/buffer.rs
@@ -5,33 +5,33 @@
 use hyper::body::{Frame, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// What has come of a body.
-pub struct Gathered {
-    pub kept: Bytes,
-    /// That is all of it.
-    pub whole: bool,
+/// The part of a body that was received.
+pub struct BufferedBody {
+    pub buffered: Bytes,
+    /// Whether that is the whole body.
+    pub complete: bool,
 }
 
-/// Reads a body to its end, or until it is longer than `most`, or until it is time to pass on what there is.
-pub async fn gather(
+/// Reads a body until it ends, exceeds `most` bytes or the time `until` has come.
+pub async fn buffer_body(
     body: &mut Incoming,
     most: usize,
     until: Option<Instant>,
-) -> Result<Gathered, hyper::Error> {
-    let mut kept = BytesMut::new();
-    while kept.len() <= most {
+) -> Result<BufferedBody, hyper::Error> {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= most {
         let frame = match until {
             None => body.frame().await,
             Some(until) => match timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) => return Ok(Gathered { kept: kept.freeze(), whole: false }),
+                Err(_) => return Ok(BufferedBody { buffered: buffered.freeze(), complete: false }),
             },
         };
         match frame.transpose()?.map(Frame::into_data) {
-            Some(Ok(data)) => kept.extend_from_slice(&data),
+            Some(Ok(data)) => buffered.extend_from_slice(&data),
             Some(Err(_)) => {} // trailers end here
-            None => return Ok(Gathered { kept: kept.freeze(), whole: true }),
+            None => return Ok(BufferedBody { buffered: buffered.freeze(), complete: true }),
         }
     }
-    Ok(Gathered { kept: kept.freeze(), whole: false })
+    Ok(BufferedBody { buffered: buffered.freeze(), complete: false })
 }
--- a/src/proxy/body/memory.rs
+++ b/src/proxy/body/memory.rs
@@ -3,30 +3,30 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The memory that bodies may fill, all together.
-pub struct Budget {
-    pub held: AtomicUsize,
-    pub most: usize,
+/// The memory limit that all buffered bodies share.
+pub struct BodyMemory {
+    pub reserved: AtomicUsize,
+    pub max: usize,
 }
 
-impl Budget {
-    pub fn new(most: usize) -> Arc<Self> {
-        Arc::new(Self { held: AtomicUsize::new(0), most })
+impl BodyMemory {
+    pub fn new(max: usize) -> Arc<Self> {
+        Arc::new(Self { reserved: AtomicUsize::new(0), max })
     }
 
-    /// Takes so many bytes, if they are left.
-    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<Room> {
-        let room = Room(self.clone(), bytes);
-        let before = self.held.fetch_add(bytes, Ordering::Relaxed);
-        (before + bytes <= self.most).then_some(room)
+    /// Reserves `bytes` bytes, or returns `None` if the limit would be exceeded.
+    pub fn try_reserve(self: &Arc<Self>, bytes: usize) -> Option<MemoryPermit> {
+        let permit = MemoryPermit(self.clone(), bytes);
+        let before = self.reserved.fetch_add(bytes, Ordering::Relaxed);
+        (before + bytes <= self.max).then_some(permit)
     }
 }
 
-/// Bytes taken from the budget; dropping it gives them back.
-pub struct Room(pub Arc<Budget>, pub usize);
+/// A reservation of body memory, released on drop.
+pub struct MemoryPermit(pub Arc<BodyMemory>, pub usize);
 
-impl Drop for Room {
+impl Drop for MemoryPermit {
     fn drop(&mut self) {
-        self.0.held.fetch_sub(self.1, Ordering::Relaxed);
+        self.0.reserved.fetch_sub(self.1, Ordering::Relaxed);
     }
 }
--- a/src/proxy/body/mod.rs
+++ b/src/proxy/body/mod.rs
@@ -8,21 +8,21 @@
 
 use std::fmt;
 
-/// Largest body that is kept whole: a request so that it can be sent again, an answer so that it can be judged
-/// before its caller gets any of it. The time of a longer one is that of its first bytes.
-pub const MOST_KEPT: usize = 64 << 10;
+/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that it
+/// can be judged before the client receives any of it. The latency of a longer response is that of its first bytes.
+pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
-/// Largest body either way.
-pub const MOST_BODY: u64 = 34 << 20;
+/// Largest body of a request or response, in bytes.
+pub const MAX_BODY: u64 = 34 << 20;
 
-/// A body broke off, or was too long.
+/// A body ended early or exceeded the size limit.
 #[derive(Debug)]
-pub struct Broken;
+pub struct BodyAborted;
 
-impl fmt::Display for Broken {
+impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the body broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyAborted {}
--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -1,7 +1,7 @@
 //! The body of a response on its way to the client: buffered, or streamed as it is received.
 
-use crate::proxy::body::Broken;
-use crate::proxy::body::memory::Room;
+use crate::proxy::body::BodyAborted;
+use crate::proxy::body::memory::MemoryPermit;
 use crate::proxy::minimum_rate::MinimumRate;
 use crate::proxy::upstream::connection::Connection;
 use crate::proxy::upstream::exchange::Finished;
@@ -12,86 +12,94 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// An answer's body on its way to its caller: kept whole, or passed on as it comes.
+/// The body of a response to a client: fully buffered, or streamed as it is received.
 #[derive(Default)]
-pub struct Reply {
-    pub kept: Option<Bytes>,
-    pub passing: Option<Box<Passing>>,
-    /// Goes when the answer is over.
-    pub held: Option<Box<dyn Send>>,
+pub struct ResponseBody {
+    pub buffered: Option<Bytes>,
+    pub streamed: Option<Box<StreamedResponse>>,
+    /// Dropped when the response has ended.
+    pub kept_until_end: Option<Box<dyn Send>>,
     /// Is called if the body breaks off.
-    pub on_break: Option<Box<dyn FnOnce() + Send>>,
+    pub on_abort: Option<Box<dyn FnOnce() + Send>>,
 }
 
-pub struct Passing {
+/// The part of a response body that is forwarded while it is received.
+pub struct StreamedResponse {
     pub body: Incoming,
     pub connection: Option<Connection>,
     pub rate: MinimumRate,
     /// Is told how the attempt ended.
-    pub report: Option<Report>,
-    pub _room: Option<Room>,
+    pub on_end: Option<EndCallback>,
+    pub _memory_permit: Option<MemoryPermit>,
 }
 
-pub type Report = Box<dyn FnOnce(Finished) + Send>;
+/// Called with the result of the attempt when the streamed response ends.
+pub type EndCallback = Box<dyn FnOnce(Finished) + Send>;
 
-impl From<Bytes> for Reply {
-    fn from(kept: Bytes) -> Self {
-        Self { kept: Some(kept).filter(|kept| !kept.is_empty()), ..Self::default() }
+impl From<Bytes> for ResponseBody {
+    fn from(buffered: Bytes) -> Self {
+        Self { buffered: Some(buffered).filter(|buffered| !buffered.is_empty()), ..Self::default() }
     }
 }
 
-impl Reply {
+impl ResponseBody {
     /// The start of a body, and the rest of it as it comes over a connection. Once its request's time is over, it is
     /// broken off unless it goes on. `report` is told of its end.
-    pub fn passing(
-        kept: Bytes,
+    pub fn streamed(
+        buffered: Bytes,
         body: Incoming,
         connection: Connection,
-        room: Option<Room>,
+        memory_permit: Option<MemoryPermit>,
         deadline: Option<Instant>,
-        report: Report,
+        on_end: EndCallback,
     ) -> Self {
         let rate = MinimumRate::new(deadline);
-        let passing = Passing { body, connection: Some(connection), rate, report: Some(report), _room: room };
-        Self { passing: Some(Box::new(passing)), ..Self::from(kept) }
+        let streamed = StreamedResponse {
+            body,
+            connection: Some(connection),
+            rate,
+            on_end: Some(on_end),
+            _memory_permit: memory_permit,
+        };
+        Self { streamed: Some(Box::new(streamed)), ..Self::from(buffered) }
     }
 
     /// Keeps this until the answer is over.
-    pub fn hold(&mut self, held: impl Send + 'static) {
-        self.held = Some(Box::new(held));
+    pub fn keep_until_end(&mut self, kept_until_end: impl Send + 'static) {
+        self.kept_until_end = Some(Box::new(kept_until_end));
     }
 
     /// Has this done if the body breaks off.
-    pub fn on_break(&mut self, act: impl FnOnce() + Send + 'static) {
-        self.on_break = Some(Box::new(act));
+    pub fn on_abort(&mut self, act: impl FnOnce() + Send + 'static) {
+        self.on_abort = Some(Box::new(act));
     }
 
     /// Whether it is kept whole.
-    pub fn is_whole(&self) -> bool {
-        self.passing.is_none()
+    pub fn is_fully_buffered(&self) -> bool {
+        self.streamed.is_none()
     }
 }
 
-impl Passing {
+impl StreamedResponse {
     /// The upstream has given all; its connection is free once it says nothing against that.
     pub fn done(&mut self) {
-        if let (Some(report), Some(connection)) = (self.report.take(), self.connection.take()) {
+        if let (Some(on_end), Some(connection)) = (self.on_end.take(), self.connection.take()) {
             tokio::spawn(async move {
                 let connection = connection.settled().await;
-                report(Finished { outcome: AttemptOutcome::Success, response: None, connection });
+                on_end(Finished { outcome: AttemptOutcome::Success, response: None, connection });
             });
         }
     }
 
-    pub fn broken(&mut self, outcome: AttemptOutcome) -> Broken {
+    pub fn abort(&mut self, outcome: AttemptOutcome) -> BodyAborted {
         self.connection = None;
-        if let Some(report) = self.report.take() {
-            report(outcome.into());
+        if let Some(on_end) = self.on_end.take() {
+            on_end(outcome.into());
         }
-        Broken
+        BodyAborted
     }
 
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         loop {
             return match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -102,13 +110,13 @@
                     }
                     Poll::Ready(Some(Ok(data)))
                 }
-                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(self.broken(AttemptOutcome::Reset)))),
+                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(self.abort(AttemptOutcome::Reset)))),
                 Poll::Ready(None) => {
                     self.done();
                     Poll::Ready(None)
                 }
                 Poll::Pending => match self.rate.poll_too_slow(cx) {
-                    Poll::Ready(()) => Poll::Ready(Some(Err(self.broken(AttemptOutcome::Timeout)))),
+                    Poll::Ready(()) => Poll::Ready(Some(Err(self.abort(AttemptOutcome::Timeout)))),
                     Poll::Pending => Poll::Pending,
                 },
             };
@@ -116,28 +124,28 @@
     }
 }
 
-impl Drop for Passing {
+impl Drop for StreamedResponse {
     /// Its caller has left, unless the end was told before.
     fn drop(&mut self) {
-        self.broken(AttemptOutcome::Cancelled);
+        self.abort(AttemptOutcome::Cancelled);
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        let data = match (self.kept.take(), &mut self.passing) {
-            (Some(kept), _) => Poll::Ready(Some(Ok(kept))),
-            (None, Some(passing)) => passing.poll(cx),
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
+        let data = match (self.buffered.take(), &mut self.streamed) {
+            (Some(buffered), _) => Poll::Ready(Some(Ok(buffered))),
+            (None, Some(streamed)) => streamed.poll(cx),
             (None, None) => Poll::Ready(None),
         };
         if let Poll::Ready(Some(Err(_))) = data
-            && let Some(act) = self.on_break.take()
+            && let Some(act) = self.on_abort.take()
         {
             act();
         }
@@ -145,15 +153,17 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.kept.is_none() && self.passing.as_ref().is_none_or(|passing| passing.body.is_end_stream())
+        self.buffered.is_none() && self.streamed.as_ref().is_none_or(|streamed| streamed.body.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
-        let kept = self.kept.as_ref().map_or(0, Bytes::len) as u64;
-        let rest = match &self.passing {
-            Some(passing) => passing.body.size_hint().exact(),
+        let buffered = self.buffered.as_ref().map_or(0, Bytes::len) as u64;
+        let streamed_length = match &self.streamed {
+            Some(streamed) => streamed.body.size_hint().exact(),
             None => Some(0),
         };
-        rest.map_or_else(SizeHint::default, |rest| SizeHint::with_exact(kept + rest))
+        streamed_length.map_or_else(SizeHint::default, |streamed_length| {
+            SizeHint::with_exact(buffered + streamed_length)
+        })
     }
 }
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts: their start, their response and their end.
 
 use super::{Driver, Out};
-use crate::proxy::body::request_body::{Payload, Rest};
-use crate::proxy::body::response_body::Reply;
+use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
+use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self};
 use crate::proxy::minimum_rate::IDLE_TIMEOUT;
@@ -32,7 +32,7 @@
         let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
         let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
-        let possible = open.answer.is_some() && allowed && !open.request.body().is_spent();
+        let possible = open.answer.is_some() && allowed && !open.request.body().is_consumed();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
         let Some((upstream, address)) = target else { return self.not_sent(id, number) };
         let Some(link) = self.idle.link(server) else { return self.not_sent(id, number) };
@@ -49,8 +49,9 @@
             under_way,
             cancel: Some(cancel),
         });
-        let rest = open.request.body().rest.clone().filter(|_| open.deadline.is_none());
-        let expiry = expiry(self.clock.instant(until), rest.map(|rest| (open.whole.subscribe(), rest)));
+        let remainder = open.request.body().remainder.clone().filter(|_| open.deadline.is_none());
+        let expiry =
+            expiry(self.clock.instant(until), remainder.map(|remainder| (open.whole.subscribe(), remainder)));
         let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
         let tally = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
@@ -102,7 +103,7 @@
             held_up: Arc::default(),
             begin_by: None,
             tally,
-            budget: self.budget.clone(),
+            body_memory: self.body_memory.clone(),
             caller: None,
             caller_until: None,
             under_way: Arc::default(),
@@ -113,7 +114,7 @@
     pub(super) fn not_sent(&mut self, id: RequestId, attempt: u32) {
         let open = self.requests.get(&id);
         let closed = open.is_none_or(|open| open.answer.is_none());
-        let spent = open.is_some_and(|open| open.request.body().is_spent());
+        let spent = open.is_some_and(|open| open.request.body().is_consumed());
         let end = AttemptEnd {
             attempt,
             outcome: AttemptOutcome::NotSent,
@@ -139,8 +140,8 @@
         let report = Box::new(move |finished| {
             inputs.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
         });
-        let Begun { head, body, connection, room } = begun;
-        let passing = |kept| Reply::passing(kept, body, connection, room, deadline, report);
+        let Begun { head, body, connection, memory_permit } = begun;
+        let passing = |kept| ResponseBody::streamed(kept, body, connection, memory_permit, deadline, report);
         let answer = FinalResponse::Served(head.map(passing));
         if let Some(out) = out {
             out.begun = Some((answer.outcome(), load));
@@ -154,7 +155,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(at) = open.out.iter().position(|out| out.number == attempt) else { return };
         let out = open.out.swap_remove(at);
-        let (class, spent) = (open.class, open.request.body().is_spent());
+        let (class, spent) = (open.class, open.request.body().is_consumed());
         // A request that was still coming held up its attempt.
         let whole = open.whole.borrow().map_or(0, |whole| self.clock.time(whole));
         let elapsed = now.saturating_sub(out.sent.max(whole));
@@ -174,7 +175,7 @@
         }
         let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
         if let Some(response) = finished.response.filter(|_| closing) {
-            self.answer(id, FinalResponse::Served(response.map(Reply::from)));
+            self.answer(id, FinalResponse::Served(response.map(ResponseBody::from)));
         }
         let closed = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
         let end = AttemptEnd {
@@ -198,16 +199,21 @@
 
 /// Waits until an attempt is given up: at a time, or as much after its request has come whole, or when that
 /// gets no further.
-pub(super) async fn expiry(until: Instant, coming: Option<(watch::Receiver<Option<Instant>>, Arc<Rest>)>) {
-    let Some((mut whole, rest)) = coming else { return sleep_until(until).await };
+pub(super) async fn expiry(
+    until: Instant,
+    coming: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
+) {
+    let Some((mut whole, remainder)) = coming else { return sleep_until(until).await };
     let limit = until.saturating_duration_since(Instant::now());
-    let (mut left, mut moved) = (rest.left(), Instant::now());
+    let (mut left, mut moved) = (remainder.remaining(), Instant::now());
     loop {
         let came = timeout(IDLE_TIMEOUT / 10, whole.wait_for(Option::is_some)).await;
         match came.map(|came| came.ok().and_then(|came| *came)) {
             Ok(Some(came)) => return sleep_until(came + limit).await,
             Ok(None) => return pending().await, // nobody waits for its end any more
-            Err(_) if rest.left() != left => (left, moved) = (rest.left(), Instant::now()),
+            Err(_) if remainder.remaining() != left => {
+                (left, moved) = (remainder.remaining(), Instant::now())
+            }
             Err(_) if moved.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
         }
@@ -215,7 +221,7 @@
 }
 
 /// The request as an upstream gets it: as it came, in the form for an origin.
-pub(super) fn forwarded(request: &Request<Payload>, address: SocketAddr) -> Request<Payload> {
+pub(super) fn forwarded(request: &Request<RequestBody>, address: SocketAddr) -> Request<RequestBody> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
     if let Some(path) = request.uri().path_and_query().filter(|_| request.uri().authority().is_some()) {
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -1,7 +1,7 @@
 //! Load queries, where the settings allow them.
 
 use super::{Driver, PROBE_PATIENCE, attempts::forwarded, attempts::load_report};
-use crate::proxy::body::request_body::Payload;
+use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::upstream::exchange::{Exchanged, Finished, exchange};
 use balancer::decision::{AttemptOutcome, EndpointId, Event};
@@ -12,7 +12,7 @@
     pub(super) fn probe(&mut self, server: EndpointId) {
         let Some(address) = self.servers.get(&server).and_then(|upstream| upstream.address) else { return };
         let Some(link) = self.idle.link(server) else { return }; // the module does not wait for a probe's end
-        let mut request = Request::new(Payload::default());
+        let mut request = Request::new(RequestBody::default());
         *request.uri_mut() = Uri::from_static("/load");
         let request = forwarded(&request, address);
         let exchange = exchange(request, self.means(link, address, Instant::now() + PROBE_PATIENCE, None));
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -10,8 +10,8 @@
 
 use crate::config::Config;
 use crate::config::endpoint_listing::Listing;
-use crate::proxy::body::memory::Budget;
-use crate::proxy::body::request_body::Payload;
+use crate::proxy::body::memory::BodyMemory;
+use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::clock::Clock;
 use crate::proxy::downstream::connection::Presence;
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
@@ -53,7 +53,7 @@
 
 /// A request that is not answered yet, or has attempts out.
 struct Open {
-    request: Request<Payload>,
+    request: Request<RequestBody>,
     caller: Presence,
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
@@ -126,7 +126,7 @@
     next_server: u32,
     servers: HashMap<EndpointId, Upstream>,
     idle: Idle,
-    budget: Arc<Budget>,
+    body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     /// When the safety net is due for each request that is owed an answer.
     nets: BTreeSet<(Time, RequestId)>,
@@ -149,7 +149,7 @@
         inputs: UnboundedSender<DispatcherMessage>,
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
-        (counters, budget): (Arc<Counters>, Arc<Budget>),
+        (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
         shared: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
@@ -174,7 +174,7 @@
             next_server: 0,
             servers: HashMap::new(),
             idle,
-            budget,
+            body_memory,
             timers: BinaryHeap::new(),
             nets: BTreeSet::new(),
             actions: Vec::new(),
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -10,7 +10,7 @@
     pub(super) fn on_called(&mut self, call: ClientRequest) {
         let (id, deadline, now) = (call.id, self.clock.time(call.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
-        let streamed = call.request.body().rest.is_some();
+        let streamed = call.request.body().remainder.is_some();
         let demand = IncomingRequest {
             class: call.class,
             tenant: call.tenant,
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -1,6 +1,6 @@
 //! The task that serves a client's connection, and its place among the others.
 
-use crate::proxy::body::response_body::Reply;
+use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::downstream::Server;
 use crate::proxy::downstream::client::Caller;
 use crate::proxy::downstream::closing::Ending;
@@ -96,7 +96,7 @@
         }
     }
 
-    pub async fn respond(&self, request: Request<Incoming>) -> Response<Reply> {
+    pub async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let is_call = self.server.class(&request).is_some();
         let mut reply = match self.caller.surplus {
             true => self.server.refuse_surplus(&request),
@@ -106,12 +106,12 @@
         // One that has begun to come behind this one was read: it is answered before the connection ends.
         let closes = self.closes() && !seen.holds_more();
         // What is left of a request that was answered early is not waited for.
-        let is_early = reply.body().is_whole() && seen.outstanding() > 0;
+        let is_early = reply.body().is_fully_buffered() && seen.outstanding() > 0;
         if closes || is_early || seen.is_last() || seen.both_lengths() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         seen.responds();
-        if reply.body().is_whole() {
+        if reply.body().is_fully_buffered() {
             seen.answered(is_call);
         }
         reply
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -1,6 +1,6 @@
 //! What a request holds and gives back when it is dropped.
 
-use crate::proxy::body::memory::Room;
+use crate::proxy::body::memory::MemoryPermit;
 use crate::proxy::downstream::request_framing::Seen;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::InFlightGuard;
@@ -43,7 +43,7 @@
     pub seen: Option<Arc<Mutex<Seen>>>,
     pub _in_flight: Option<InFlightGuard>,
     pub _named: Named,
-    pub _room: Room,
+    pub _memory_permit: MemoryPermit,
 }
 
 impl Drop for Held {
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -14,7 +14,7 @@
 mod timing;
 
 use crate::config::Config;
-use crate::proxy::body::memory::Budget;
+use crate::proxy::body::memory::BodyMemory;
 use crate::proxy::downstream::client::Caller;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::Counters;
@@ -42,7 +42,7 @@
     /// The callers' own ids of the requests that are open.
     pub open: Arc<Mutex<HashSet<String>>>,
     /// What bodies may hold of the memory.
-    pub budget: Arc<Budget>,
+    pub body_memory: Arc<BodyMemory>,
     /// A caller's connection has ended.
     pub left: Notify,
     /// Another process takes the new connections, or nobody does: each answer is the last on its own.
@@ -60,7 +60,7 @@
         driver: UnboundedSender<DispatcherMessage>,
         (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
-        budget: Arc<Budget>,
+        body_memory: Arc<BodyMemory>,
     ) -> Self {
         Self {
             config,
@@ -72,7 +72,7 @@
             next_caller: AtomicU64::new(0),
             callers: Mutex::default(),
             open: Arc::default(),
-            budget,
+            body_memory,
             left: Notify::new(),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -1,9 +1,9 @@
 //! Requests: they are read, checked, and handed to the dispatcher.
 
-use crate::proxy::body::buffer::{Gathered, gather};
-use crate::proxy::body::request_body::{Payload, Rest};
-use crate::proxy::body::response_body::Reply;
-use crate::proxy::body::{MOST_BODY, MOST_KEPT};
+use crate::proxy::body::buffer::{BufferedBody, buffer_body};
+use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
+use crate::proxy::body::response_body::ResponseBody;
+use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
 use crate::proxy::downstream::Server;
 use crate::proxy::downstream::connection::Line;
 use crate::proxy::downstream::guards::{Held, Named, Owed};
@@ -38,7 +38,7 @@
 }
 
 impl Server {
-    pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<Reply> {
+    pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class(request) {
             Some(class) => self.refuse(class),
             None => refusal(COME_BACK),
@@ -46,7 +46,7 @@
     }
 
     /// Refuses a request of a class that nobody has heard of yet.
-    pub fn refuse(&self, class: usize) -> Response<Reply> {
+    pub fn refuse(&self, class: usize) -> Response<ResponseBody> {
         self.counters.count(class, RequestOutcome::Busy);
         refusal(COME_BACK)
     }
@@ -57,7 +57,7 @@
         self.config.names.classes.iter().position(|class| class == in_path)
     }
 
-    pub async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<Reply> {
+    pub async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<ResponseBody> {
         if request.uri().path() == "/healthz" {
             self.first_list().await;
             return match *self.ready.borrow() {
@@ -68,7 +68,7 @@
         match self.call(request, line).await {
             Ok(reply) => reply,
             Err((code, text)) => {
-                let mut reply = Response::new(Reply::from(Bytes::from_static(text.as_bytes())));
+                let mut reply = Response::new(ResponseBody::from(Bytes::from_static(text.as_bytes())));
                 *reply.status_mut() = code;
                 reply
             }
@@ -79,18 +79,20 @@
         &self,
         request: Request<Incoming>,
         line: &Line,
-    ) -> Result<Response<Reply>, (StatusCode, &'static str)> {
+    ) -> Result<Response<ResponseBody>, (StatusCode, &'static str)> {
         let seen = &line.seen;
         if lock(seen).both_lengths() {
             return Err((StatusCode::BAD_REQUEST, "Content-Length beside Transfer-Encoding\n"));
         }
         let asked = self.check(&request)?;
         let size = request.body().size_hint();
-        if size.lower() > MOST_BODY {
+        if size.lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"));
         }
         let size = size.exact().and_then(|size| usize::try_from(size).ok());
-        let Some(room) = self.budget.take(size.map_or(MOST_KEPT, |size| size.min(MOST_KEPT))) else {
+        let Some(memory_permit) =
+            self.body_memory.try_reserve(size.map_or(MAX_BUFFERED_BODY, |size| size.min(MAX_BUFFERED_BODY)))
+        else {
             return Ok(self.refuse(asked.class));
         };
         let Some(named) = Named::take(&self.open, asked.call_id) else {
@@ -98,11 +100,12 @@
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
         let (mut head, mut body) = request.into_parts();
-        let (kept, whole) = match timeout(PATIENCE, gather(&mut body, MOST_KEPT, None)).await {
-            Ok(Ok(Gathered { kept, whole })) => (kept, whole || body.is_end_stream()),
-            Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
-            Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
-        };
+        let (buffered, complete) =
+            match timeout(PATIENCE, buffer_body(&mut body, MAX_BUFFERED_BODY, None)).await {
+                Ok(Ok(BufferedBody { buffered, complete })) => (buffered, complete || body.is_end_stream()),
+                Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
+                Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
+            };
         let first_deadline = Instant::now() + asked.budget;
         // Read before it waits, so that its time runs meanwhile.
         let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
@@ -110,10 +113,10 @@
             return Ok(self.refuse(asked.class));
         }
         end_to_end(&mut head.headers);
-        let mut held = Held { seen: None, _in_flight: None, _named: named, _room: room };
-        let (rest, came) = if whole { (None, None) } else { Some(Rest::new(body)).unzip() };
+        let mut held = Held { seen: None, _in_flight: None, _named: named, _memory_permit: memory_permit };
+        let (remainder, came) = if complete { (None, None) } else { Some(BodyRemainder::new(body)).unzip() };
         let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
-        let request = Request::from_parts(head, Payload { kept, rest });
+        let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let mut owed = Owed(Some(id), &self.driver);
         let (answer, mut answered) = oneshot::channel();
@@ -122,7 +125,7 @@
             held._in_flight = Some(self.counters.start_request());
             lock(seen).whole() + budget
         };
-        let deadline = if whole { has_come() } else { first_deadline };
+        let deadline = if complete { has_come() } else { first_deadline };
         let client = line.presence();
         let call =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender: answer };
@@ -157,14 +160,14 @@
                 end_to_end(reply.headers_mut());
                 // The length of what a HEAD does not bring is for its caller to know.
                 length.map(|length| reply.headers_mut().insert(CONTENT_LENGTH, length));
-                if !reply.body().is_whole() {
+                if !reply.body().is_fully_buffered() {
                     held.seen = Some(seen.clone());
                     // Without chunks, the end of the connection is that of the body.
                     if is_old && reply.body().size_hint().exact().is_none() {
                         let seen = seen.clone();
-                        reply.body_mut().on_break(move || lock(&seen).resets = true);
+                        reply.body_mut().on_abort(move || lock(&seen).resets = true);
                     }
-                    reply.body_mut().hold(held);
+                    reply.body_mut().keep_until_end(held);
                 }
                 reply
             }
--- a/src/proxy/downstream/responses.rs
+++ b/src/proxy/downstream/responses.rs
@@ -1,6 +1,6 @@
 //! Responses that the balancer makes by itself, and headers that end here.
 
-use crate::proxy::body::response_body::Reply;
+use crate::proxy::body::response_body::ResponseBody;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, DATE, EXPECT, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TE, TRAILER,
     TRANSFER_ENCODING, UPGRADE,
@@ -11,14 +11,14 @@
 /// How long a surplus caller is to stay away, and one whose body found no room.
 pub const COME_BACK: Duration = Duration::from_millis(500);
 
-pub fn status(code: StatusCode) -> Response<Reply> {
-    let mut reply = Response::new(Reply::default());
+pub fn status(code: StatusCode) -> Response<ResponseBody> {
+    let mut reply = Response::new(ResponseBody::default());
     *reply.status_mut() = code;
     reply
 }
 
 /// A refusal, with advice on how long to stay away unless that is zero.
-pub fn refusal(stay_away: Duration) -> Response<Reply> {
+pub fn refusal(stay_away: Duration) -> Response<ResponseBody> {
     let mut reply = status(StatusCode::SERVICE_UNAVAILABLE);
     if stay_away > Duration::ZERO
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.as_secs_f64()))
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,8 +1,8 @@
 //! Messages that the tasks of the proxy exchange.
 
 use crate::config::endpoint_listing::Listing;
-use crate::proxy::body::request_body::Payload;
-use crate::proxy::body::response_body::Reply;
+use crate::proxy::body::request_body::RequestBody;
+use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::downstream::connection::Presence;
 use crate::proxy::metrics;
 use crate::proxy::orders::OrderRequest;
@@ -45,7 +45,7 @@
 /// A client's request.
 pub struct ClientRequest {
     pub id: RequestId,
-    pub request: Request<Payload>,
+    pub request: Request<RequestBody>,
     pub client: Presence,
     pub class: usize,
     pub tenant: usize,
@@ -60,7 +60,7 @@
 /// The final response to a request.
 pub enum FinalResponse {
     /// An endpoint's response.
-    Served(Response<Reply>),
+    Served(Response<ResponseBody>),
     /// Rejected, with the time after which the client may retry; zero for no advice.
     Rejected(Duration),
     /// Failed; the request may or may not have taken effect.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -110,8 +110,8 @@
 
     let counters = Arc::new(metrics::Counters::new(&config.names.classes));
     let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
-    let budget = body::memory::Budget::new(config.limits.memory / BODIES);
-    let parts = (counters.clone(), budget.clone());
+    let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODIES);
+    let parts = (counters.clone(), body_memory.clone());
     let dispatcher =
         dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
     if let Some(address) = config.admin {
@@ -120,7 +120,7 @@
     }
     let mut driving = tokio::spawn(dispatcher.run(inbox));
     tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
-    let server = downstream::Server::new(config, events, (is_ready, told), counters, budget);
+    let server = downstream::Server::new(config, events, (is_ready, told), counters, body_memory);
     let mut serving = tokio::spawn(server.run(listener, stopping));
 
     // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to an upstream, and how far a request has got on it.
 
-use crate::proxy::body::request_body::Outgoing;
+use crate::proxy::body::request_body::UpstreamRequestBody;
 use crate::proxy::downstream::connection::poll_io;
 use crate::proxy::send_check::Sending;
 use crate::proxy::sync::lock;
@@ -25,7 +25,7 @@
 
 /// A connection to an upstream. Dropping it closes it.
 pub struct Connection {
-    pub sender: SendRequest<Outgoing<Taken>>,
+    pub sender: SendRequest<UpstreamRequestBody<Taken>>,
     pub tcp: Arc<TcpStream>,
     pub progress: Arc<Progress>,
     pub task: AbortHandle,
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -1,9 +1,9 @@
 //! One attempt: a request on a connection, and its response.
 
-use crate::proxy::body::buffer::{Gathered, gather};
-use crate::proxy::body::memory::{Budget, Room};
-use crate::proxy::body::request_body::{Outgoing, Payload};
-use crate::proxy::body::{MOST_BODY, MOST_KEPT};
+use crate::proxy::body::buffer::{BufferedBody, buffer_body};
+use crate::proxy::body::memory::{BodyMemory, MemoryPermit};
+use crate::proxy::body::request_body::{RequestBody, UpstreamRequestBody};
+use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
 use crate::proxy::downstream::connection::Presence;
 use crate::proxy::send_check::{Conditions, NotSent, Sending, seconds};
 use crate::proxy::sync::lock;
@@ -21,7 +21,7 @@
 use tokio::time::{Duration, Instant};
 
 /// How long the start of a long answer may be held, for a server that breaks off at once to be found out.
-pub const GATHER: Duration = Duration::from_millis(50);
+pub const MAX_START_BUFFERING: Duration = Duration::from_millis(50);
 
 /// How an attempt ended, with the answer if it is whole and the connection if it can be used again.
 pub struct Finished {
@@ -50,7 +50,7 @@
     pub head: Response<Bytes>,
     pub body: Incoming,
     pub connection: Connection,
-    pub room: Option<Room>,
+    pub memory_permit: Option<MemoryPermit>,
 }
 
 impl From<AttemptOutcome> for Exchanged {
@@ -74,7 +74,7 @@
     pub begin_by: Option<Instant>,
     /// Counts the attempts that are written whole.
     pub tally: Option<Arc<AtomicU64>>,
-    pub budget: Arc<Budget>,
+    pub body_memory: Arc<BodyMemory>,
     /// Whose request it is, if it is a caller's.
     pub caller: Option<Presence>,
     /// When the caller stops waiting, if it is a caller's request.
@@ -84,7 +84,7 @@
 }
 
 /// Sends a request on a connection, or on a new one, and waits for its whole answer, or for enough of a long one.
-pub async fn exchange(mut request: Request<Payload>, means: Means) -> Exchanged {
+pub async fn exchange(mut request: Request<RequestBody>, means: Means) -> Exchanged {
     let is_late = || means.begin_by.is_some_and(|end| Instant::now() >= end);
     let mut connection = match means.link {
         Link::Idle(connection) => connection,
@@ -106,13 +106,13 @@
             }
         }
     };
-    let rest = request.body().rest.clone();
+    let remainder = request.body().remainder.clone();
     let conditions = Conditions {
         caller: means.caller.clone(),
         caller_until: means.caller_until,
         until: means.deadline.filter(|_| means.held_up.load(Ordering::Relaxed)).unwrap_or(means.until),
         begin_by: means.begin_by,
-        streamed: rest.is_some(),
+        streamed: remainder.is_some(),
     };
     let never_sent = Finished { outcome: AttemptOutcome::NotSent, response: None, connection: None };
     match conditions.may_begin() {
@@ -144,7 +144,7 @@
         }
         match progress.written.load(Ordering::Relaxed) {
             // Its caller broke the request off, which says nothing of the upstream.
-            _ if rest.as_ref().is_some_and(|rest| rest.is_broken()) => match caller_left() {
+            _ if remainder.as_ref().is_some_and(|remainder| remainder.is_aborted()) => match caller_left() {
                 true => Exchanged::CallerLeft(AttemptOutcome::Cancelled.into()),
                 false => AttemptOutcome::Cancelled.into(),
             },
@@ -152,7 +152,7 @@
             false => AttemptOutcome::ConnectFailed.into(),
         }
     };
-    let request = request.map(|payload| Outgoing::new(payload, taken));
+    let request = request.map(|body| UpstreamRequestBody::new(body, taken));
     let Ok(response) = connection.sender.send_request(request).await else {
         return broken();
     };
@@ -167,27 +167,27 @@
         status if status.is_client_error() => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::Error,
     };
-    if body.size_hint().lower() > MOST_BODY {
+    if body.size_hint().lower() > MAX_BODY {
         return AttemptOutcome::Error.into(); // larger than any answer may be
     }
     let size = body.size_hint().exact().and_then(|size| usize::try_from(size).ok());
-    let small = size.filter(|size| *size <= MOST_KEPT);
-    let room = means.budget.take(small.unwrap_or(MOST_KEPT));
+    let small = size.filter(|size| *size <= MAX_BUFFERED_BODY);
+    let memory_permit = means.body_memory.try_reserve(small.unwrap_or(MAX_BUFFERED_BODY));
     // One of unknown length may be a small one that comes slowly: its caller gets it as it comes.
-    let until = small.is_none().then(|| Instant::now() + GATHER);
-    let most = if room.is_some() { MOST_KEPT } else { 0 };
-    let (kept, whole) = match gather(&mut body, most, until).await {
-        Ok(Gathered { kept, whole }) => (kept, whole || body.is_end_stream()),
+    let until = small.is_none().then(|| Instant::now() + MAX_START_BUFFERING);
+    let most = if memory_permit.is_some() { MAX_BUFFERED_BODY } else { 0 };
+    let (buffered, complete) = match buffer_body(&mut body, most, until).await {
+        Ok(BufferedBody { buffered, complete }) => (buffered, complete || body.is_end_stream()),
         Err(_) => return broken(),
     };
-    let head = Response::from_parts(head, kept);
-    if whole {
+    let head = Response::from_parts(head, buffered);
+    if complete {
         let connection = connection.settled().await;
         return Exchanged::Ended(Finished { outcome, response: Some(head), connection });
     }
     match outcome {
         AttemptOutcome::Success | AttemptOutcome::InvalidRequest => {
-            Exchanged::Begun(Box::new(Begun { head, body, connection, room }))
+            Exchanged::Begun(Box::new(Begun { head, body, connection, memory_permit }))
         }
         outcome => outcome.into(), // nobody gets the rest
     }
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -4,8 +4,8 @@
 use super::exchange::{Exchanged, Finished, Means, exchange};
 use super::permit::Slot;
 use super::pool::Link;
-use crate::proxy::body::memory::Budget;
-use crate::proxy::body::request_body::Payload;
+use crate::proxy::body::memory::BodyMemory;
+use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::downstream::connection::Presence;
 use crate::proxy::downstream::connection::{Gate, Line};
 use balancer::decision::AttemptOutcome;
@@ -31,7 +31,7 @@
         held_up: Arc::default(),
         begin_by: None,
         tally: None,
-        budget: Budget::new(1 << 20),
+        body_memory: BodyMemory::new(1 << 20),
         caller: None,
         caller_until: None,
         under_way: Arc::default(),
@@ -54,7 +54,7 @@
         stream
     });
     let means = means(address, Link::New(Slot::take(&Arc::default())));
-    let Exchanged::Ended(finished) = exchange(Request::new(Payload::default()), means).await else {
+    let Exchanged::Ended(finished) = exchange(Request::new(RequestBody::default()), means).await else {
         panic!("the answer is whole");
     };
     (finished.connection.expect("a connection to use again"), peer.await.unwrap())
@@ -88,7 +88,7 @@
         under_way: under_way.clone(),
         ..means(listener.local_addr().unwrap(), Link::New(Slot::take(&Arc::default())))
     };
-    let exchanged = tokio::spawn(exchange(Request::new(Payload::default()), means));
+    let exchanged = tokio::spawn(exchange(Request::new(RequestBody::default()), means));
     tokio::spawn(async move { by() }); // its turn is after that of the exchange, and before that of the connection
     let got = tokio::task::spawn_blocking(move || {
         peer.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
