--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -4,7 +4,7 @@
 use crate::proxy::body::memory::MemoryPermit;
 use crate::proxy::minimum_rate::MinimumRate;
 use crate::proxy::upstream::connection::Connection;
-use crate::proxy::upstream::exchange::Finished;
+use crate::proxy::upstream::exchange::AttemptResult;
 use balancer::decision::AttemptOutcome;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -34,7 +34,7 @@
 }
 
 /// Called with the result of the attempt when the streamed response ends.
-pub type EndCallback = Box<dyn FnOnce(Finished) + Send>;
+pub type EndCallback = Box<dyn FnOnce(AttemptResult) + Send>;
 
 impl From<Bytes> for ResponseBody {
     fn from(buffered: Bytes) -> Self {
@@ -86,7 +86,7 @@
         if let (Some(on_end), Some(connection)) = (self.on_end.take(), self.connection.take()) {
             tokio::spawn(async move {
                 let connection = connection.settled().await;
-                on_end(Finished { outcome: AttemptOutcome::Success, response: None, connection });
+                on_end(AttemptResult { outcome: AttemptOutcome::Success, response: None, connection });
             });
         }
     }
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::config::endpoint_listing::Listing;
 use crate::proxy::messages::DispatcherMessage;
-use crate::proxy::upstream::connect::{Patience, Reachability, connect};
+use crate::proxy::upstream::connect::{ConnectDeadline, Reachability, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::Request;
@@ -160,9 +160,10 @@
 impl Open {
     async fn new(address: SocketAddr) -> Result<Self, Failure> {
         let end = Instant::now() + CONNECT;
-        let patience = Patience { end, end_if_held_up: end, held_up: &AtomicBool::default() };
+        let connect_deadline =
+            ConnectDeadline { end, end_after_local_failure: end, local_failure: &AtomicBool::default() };
         // There is no other to compare it with.
-        let tcp = connect(address, patience, &Reachability::default()).await?;
+        let tcp = connect(address, connect_deadline, &Reachability::default()).await?;
         let (hear, heard) = watch::channel(());
         let tcp = InspectReader::new(tcp, move |_: &[u8]| hear.send_replace(()));
         let (sender, connection) = handshake(TokioIo::new(tcp)).await?;
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -7,8 +7,10 @@
 use crate::proxy::metrics::{self};
 use crate::proxy::minimum_rate::IDLE_TIMEOUT;
 use crate::proxy::send_check::budget;
-use crate::proxy::upstream::exchange::{Begun, Exchanged, Finished, Means, exchange};
-use crate::proxy::upstream::pool::Link;
+use crate::proxy::upstream::exchange::{
+    AttemptResult, ExchangeContext, ExchangeOutcome, StartedResponse, exchange,
+};
+use crate::proxy::upstream::pool::ConnectionSource;
 use balancer::decision::{AttemptEnd, AttemptOutcome, EndpointId, Event, LoadReport, RequestId, Time};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, Version};
@@ -28,42 +30,49 @@
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
         open.attempts += 1;
         let upstream = self.servers.get(&server).copied();
-        let caller_until = open.caller_until;
-        let has_time = budget(Duration::from_nanos(caller_until.saturating_sub(now))).is_some();
+        let client_deadline = open.client_deadline;
+        let has_time = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
         let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
         let possible = open.answer.is_some() && allowed && !open.request.body().is_consumed();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
         let Some((upstream, address)) = target else { return self.not_sent(id, number) };
-        let Some(link) = self.idle.link(server) else { return self.not_sent(id, number) };
+        let Some(connection_source) = self.idle.acquire(server) else { return self.not_sent(id, number) };
         let request = forwarded(&open.request, address);
         let (cancel, cancelled) = oneshot::channel::<()>();
-        let under_way = Arc::new(AtomicBool::new(false));
-        let mark = under_way.clone();
+        let write_started = Arc::new(AtomicBool::new(false));
+        let mark = write_started.clone();
         open.out.push(Out {
             number,
             server,
             upstream,
             sent: now,
             begun: None,
-            under_way,
+            write_started,
             cancel: Some(cancel),
         });
         let remainder = open.request.body().remainder.clone().filter(|_| open.deadline.is_none());
         let expiry =
             expiry(self.clock.instant(until), remainder.map(|remainder| (open.whole.subscribe(), remainder)));
-        let (inputs, caller) = (self.inputs.clone(), Some(open.caller.clone()));
-        let tally = Some(self.counters.attempts());
+        let (inputs, client) = (self.inputs.clone(), Some(open.caller.clone()));
+        let attempt_counter = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
         let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
-        let means = self.means(link, address, self.clock.instant(until), tally);
-        let held_up = means.held_up.clone();
-        let caller_until = Some(self.clock.instant(caller_until));
-        let means = Means { under_way: mark.clone(), deadline, begin_by, caller, caller_until, ..means };
+        let means = self.means(connection_source, address, self.clock.instant(until), attempt_counter);
+        let local_failure = means.local_failure.clone();
+        let client_deadline = Some(self.clock.instant(client_deadline));
+        let means = ExchangeContext {
+            write_started: mark.clone(),
+            deadline,
+            begin_by,
+            client,
+            client_deadline,
+            ..means
+        };
         let exchange = exchange(request, means);
         let expiry = async move {
             expiry.await;
-            if let Some(deadline) = deadline.filter(|_| held_up.load(Ordering::Relaxed)) {
+            if let Some(deadline) = deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
                 sleep_until(deadline).await;
             }
         };
@@ -76,12 +85,14 @@
                 () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
             };
             let input = match exchanged {
-                Exchanged::Ended(finished) => DispatcherMessage::AttemptEnded(id, number, finished),
-                Exchanged::CallerLeft(finished) => {
+                ExchangeOutcome::Ended(finished) => DispatcherMessage::AttemptEnded(id, number, finished),
+                ExchangeOutcome::ClientDisconnected(finished) => {
                     inputs.send(DispatcherMessage::ClientDisconnected(id)).ok(); // first, or the request would be sent again
                     DispatcherMessage::AttemptEnded(id, number, finished)
                 }
-                Exchanged::Begun(begun) => DispatcherMessage::ResponseStarted(id, number, begun),
+                ExchangeOutcome::ResponseStarted(begun) => {
+                    DispatcherMessage::ResponseStarted(id, number, begun)
+                }
             };
             inputs.send(input).ok();
         });
@@ -89,24 +100,24 @@
 
     pub(super) fn means(
         &self,
-        link: Link,
+        connection_source: ConnectionSource,
         address: SocketAddr,
         until: Instant,
-        tally: Option<Arc<AtomicU64>>,
-    ) -> Means {
-        Means {
-            link,
+        attempt_counter: Option<Arc<AtomicU64>>,
+    ) -> ExchangeContext {
+        ExchangeContext {
+            connection_source,
             address,
             connect_timeout: self.config.names.connect_timeout,
             until,
             deadline: None,
-            held_up: Arc::default(),
+            local_failure: Arc::default(),
             begin_by: None,
-            tally,
+            attempt_counter,
             body_memory: self.body_memory.clone(),
-            caller: None,
-            caller_until: None,
-            under_way: Arc::default(),
+            client: None,
+            client_deadline: None,
+            write_started: Arc::default(),
         }
     }
 
@@ -127,7 +138,7 @@
     }
 
     /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
-    pub(super) fn on_begun(&mut self, id: RequestId, number: u32, begun: Begun) {
+    pub(super) fn on_begun(&mut self, id: RequestId, number: u32, begun: StartedResponse) {
         let deadline = self.requests.get(&id).and_then(|open| open.deadline);
         let deadline = deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_answer(id) else {
@@ -140,7 +151,7 @@
         let report = Box::new(move |finished| {
             inputs.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
         });
-        let Begun { head, body, connection, memory_permit } = begun;
+        let StartedResponse { head, body, connection, memory_permit } = begun;
         let passing = |kept| ResponseBody::streamed(kept, body, connection, memory_permit, deadline, report);
         let answer = FinalResponse::Served(head.map(passing));
         if let Some(out) = out {
@@ -150,7 +161,7 @@
         sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
     }
 
-    pub(super) fn on_ended(&mut self, id: RequestId, attempt: u32, finished: Finished) {
+    pub(super) fn on_ended(&mut self, id: RequestId, attempt: u32, finished: AttemptResult) {
         let now = self.clock.now();
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(at) = open.out.iter().position(|out| out.number == attempt) else { return };
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -19,7 +19,7 @@
 use crate::proxy::orders::OfflineList;
 use crate::proxy::shared_folder::{FolderState, SharedFolder};
 use crate::proxy::start_times::{ListOrigin, StartTimes};
-use crate::proxy::upstream::pool::Idle;
+use crate::proxy::upstream::pool::IdlePool;
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, AttemptEnd, EndpointId, Event, LoadReport, RequestId, Time};
 use hyper::Request;
@@ -59,7 +59,7 @@
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
     /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
-    caller_until: Time,
+    client_deadline: Time,
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
@@ -78,7 +78,7 @@
     /// How the request ends if the answer that has begun comes to its end, and the figures that came with it.
     begun: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
     /// It has its connection: from here on it may be written. Before, it can be taken back as if never sent.
-    under_way: Arc<AtomicBool>,
+    write_started: Arc<AtomicBool>,
     /// Dropping it withdraws the attempt.
     cancel: Option<oneshot::Sender<()>>,
 }
@@ -86,7 +86,7 @@
 impl Out {
     /// Withdraws the attempt, unless it may have been written.
     fn take_back(&mut self) {
-        if !self.under_way.load(Ordering::Relaxed) {
+        if !self.write_started.load(Ordering::Relaxed) {
             self.cancel = None;
         }
     }
@@ -125,7 +125,7 @@
     ids: HashMap<String, EndpointId>,
     next_server: u32,
     servers: HashMap<EndpointId, Upstream>,
-    idle: Idle,
+    idle: IdlePool,
     body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     /// When the safety net is due for each request that is owed an answer.
@@ -155,7 +155,7 @@
         let clock = Clock::new();
         let balancer = LoadBalancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
-        let idle = Idle::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
+        let idle = IdlePool::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
         let (shared, folder_state) = shared.unzip();
         let mut driver = Self {
             balancer,
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -18,7 +18,7 @@
             work: call.work,
             streaming: streamed,
         };
-        let caller_until = deadline;
+        let client_deadline = deadline;
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
             id,
@@ -27,7 +27,7 @@
                 caller: call.client,
                 class: call.class,
                 deadline,
-                caller_until,
+                client_deadline,
                 whole: watch::Sender::new(None),
                 answer: Some(call.response_sender),
                 attempts: 0,
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,7 +7,7 @@
 use crate::proxy::metrics;
 use crate::proxy::orders::OrderRequest;
 use crate::proxy::shared_folder::FolderEvent;
-use crate::proxy::upstream::exchange::{Begun, Finished};
+use crate::proxy::upstream::exchange::{AttemptResult, StartedResponse};
 use balancer::decision::{EndpointId, RequestId};
 use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
@@ -23,11 +23,11 @@
     /// The client of a request has closed its connection.
     ClientDisconnected(RequestId),
     /// The response to an attempt has started.
-    ResponseStarted(RequestId, u32, Box<Begun>),
+    ResponseStarted(RequestId, u32, Box<StartedResponse>),
     /// An attempt ended.
-    AttemptEnded(RequestId, u32, Finished),
+    AttemptEnded(RequestId, u32, AttemptResult),
     /// A load query to an endpoint ended.
-    LoadQueryEnded(EndpointId, Finished),
+    LoadQueryEnded(EndpointId, AttemptResult),
     /// No file descriptors are left to accept clients with.
     DescriptorShortage,
     /// Discovery returned a list or a change of it.
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -36,14 +36,14 @@
 /// Why a request is not written, or not to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
-    CallerLeft,
+    ClientDisconnected,
     TooLate,
 }
 
 impl fmt::Display for NotSent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::CallerLeft => "the caller has left",
+            Self::ClientDisconnected => "the caller has left",
             Self::TooLate => "hardly any time is left",
         })
     }
@@ -51,12 +51,12 @@
 
 impl std::error::Error for NotSent {}
 
-/// Under what an attempt may be written.
-pub struct Conditions {
+/// The conditions under which an attempt may be written to its upstream.
+pub struct SendConditions {
     /// Whose request it is, if it is a caller's.
-    pub caller: Option<Presence>,
+    pub client: Option<Presence>,
     /// When the caller stops waiting, if it is a caller's request.
-    pub caller_until: Option<Instant>,
+    pub client_deadline: Option<Instant>,
     /// How long the answer is waited for.
     pub until: Instant,
     /// When it must have begun, or it is never sent.
@@ -65,18 +65,18 @@
     pub streamed: bool,
 }
 
-impl Conditions {
+impl SendConditions {
     /// Whether the attempt may begin now, and how long it may take as its upstream is told.
     pub fn may_begin(&self) -> Result<Duration, NotSent> {
         let budget = self.budget(Instant::now()).ok_or(NotSent::TooLate)?;
-        self.caller_is_there(false)?;
+        self.check_client_connected(false)?;
         Ok(budget)
     }
 
     fn budget(&self, now: Instant) -> Option<Duration> {
         // An attempt that outlives its own limit is given up by that, not here.
         let left = self.until.saturating_duration_since(now);
-        let of_caller = match self.caller_until {
+        let of_caller = match self.client_deadline {
             Some(end) => budget(end.saturating_duration_since(now))?,
             None => left,
         };
@@ -87,19 +87,19 @@
         self.begin_by.is_none_or(|end| now < end)
     }
 
-    fn caller_is_there(&self, all_has_come: bool) -> Result<(), NotSent> {
-        match &self.caller {
-            Some(caller) if caller.has_left(all_has_come) => Err(NotSent::CallerLeft),
+    fn check_client_connected(&self, all_has_come: bool) -> Result<(), NotSent> {
+        match &self.client {
+            Some(client) if client.has_left(all_has_come) => Err(NotSent::ClientDisconnected),
             _ => Ok(()),
         }
     }
 }
 
-/// A request that is being written.
-pub struct Sending {
-    conditions: Conditions,
+/// Checks the send conditions before each write of a request, and tracks how far the write has got.
+pub struct SendCheck {
+    conditions: SendConditions,
     /// Is set once a byte may have been written.
-    under_way: Arc<AtomicBool>,
+    write_started: Arc<AtomicBool>,
     /// When its first write was tried.
     begun: Option<Instant>,
     /// Bytes written.
@@ -114,9 +114,9 @@
     text: Vec<u8>,
 }
 
-impl Sending {
-    pub fn new(conditions: Conditions, under_way: Arc<AtomicBool>) -> Self {
-        Self { conditions, under_way, begun: None, written: 0, budget: None, not_sent: None }
+impl SendCheck {
+    pub fn new(conditions: SendConditions, write_started: Arc<AtomicBool>) -> Self {
+        Self { conditions, write_started, begun: None, written: 0, budget: None, not_sent: None }
     }
 
     /// Why it was not written, or not to its end.
@@ -140,7 +140,7 @@
             self.not_sent = Some(not_sent);
             return Err(not_sent);
         }
-        self.under_way.store(true, Ordering::Relaxed);
+        self.write_started.store(true, Ordering::Relaxed);
         Ok(self.with_budget(first))
     }
 
@@ -149,7 +149,7 @@
         let budget = self.conditions.budget(now).ok_or(NotSent::TooLate)?;
         self.begun = Some(now);
         self.budget = BudgetField::find(first, budget);
-        self.conditions.caller_is_there(last)
+        self.conditions.check_client_connected(last)
     }
 
     /// An upstream begins with the last byte: a request that may not begin any more must not come to its end.
@@ -159,7 +159,7 @@
         if !self.conditions.in_window(now) || is_old && !self.conditions.streamed {
             return Err(NotSent::TooLate);
         }
-        self.conditions.caller_is_there(last)
+        self.conditions.check_client_connected(last)
     }
 
     /// The bytes that are offered next, with the time for the upstream where it stands in them.
--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -67,14 +67,14 @@
     }
 }
 
-/// How long a connection may take to come up.
-pub struct Patience<'a> {
+/// When an attempt to connect is given up.
+pub struct ConnectDeadline<'a> {
     /// When it is given up.
     pub end: Instant,
     /// The same if the own machine has failed in it meanwhile: that is not a matter of the peer's time.
-    pub end_if_held_up: Instant,
+    pub end_after_local_failure: Instant,
     /// Is set where that is so.
-    pub held_up: &'a AtomicBool,
+    pub local_failure: &'a AtomicBool,
 }
 
 /// Connects in time. Failures of the own machine are retried until then, after pauses that grow. One that has to do
@@ -83,10 +83,10 @@
 /// all of them fail, none is at fault.
 pub async fn connect(
     peer: SocketAddr,
-    patience: Patience<'_>,
+    connect_deadline: ConnectDeadline<'_>,
     reachability: &Reachability,
 ) -> Result<TcpStream, ConnectError> {
-    let mut end = patience.end;
+    let mut end = connect_deadline.end;
     let (mut backoff, mut failures) = (Backoff::default(), 0_u32);
     let (mut since, mut latest) = (None, None);
     loop {
@@ -102,8 +102,8 @@
         if origin == Origin::Peer {
             return Err(ConnectError::Peer(error));
         }
-        patience.held_up.store(true, Ordering::Relaxed);
-        end = patience.end_if_held_up;
+        connect_deadline.local_failure.store(true, Ordering::Relaxed);
+        end = connect_deadline.end_after_local_failure;
         failures += 1;
         let now = Instant::now();
         let next = now + backoff.pause();
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -2,10 +2,10 @@
 
 use crate::proxy::body::request_body::UpstreamRequestBody;
 use crate::proxy::downstream::connection::poll_io;
-use crate::proxy::send_check::Sending;
+use crate::proxy::send_check::SendCheck;
 use crate::proxy::sync::lock;
-use crate::proxy::upstream::connect::{ConnectError, Patience, connect};
-use crate::proxy::upstream::permit::Slot;
+use crate::proxy::upstream::connect::{ConnectDeadline, ConnectError, connect};
+use crate::proxy::upstream::permit::ConnectionPermit;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
@@ -25,16 +25,20 @@
 
 /// A connection to an upstream. Dropping it closes it.
 pub struct Connection {
-    pub sender: SendRequest<UpstreamRequestBody<Taken>>,
+    pub sender: SendRequest<UpstreamRequestBody<BodyConsumedCallback>>,
     pub tcp: Arc<TcpStream>,
     pub progress: Arc<Progress>,
     pub task: AbortHandle,
-    pub slot: Slot,
+    pub permit: ConnectionPermit,
 }
 
 impl Connection {
-    pub async fn open(address: SocketAddr, slot: Slot, patience: Patience<'_>) -> Result<Self, ConnectError> {
-        let tcp = connect(address, patience, &slot.0.reachability).await?;
+    pub async fn open(
+        address: SocketAddr,
+        permit: ConnectionPermit,
+        connect_deadline: ConnectDeadline<'_>,
+    ) -> Result<Self, ConnectError> {
+        let tcp = connect(address, connect_deadline, &permit.0.reachability).await?;
         let (tcp, progress) = (Arc::new(tcp), Arc::new(Progress::default()));
         let socket = Socket { tcp: tcp.clone(), progress: progress.clone() };
         let builder = &mut Builder::new();
@@ -42,7 +46,7 @@
         let handshake = builder.handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.map_err(|error| ConnectError::Peer(io::Error::other(error)))?;
         let task = tokio::spawn(connection).abort_handle();
-        Ok(Self { sender, tcp, progress, task, slot })
+        Ok(Self { sender, tcp, progress, task, permit })
     }
 
     /// The connection after its answer: ready again unless its upstream closes it, which it has said by now, or is
@@ -72,24 +76,24 @@
 #[derive(Default)]
 pub struct Progress {
     /// The last of its body is in hyper's hands.
-    pub body_taken: AtomicBool,
+    pub body_consumed: AtomicBool,
     /// Its last byte is written: the upstream may run it from here on.
     pub written: AtomicBool,
     /// Counts it once that is so.
-    pub tally: Mutex<Option<Arc<AtomicU64>>>,
+    pub attempt_counter: Mutex<Option<Arc<AtomicU64>>>,
     /// What has to hold until it is written.
-    pub sending: Mutex<Option<Sending>>,
+    pub send_check: Mutex<Option<SendCheck>>,
 }
 
 impl Progress {
     /// Writes more of a request, unless that must not leave any more.
     pub fn write(&self, tcp: &TcpStream, parts: &[IoSlice<'_>]) -> io::Result<usize> {
-        let mut sending = lock(&self.sending);
-        let (Some(sending), Some(first)) = (sending.as_mut(), parts.first()) else {
+        let mut send_check = lock(&self.send_check);
+        let (Some(send_check), Some(first)) = (send_check.as_mut(), parts.first()) else {
             return tcp.try_write_vectored(parts);
         };
-        let last = self.body_taken.load(Ordering::Relaxed);
-        let head = sending.before_write(first, last).map_err(io::Error::other)?;
+        let last = self.body_consumed.load(Ordering::Relaxed);
+        let head = send_check.before_write(first, last).map_err(io::Error::other)?;
         let written = match &head {
             Some(head) => {
                 let mut parts = parts.to_vec();
@@ -98,21 +102,21 @@
             }
             None => tcp.try_write_vectored(parts),
         }?;
-        sending.wrote(written);
+        send_check.wrote(written);
         Ok(written)
     }
 
-    pub fn is_written(&self) {
-        lock(&self.sending).take();
+    pub fn mark_written(&self) {
+        lock(&self.send_check).take();
         self.written.store(true, Ordering::Relaxed);
-        if let Some(tally) = lock(&self.tally).take() {
-            tally.fetch_add(1, Ordering::Relaxed);
+        if let Some(attempt_counter) = lock(&self.attempt_counter).take() {
+            attempt_counter.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Notes that the last of a body is taken.
-pub type Taken = Box<dyn Fn() + Send>;
+/// Called when the last part of a request body has been handed to hyper.
+pub type BodyConsumedCallback = Box<dyn Fn() + Send>;
 
 /// A socket that notes when the last byte of a request is written, and whose other handle can be peeked at.
 pub struct Socket {
@@ -147,8 +151,8 @@
         let done = ready!(poll_io(cx, &self.tcp, TcpStream::poll_write_ready, write))?;
         // All that hyper had is written, and it had all.
         let offered: usize = parts.iter().map(|part| part.len()).sum();
-        if done == offered && self.progress.body_taken.load(Ordering::Relaxed) {
-            self.progress.is_written();
+        if done == offered && self.progress.body_consumed.load(Ordering::Relaxed) {
+            self.progress.mark_written();
         }
         Poll::Ready(Ok(done))
     }
--- a/src/proxy/upstream/permit.rs
+++ b/src/proxy/upstream/permit.rs
@@ -4,25 +4,25 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What all connections to upstreams share.
+/// The number of open upstream connections, and what they show of the network's state.
 #[derive(Default)]
-pub struct Links {
+pub struct SharedConnectionState {
     /// How many are open, or coming up.
     pub open: AtomicUsize,
     pub reachability: Reachability,
 }
 
-/// A connection that is open, or coming up; it counts until this is dropped.
-pub struct Slot(pub Arc<Links>);
+/// A permit for one connection, open or being established; it counts until it is dropped.
+pub struct ConnectionPermit(pub Arc<SharedConnectionState>);
 
-impl Slot {
-    pub fn take(links: &Arc<Links>) -> Self {
-        links.open.fetch_add(1, Ordering::Relaxed);
-        Self(links.clone())
+impl ConnectionPermit {
+    pub fn acquire(shared: &Arc<SharedConnectionState>) -> Self {
+        shared.open.fetch_add(1, Ordering::Relaxed);
+        Self(shared.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! The connections to upstreams: idle ones, and room for new ones.
 
 use crate::proxy::upstream::connection::Connection;
-use crate::proxy::upstream::permit::{Links, Slot};
+use crate::proxy::upstream::permit::{ConnectionPermit, SharedConnectionState};
 use balancer::decision::EndpointId;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,41 +11,41 @@
 /// An idle connection is dropped by this much, or by half its time, before its upstream may close it.
 pub const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What an attempt is sent on.
-pub enum Link {
+/// The connection that an attempt uses: an idle one, or a permit to open a new one.
+pub enum ConnectionSource {
     Idle(Connection),
-    New(Slot),
+    New(ConnectionPermit),
 }
 
-/// Idle connections, the latest used last.
-pub struct Idle {
+/// Idle connections to endpoints; in each list the most recently used one is last.
+pub struct IdlePool {
     pub keep: Duration,
     pub most: usize,
-    pub links: Arc<Links>,
+    pub shared: Arc<SharedConnectionState>,
     pub idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
 }
 
-impl Idle {
+impl IdlePool {
     /// Connections are kept for less than `limit`, and no more than `most` are open, idle or not.
     pub fn new(limit: Duration, most: usize) -> Self {
         let keep = limit - IDLE_MARGIN.min(limit / 2);
-        Self { keep, most, links: Arc::default(), idle: HashMap::new() }
+        Self { keep, most, shared: Arc::default(), idle: HashMap::new() }
     }
 
     /// Changes how many may be open, and closes idle ones that are too many then.
     pub fn limit(&mut self, most: usize) {
         self.most = most;
-        while self.links.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
+        while self.shared.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
     }
 
     /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
-    pub fn link(&mut self, server: EndpointId) -> Option<Link> {
+    pub fn acquire(&mut self, server: EndpointId) -> Option<ConnectionSource> {
         while let Some((since, connection)) = self.idle.get_mut(&server).and_then(Vec::pop) {
             if since.elapsed() < self.keep && connection.is_quiet() {
-                return Some(Link::Idle(connection));
+                return Some(ConnectionSource::Idle(connection));
             }
         }
-        self.make_room().then(|| Link::New(Slot::take(&self.links)))
+        self.make_room().then(|| ConnectionSource::New(ConnectionPermit::acquire(&self.shared)))
     }
 
     /// Keeps a connection for the next attempt.
@@ -73,7 +73,7 @@
 
     /// Whether one more connection may be opened, after closing the one idle for longest if need be.
     pub fn make_room(&mut self) -> bool {
-        let full = |idle: &Self| idle.links.open.load(Ordering::Relaxed) >= idle.most;
+        let full = |idle: &Self| idle.shared.open.load(Ordering::Relaxed) >= idle.most;
         if full(self) {
             self.close_oldest();
         }
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of connections to upstreams, with a peer on the loopback address.
 
 use super::connection::*;
-use super::exchange::{Exchanged, Finished, Means, exchange};
-use super::permit::Slot;
-use super::pool::Link;
+use super::exchange::{AttemptResult, ExchangeContext, ExchangeOutcome, exchange};
+use super::permit::ConnectionPermit;
+use super::pool::ConnectionSource;
 use crate::proxy::body::memory::BodyMemory;
 use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::downstream::connection::Presence;
@@ -21,20 +21,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant};
 
-fn means(address: SocketAddr, link: Link) -> Means {
-    Means {
-        link,
+fn context(address: SocketAddr, connection_source: ConnectionSource) -> ExchangeContext {
+    ExchangeContext {
+        connection_source,
         address,
         connect_timeout: Duration::from_secs(30),
         until: Instant::now() + Duration::from_secs(30),
         deadline: None,
-        held_up: Arc::default(),
+        local_failure: Arc::default(),
         begin_by: None,
-        tally: None,
+        attempt_counter: None,
         body_memory: BodyMemory::new(1 << 20),
-        caller: None,
-        caller_until: None,
-        under_way: Arc::default(),
+        client: None,
+        client_deadline: None,
+        write_started: Arc::default(),
     }
 }
 
@@ -53,8 +53,9 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         stream
     });
-    let means = means(address, Link::New(Slot::take(&Arc::default())));
-    let Exchanged::Ended(finished) = exchange(Request::new(RequestBody::default()), means).await else {
+    let context = context(address, ConnectionSource::New(ConnectionPermit::acquire(&Arc::default())));
+    let ExchangeOutcome::Ended(finished) = exchange(Request::new(RequestBody::default()), context).await
+    else {
         panic!("the answer is whole");
     };
     (finished.connection.expect("a connection to use again"), peer.await.unwrap())
@@ -75,20 +76,23 @@
 }
 
 /// What becomes of an attempt on a used connection where the process does this between the choice and the write.
-async fn held_up(caller: Option<Presence>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
+async fn held_up(client: Option<Presence>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (connection, mut peer) = used(&listener).await;
-    let under_way = Arc::new(AtomicBool::new(false));
+    let write_started = Arc::new(AtomicBool::new(false));
     let until = Instant::now() + left;
-    let means = Means {
-        link: Link::Idle(connection),
-        caller,
-        caller_until: Some(until),
+    let context = ExchangeContext {
+        connection_source: ConnectionSource::Idle(connection),
+        client,
+        client_deadline: Some(until),
         until,
-        under_way: under_way.clone(),
-        ..means(listener.local_addr().unwrap(), Link::New(Slot::take(&Arc::default())))
+        write_started: write_started.clone(),
+        ..context(
+            listener.local_addr().unwrap(),
+            ConnectionSource::New(ConnectionPermit::acquire(&Arc::default())),
+        )
     };
-    let exchanged = tokio::spawn(exchange(Request::new(RequestBody::default()), means));
+    let exchanged = tokio::spawn(exchange(Request::new(RequestBody::default()), context));
     tokio::spawn(async move { by() }); // its turn is after that of the exchange, and before that of the connection
     let got = tokio::task::spawn_blocking(move || {
         peer.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
@@ -99,23 +103,23 @@
     let got = got.await.unwrap();
     exchanged.abort();
     let exchanged = exchanged.await.ok();
-    Held { got, exchanged, under_way: under_way.load(Ordering::Relaxed) }
+    Held { got, exchanged, write_started: write_started.load(Ordering::Relaxed) }
 }
 
 struct Held {
     /// What the upstream got.
     got: String,
-    exchanged: Option<Exchanged>,
-    under_way: bool,
+    exchanged: Option<ExchangeOutcome>,
+    write_started: bool,
 }
 
 /// A caller's end of a connection, and what an attempt for it is given.
-async fn caller() -> (std::net::TcpStream, Line) {
+async fn client() -> (std::net::TcpStream, Line) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let caller = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let taken = listener.accept().unwrap().0;
     taken.set_nonblocking(true).unwrap();
-    (caller, Gate::new(TcpStream::from_std(taken).unwrap()).1)
+    (client, Gate::new(TcpStream::from_std(taken).unwrap()).1)
 }
 
 /// Guards upstreams against work that nobody waits for: a late turn of the event loop lies between the choice and
@@ -123,19 +127,19 @@
 #[tokio::test]
 async fn a_caller_that_leaves_before_the_write_gets_no_attempt() {
     for reset in [false, true] {
-        let (caller, line) = caller().await;
+        let (client, line) = client().await;
         let held = held_up(Some(line.presence()), Duration::from_secs(30), move || {
             if reset {
-                SockRef::from(&caller).set_linger(Some(Duration::ZERO)).unwrap();
+                SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            drop(caller);
+            drop(client);
         });
         let held = held.await;
         assert_eq!(held.got, "", "reset: {reset}");
-        assert!(!held.under_way, "it ends as never sent");
+        assert!(!held.write_started, "it ends as never sent");
         assert!(matches!(
             held.exchanged,
-            Some(Exchanged::CallerLeft(Finished { outcome: AttemptOutcome::NotSent, .. }))
+            Some(ExchangeOutcome::ClientDisconnected(AttemptResult { outcome: AttemptOutcome::NotSent, .. }))
         ));
     }
 }
@@ -149,14 +153,14 @@
     let told = held.got.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
     let told = Duration::from_secs_f64(told.parse().unwrap());
     assert!(told <= Duration::from_secs(20) - HELD_UP, "{told:?}");
-    assert!(held.under_way);
+    assert!(held.write_started);
 
     let held = held_up(None, HELD_UP, hold_up).await;
     assert_eq!(held.got, "", "nothing is left");
-    assert!(!held.under_way);
+    assert!(!held.write_started);
     assert!(matches!(
         held.exchanged,
-        Some(Exchanged::Ended(Finished { outcome: AttemptOutcome::NotSent, .. }))
+        Some(ExchangeOutcome::Ended(AttemptResult { outcome: AttemptOutcome::NotSent, .. }))
     ));
 }
 
@@ -170,7 +174,7 @@
     let written = || progress.written.load(Ordering::Relaxed);
     socket.write_all(b"head").await.unwrap();
     assert!(!written(), "the body is still to come");
-    progress.body_taken.store(true, Ordering::Relaxed);
+    progress.body_consumed.store(true, Ordering::Relaxed);
     let most = socket.write(&vec![0; 64 << 20]).await.unwrap();
     assert!(most < 64 << 20 && !written(), "the peer's buffer holds a part only");
     let mut peer = listener.accept().unwrap().0;
