--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -13,7 +13,7 @@
 use crate::proxy::body::memory::BodyMemory;
 use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::clock::Clock;
-use crate::proxy::downstream::connection::Presence;
+use crate::proxy::downstream::connection::ClientLiveness;
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self, Counters};
 use crate::proxy::orders::OfflineList;
@@ -54,7 +54,7 @@
 /// A request that is not answered yet, or has attempts out.
 struct Open {
     request: Request<RequestBody>,
-    caller: Presence,
+    caller: ClientLiveness,
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -1,12 +1,12 @@
 //! Which connections are accepted, and which make room for them.
 
 use crate::config::SURPLUS_CONNECTIONS;
-use crate::proxy::downstream::client::Caller;
-use crate::proxy::downstream::client_task::Place;
-use crate::proxy::downstream::connection::Gate;
-use crate::proxy::downstream::request_framing::Idle;
+use crate::proxy::downstream::client::ClientHandle;
+use crate::proxy::downstream::client_task::ClientTask;
+use crate::proxy::downstream::connection::SingleRequestStream;
+use crate::proxy::downstream::request_framing::IdleState;
 use crate::proxy::downstream::timing::{LOOK_EVERY, NEWLY, PATIENCE};
-use crate::proxy::downstream::{LASTING_SHORTAGE, Server};
+use crate::proxy::downstream::{DownstreamServer, LASTING_SHORTAGE};
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::sync::lock;
 use crate::transient_errors::{Backoff, is_shortage};
@@ -26,13 +26,14 @@
     pub backoff: Backoff,
 }
 
-impl Server {
+impl DownstreamServer {
     /// Cuts off the callers that take too long over a request. Guards the places of the others.
     pub async fn cut_overdue(self: Arc<Self>) {
         loop {
             sleep(LOOK_EVERY).await;
             let callers = lock(&self.callers);
-            let overdue = callers.values().filter(|caller| lock(&caller.line.seen).overdue(PATIENCE));
+            let overdue =
+                callers.values().filter(|caller| lock(&caller.connection.framing).overdue(PATIENCE));
             overdue.for_each(|caller| caller.cut.notify_one());
         }
     }
@@ -68,7 +69,11 @@
         self.driver.send(DispatcherMessage::DescriptorShortage).ok();
         let is_lasting = failing.failures >= LASTING_SHORTAGE;
         self.close_idle_where(|idle, _| {
-            is_lasting || matches!(idle, Idle::Resting | Idle::Strange | Idle::Lingering)
+            is_lasting
+                || matches!(
+                    idle,
+                    IdleState::BetweenRequests | IdleState::UnrecognizedOnly | IdleState::Lingering
+                )
         });
     }
 
@@ -94,22 +99,23 @@
     }
 
     /// The same among those of which this holds.
-    pub fn close_idle_where(&self, may_go: impl Fn(Idle, Instant) -> bool) -> bool {
+    pub fn close_idle_where(&self, may_go: impl Fn(IdleState, Instant) -> bool) -> bool {
         let callers = lock(&self.callers);
-        let idle = callers.values().filter_map(|caller| Some((lock(&caller.line.seen).idle()?, caller)));
+        let idle =
+            callers.values().filter_map(|caller| Some((lock(&caller.connection.framing).idle()?, caller)));
         // One beyond the room that lingers holds no place in it.
         let idle: Vec<_> =
-            idle.filter(|((idle, _), caller)| *idle != Idle::Lingering || !caller.surplus).collect();
+            idle.filter(|((idle, _), caller)| *idle != IdleState::Lingering || !caller.surplus).collect();
         // Those on their way out hold their places until they are gone.
-        let uncalled = idle.iter().filter(|((idle, _), _)| *idle != Idle::Resting).count();
+        let uncalled = idle.iter().filter(|((idle, _), _)| *idle != IdleState::BetweenRequests).count();
         let crowded = uncalled > self.config.limits.callers / UNCALLED;
         let rank = |idle, since: Instant| match idle {
-            Idle::Strange | Idle::Lingering => 0,
-            Idle::Silent if since.elapsed() > NEWLY => 0,
-            Idle::Resting if !crowded => 1,
-            Idle::Silent => 2,
-            Idle::Begun => 3,
-            Idle::Resting => 4,
+            IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
+            IdleState::Silent if since.elapsed() > NEWLY => 0,
+            IdleState::BetweenRequests if !crowded => 1,
+            IdleState::Silent => 2,
+            IdleState::PartialHead => 3,
+            IdleState::BetweenRequests => 4,
         };
         let staying = idle.into_iter().filter(|(_, caller)| !caller.leaving.load(Ordering::Relaxed));
         let candidates = staying.filter(|((idle, since), _)| may_go(*idle, *since));
@@ -123,11 +129,12 @@
     pub fn take(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
         let surplus = self.count() >= self.config.limits.callers && !self.close_idle();
-        let (gate, line) = Gate::new(tcp);
+        let (stream, connection) = SingleRequestStream::new(tcp);
         let (close, cut) = (Notify::new(), Notify::new());
-        let caller = Arc::new(Caller { surplus, line, leaving: AtomicBool::new(false), close, cut });
+        let caller =
+            Arc::new(ClientHandle { surplus, connection, leaving: AtomicBool::new(false), close, cut });
         let number = self.next_caller.fetch_add(1, Ordering::Relaxed);
         lock(&self.callers).insert(number, caller.clone());
-        tokio::spawn(Place { server: self.clone(), number, caller }.serve(gate, closing.clone()));
+        tokio::spawn(ClientTask { server: self.clone(), number, caller }.serve(stream, closing.clone()));
     }
 }
--- a/src/proxy/downstream/client.rs
+++ b/src/proxy/downstream/client.rs
@@ -1,14 +1,14 @@
 //! A client's connection, as the other parts of this side see it.
 
-use crate::proxy::downstream::connection::Line;
+use crate::proxy::downstream::connection::ClientConnection;
 use std::sync::atomic::AtomicBool;
 use tokio::sync::Notify;
 
-/// A caller's connection.
-pub struct Caller {
+/// A client's connection, as the tasks other than its own use it.
+pub struct ClientHandle {
     /// Beyond the connections that may be served: its requests are refused at once.
     pub surplus: bool,
-    pub line: Line,
+    pub connection: ClientConnection,
     /// It is on its way out.
     pub leaving: AtomicBool,
     /// It is to be closed between requests.
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -1,11 +1,11 @@
 //! The task that serves a client's connection, and its place among the others.
 
 use crate::proxy::body::response_body::ResponseBody;
-use crate::proxy::downstream::Server;
-use crate::proxy::downstream::client::Caller;
-use crate::proxy::downstream::closing::Ending;
-use crate::proxy::downstream::connection::Gate;
-use crate::proxy::downstream::request_framing::{Idle, MOST_HEAD};
+use crate::proxy::downstream::DownstreamServer;
+use crate::proxy::downstream::client::ClientHandle;
+use crate::proxy::downstream::closing::CloseReason;
+use crate::proxy::downstream::connection::SingleRequestStream;
+use crate::proxy::downstream::request_framing::{IdleState, MOST_HEAD};
 use crate::proxy::downstream::timing::{LOOK_EVERY, NEWLY, PATIENCE};
 use crate::proxy::panic::catch_panic;
 use crate::proxy::sync::lock;
@@ -25,64 +25,68 @@
 /// hyper's buffer for what a caller sends: beyond a head, it only makes bodies come in larger pieces.
 pub const READ_BUFFER: usize = 2 * MOST_HEAD;
 
-/// A caller's place among the connections.
-pub struct Place {
-    pub server: Arc<Server>,
+/// Serves one client connection, and removes it from the server's table on drop.
+pub struct ClientTask {
+    pub server: Arc<DownstreamServer>,
     pub number: u64,
-    pub caller: Arc<Caller>,
+    pub caller: Arc<ClientHandle>,
 }
 
-impl Drop for Place {
+impl Drop for ClientTask {
     fn drop(&mut self) {
         lock(&self.server.callers).remove(&self.number);
         self.server.left.notify_one();
     }
 }
 
-impl Place {
+impl ClientTask {
     /// Serves a connection to its end. A panic ends this connection alone, and not without an answer.
-    pub async fn serve(self, gate: Gate, closing: watch::Receiver<bool>) {
-        let ending = catch_panic(self.exchange(gate, closing)).await.unwrap_or(Ending::Panicked);
-        if ending == Ending::Panicked {
+    pub async fn serve(self, stream: SingleRequestStream, closing: watch::Receiver<bool>) {
+        let reason = catch_panic(self.exchange(stream, closing)).await.unwrap_or(CloseReason::Panicked);
+        if reason == CloseReason::Panicked {
             crate::proxy::logging::log(format_args!("the task of a client's connection has panicked"));
         }
-        self.caller.line.close(ending, self.caller.close.notified()).await;
+        self.caller.connection.close(reason, self.caller.close.notified()).await;
     }
 
     /// Has requests answered until the connection is not to be served any longer.
-    pub async fn exchange(&self, gate: Gate, mut closing: watch::Receiver<bool>) -> Ending {
-        let line = &self.caller.line;
+    pub async fn exchange(
+        &self,
+        stream: SingleRequestStream,
+        mut closing: watch::Receiver<bool>,
+    ) -> CloseReason {
+        let line = &self.caller.connection;
         let service =
             service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(self.respond(request).await));
         let connection =
-            http1::Builder::new().max_buf_size(READ_BUFFER).serve_connection(TokioIo::new(gate), service);
+            http1::Builder::new().max_buf_size(READ_BUFFER).serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         // How long a connection on which nothing has come is kept, once it is to be closed between requests.
         let mut closes = None;
         let mut place_needed = false;
         loop {
-            if place_needed && matches!(lock(&line.seen).idle(), Some((Idle::Begun, _))) {
-                return Ending::NoRoom;
+            if place_needed && matches!(lock(&line.framing).idle(), Some((IdleState::PartialHead, _))) {
+                return CloseReason::NoRoom;
             }
             if closes.is_some_and(|newly| line.may_close(newly)) {
                 connection.as_mut().graceful_shutdown();
             }
             tokio::select! {
                 biased; // a request that has come is read before its connection is closed between requests
-                _ = connection.as_mut() => return Ending::Done,
+                _ = connection.as_mut() => return CloseReason::Done,
                 () = self.caller.cut.notified() => {
                     // What has come in this moment is read first.
                     let turn = if line.has_bytes() { LOOK_EVERY / 10 } else { Duration::ZERO };
                     tokio::select! {
                         biased;
-                        _ = connection.as_mut() => return Ending::Done,
+                        _ = connection.as_mut() => return CloseReason::Done,
                         () = sleep(turn) => {}
                     }
                     if self.server.ending.load(Ordering::Relaxed) {
-                        return Ending::Shutdown;
+                        return CloseReason::Shutdown;
                     }
-                    if lock(&line.seen).overdue(PATIENCE) {
-                        return Ending::Overdue;
+                    if lock(&line.framing).overdue(PATIENCE) {
+                        return CloseReason::Overdue;
                     }
                 }
                 () = async { drop(closing.wait_for(|close| *close).await) }, if closes.is_none() => {
@@ -100,19 +104,19 @@
         let is_call = self.server.class(&request).is_some();
         let mut reply = match self.caller.surplus {
             true => self.server.refuse_surplus(&request),
-            false => self.server.reply(request, &self.caller.line).await,
+            false => self.server.reply(request, &self.caller.connection).await,
         };
-        let mut seen = lock(&self.caller.line.seen);
+        let mut framing = lock(&self.caller.connection.framing);
         // One that has begun to come behind this one was read: it is answered before the connection ends.
-        let closes = self.closes() && !seen.holds_more();
+        let closes = self.closes() && !framing.holds_more();
         // What is left of a request that was answered early is not waited for.
-        let is_early = reply.body().is_fully_buffered() && seen.outstanding() > 0;
-        if closes || is_early || seen.is_last() || seen.both_lengths() {
+        let is_early = reply.body().is_fully_buffered() && framing.outstanding() > 0;
+        if closes || is_early || framing.is_last() || framing.both_lengths() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        seen.responds();
+        framing.responds();
         if reply.body().is_fully_buffered() {
-            seen.answered(is_call);
+            framing.answered(is_call);
         }
         reply
     }
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -1,8 +1,8 @@
 //! How a connection to a client ends: what is still owed on it is answered, and the close resets nothing that the
 //! client has yet to read.
 
-use crate::proxy::downstream::connection::Line;
-use crate::proxy::downstream::request_framing::Owed;
+use crate::proxy::downstream::connection::ClientConnection;
+use crate::proxy::downstream::request_framing::PendingResponse;
 use crate::proxy::sync::lock;
 use rustix::io::Errno;
 use socket2::SockRef;
@@ -26,9 +26,9 @@
 const SERVICE_UNAVAILABLE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.500\r\nContent-Length: 0\r\n\r\n";
 
-/// Why a connection is not served any longer.
+/// Why a client connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseReason {
     /// Its last answer is written, or the client has gone.
     Done,
     /// The client takes too long.
@@ -41,21 +41,21 @@
     Panicked,
 }
 
-impl Line {
+impl ClientConnection {
     /// Ends a connection: answers what is owed, ends the sending, and waits until the client has read that, unless its
     /// place is needed.
-    pub async fn close(&self, ending: Ending, place_needed: impl Future<Output = ()>) {
-        let owed = lock(&self.seen).owed();
-        if let Some(answer) = final_answer(ending, owed) {
+    pub async fn close(&self, reason: CloseReason, place_needed: impl Future<Output = ()>) {
+        let pending_response = lock(&self.framing).pending_response();
+        if let Some(answer) = final_answer(reason, pending_response) {
             timeout(LINGER, self.write_whole(answer)).await.ok();
         }
-        if lock(&self.seen).resets || !self.holds_unread() {
+        if lock(&self.framing).resets || !self.holds_unread() {
             return;
         }
         SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error is an end as well
-        let outstanding = lock(&self.seen).lingers().min(MOST_DISCARDED);
+        let outstanding = lock(&self.framing).lingers().min(MOST_DISCARDED);
         // What has come already is read in any case.
-        let linger = if ending == Ending::NoRoom { Duration::ZERO } else { LINGER };
+        let linger = if reason == CloseReason::NoRoom { Duration::ZERO } else { LINGER };
         tokio::select! {
             biased;
             _ = timeout(linger, self.drained(outstanding)) => {}
@@ -77,8 +77,8 @@
     /// Whether a close would reset the connection, now or when the rest of the present request comes.
     fn holds_unread(&self) -> bool {
         let gone = self.peeked() == Some(0);
-        let seen = lock(&self.seen);
-        !gone && !seen.ended() && seen.outstanding() > 0 || self.has_bytes()
+        let framing = lock(&self.framing);
+        !gone && !framing.ended() && framing.outstanding() > 0 || self.has_bytes()
     }
 
     /// Bytes that the kernel holds, one at most: also those that the runtime has not heard of. `None` for no byte and
@@ -114,12 +114,12 @@
 }
 
 /// The answer that a connection gets before it ends, if it is owed one.
-fn final_answer(ending: Ending, owed: Owed) -> Option<&'static [u8]> {
-    match (owed, ending) {
-        (Owed::Nothing, _) | (_, Ending::Done) => None,
-        (Owed::ToWhole, _) => Some(BAD_GATEWAY), // it may have run
-        (Owed::ToPartial, Ending::Overdue) => Some(REQUEST_TIMEOUT),
-        (Owed::ToPartial, _) => Some(SERVICE_UNAVAILABLE),
+fn final_answer(reason: CloseReason, pending_response: PendingResponse) -> Option<&'static [u8]> {
+    match (pending_response, reason) {
+        (PendingResponse::NotOwed, _) | (_, CloseReason::Done) => None,
+        (PendingResponse::ForCompleteRequest, _) => Some(BAD_GATEWAY), // it may have run
+        (PendingResponse::ForPartialRequest, CloseReason::Overdue) => Some(REQUEST_TIMEOUT),
+        (PendingResponse::ForPartialRequest, _) => Some(SERVICE_UNAVAILABLE),
     }
 }
 
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! A caller's socket: hands hyper one request at a time, and notes what hyper does not tell.
 
-use crate::proxy::downstream::request_framing::{Idle, MOST_HEAD, Phase, Seen};
+use crate::proxy::downstream::request_framing::{IdleState, MOST_HEAD, Phase, RequestFraming};
 use crate::proxy::sync::lock;
 use crate::transient_errors::{SHORTAGE_PAUSE, is_shortage, poll_later};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -16,29 +16,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// A caller's socket, as it is seen beside hyper.
+/// A client's socket and its framing state, as used by the code outside hyper.
 #[derive(Clone)]
-pub struct Line {
+pub struct ClientConnection {
     pub(super) tcp: Arc<TcpStream>,
-    pub seen: Arc<Mutex<Seen>>,
+    pub framing: Arc<Mutex<RequestFraming>>,
 }
 
-impl Line {
+impl ClientConnection {
     /// Whether the connection may be closed between requests: none has begun to come, none may come any moment on a new
     /// connection, and the last answer is written.
     pub fn may_close(&self, newly: Duration) -> bool {
-        let seen = lock(&self.seen);
-        let rests = match seen.idle() {
-            Some((Idle::Silent, since)) => since.elapsed() >= newly,
-            Some((Idle::Strange | Idle::Resting, _)) => seen.stuck_since.is_none(),
-            Some((Idle::Begun | Idle::Lingering, _)) | None => false,
+        let framing = lock(&self.framing);
+        let rests = match framing.idle() {
+            Some((IdleState::Silent, since)) => since.elapsed() >= newly,
+            Some((IdleState::UnrecognizedOnly | IdleState::BetweenRequests, _)) => {
+                framing.stuck_since.is_none()
+            }
+            Some((IdleState::PartialHead | IdleState::Lingering, _)) | None => false,
         };
         rests && !self.has_bytes()
     }
 
     /// The socket as an attempt looks at it.
-    pub fn presence(&self) -> Presence {
-        Presence { tcp: Arc::downgrade(&self.tcp), seen: Arc::downgrade(&self.seen) }
+    pub fn liveness(&self) -> ClientLiveness {
+        ClientLiveness { tcp: Arc::downgrade(&self.tcp), framing: Arc::downgrade(&self.framing) }
     }
 
     /// Waits until the caller of a request that is still coming has closed or reset its connection. That shows also
@@ -52,11 +54,11 @@
     pub async fn left(&self) {
         while self.tcp.readable().await.is_ok() {
             let read = {
-                let mut seen = lock(&self.seen);
-                if seen.ended {
+                let mut framing = lock(&self.framing);
+                if framing.ended {
                     return;
                 }
-                seen.read(&self.tcp)
+                framing.read(&self.tcp)
             };
             match read {
                 Err(error) if is_shortage(&error) => sleep(SHORTAGE_PAUSE).await,
@@ -67,24 +69,24 @@
     }
 }
 
-/// Whether a caller is still there. It does not keep the socket open: an attempt may outlast its caller.
+/// Tells whether a client is still connected. It does not keep the socket open, as an attempt may outlast its client.
 #[derive(Clone)]
-pub struct Presence {
+pub struct ClientLiveness {
     tcp: Weak<TcpStream>,
-    seen: Weak<Mutex<Seen>>,
+    framing: Weak<Mutex<RequestFraming>>,
 }
 
-impl Presence {
+impl ClientLiveness {
     /// Whether the caller has closed or reset its connection, as the kernel knows it now. The runtime hears of that
     /// at its next look at its sockets only, and reading shows it only behind what has come before. Its end may wait
     /// at the caller for room in our buffer: so what follows a request of which `all_has_come` is read here.
-    pub fn has_left(&self, all_has_come: bool) -> bool {
-        let (Some(tcp), Some(seen)) = (self.tcp.upgrade(), self.seen.upgrade()) else { return true };
-        let mut seen = lock(&seen);
-        let follows = all_has_come || seen.phase == Phase::Whole;
+    pub fn is_disconnected(&self, all_has_come: bool) -> bool {
+        let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
+        let mut framing = lock(&framing);
+        let follows = all_has_come || framing.phase == Phase::Whole;
         let mut piece = [0; MOST_HEAD];
         loop {
-            if seen.ended || seen.overflows() {
+            if framing.ended || framing.overflows() {
                 return true;
             }
             match state(&tcp) {
@@ -94,7 +96,7 @@
                 State::Readable => {}
             }
             match (&*SockRef::from(&*tcp)).read(&mut piece) {
-                Ok(got) => seen.keep(&piece[..got]),
+                Ok(got) => framing.keep(&piece[..got]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return true,
@@ -123,22 +125,23 @@
     }
 }
 
-/// A socket that hands on no byte of a request before the one in front of it is answered. So the end of a caller
-/// shows while its request is open, a request's time can run from its last byte, and one that stands between
-/// requests, or in the midst of one, is told from one that has a request open.
-pub struct Gate(Line);
+/// A stream that gives hyper no byte of a request before the previous request is answered. So a client's disconnect is
+/// seen while its request is open, a request's time can run from its last byte, and a connection that is idle or in the
+/// middle of a request is distinguished from one with an open request.
+pub struct SingleRequestStream(ClientConnection);
 
-impl Gate {
-    pub fn new(tcp: TcpStream) -> (Self, Line) {
-        let line = Line { tcp: Arc::new(tcp), seen: Arc::new(Mutex::new(Seen::new())) };
+impl SingleRequestStream {
+    pub fn new(tcp: TcpStream) -> (Self, ClientConnection) {
+        let line =
+            ClientConnection { tcp: Arc::new(tcp), framing: Arc::new(Mutex::new(RequestFraming::new())) };
         (Self(line.clone()), line)
     }
 }
 
-impl Gate {
+impl SingleRequestStream {
     /// Notes whether the caller takes what it is given.
     fn note(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let stuck = &mut lock(&self.0.seen).stuck_since;
+        let stuck = &mut lock(&self.0.framing).stuck_since;
         match written {
             Poll::Pending => drop(stuck.get_or_insert_with(Instant::now)),
             Poll::Ready(_) => *stuck = None,
@@ -147,37 +150,37 @@
     }
 }
 
-impl Drop for Gate {
+impl Drop for SingleRequestStream {
     fn drop(&mut self) {
-        if lock(&self.0.seen).resets {
+        if lock(&self.0.framing).resets {
             SockRef::from(&*self.0.tcp).set_linger(Some(Duration::ZERO)).ok();
         }
     }
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for SingleRequestStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let Line { tcp, seen } = &self.0;
-        let mut seen = lock(seen);
+        let ClientConnection { tcp, framing } = &self.0;
+        let mut framing = lock(framing);
         loop {
-            let most = seen.passable();
+            let most = framing.passable();
             if most > 0 {
-                seen.pass(buffer, most);
+                framing.pass(buffer, most);
                 return Poll::Ready(Ok(()));
             }
-            if seen.ended {
+            if framing.ended {
                 return Poll::Ready(Ok(()));
             }
-            seen.waiting = Some(cx.waker().clone());
+            framing.waiting = Some(cx.waker().clone());
             if tcp.poll_read_ready(cx)?.is_pending() {
-                seen.waiting_since.get_or_insert_with(Instant::now);
+                framing.waiting_since.get_or_insert_with(Instant::now);
                 return Poll::Pending;
             }
-            match seen.read(tcp) {
+            match framing.read(tcp) {
                 Err(error) if is_shortage(&error) => return poll_later(cx),
                 Err(error) if !is_momentary(&error) => return Poll::Ready(Err(error)),
                 _ => {}
@@ -208,7 +211,7 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for SingleRequestStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.note(poll_io(cx, &self.0.tcp, TcpStream::poll_write_ready, |tcp| tcp.try_write(bytes)))
     }
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -1,6 +1,6 @@
 //! The end: the backlog, the last answers, and how long clients are still served.
 
-use crate::proxy::downstream::Server;
+use crate::proxy::downstream::DownstreamServer;
 use crate::proxy::downstream::closing::LINGER;
 use crate::proxy::downstream::timing::LOOK_EVERY;
 use crate::proxy::sync::lock;
@@ -36,7 +36,7 @@
     settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
 }
 
-impl Server {
+impl DownstreamServer {
     /// Answers what is still open when the process ends: dropped with its task, it would get no answer.
     pub async fn end_all(&self) {
         self.ending.store(true, Ordering::Relaxed);
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -1,7 +1,7 @@
 //! What a request holds and gives back when it is dropped.
 
 use crate::proxy::body::memory::MemoryPermit;
-use crate::proxy::downstream::request_framing::Seen;
+use crate::proxy::downstream::request_framing::RequestFraming;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::InFlightGuard;
 use crate::proxy::sync::lock;
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Tells the driver that a caller has gone, unless it got its answer.
-pub struct Owed<'a>(pub Option<RequestId>, pub &'a UnboundedSender<DispatcherMessage>);
+/// Tells the dispatcher on drop that the client has disconnected, unless its response was sent.
+pub struct CancelOnDrop<'a>(pub Option<RequestId>, pub &'a UnboundedSender<DispatcherMessage>);
 
-impl Drop for Owed<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.0 {
             self.1.send(DispatcherMessage::ClientDisconnected(id)).ok();
@@ -21,35 +21,35 @@
     }
 }
 
-/// The name of an open request. Guards against a second one under it: upstreams and callers could not tell
-/// their answers apart.
-pub struct Named(pub Arc<Mutex<HashSet<String>>>, pub String);
+/// Reserves the id that a client gave its request. A second open request with the same id is refused: endpoints and
+/// clients could not tell the two responses apart.
+pub struct RequestIdGuard(pub Arc<Mutex<HashSet<String>>>, pub String);
 
-impl Named {
+impl RequestIdGuard {
     pub fn take(open: &Arc<Mutex<HashSet<String>>>, name: String) -> Option<Self> {
         lock(open).insert(name.clone()).then(|| Self(open.clone(), name))
     }
 }
 
-impl Drop for Named {
+impl Drop for RequestIdGuard {
     fn drop(&mut self) {
         lock(&self.0).remove(&self.1);
     }
 }
 
-/// What a request holds until its answer is over.
-pub struct Held {
+/// The resources that a request holds until its response has ended.
+pub struct RequestGuard {
     /// Its connection, where its answer goes on after it has begun.
-    pub seen: Option<Arc<Mutex<Seen>>>,
+    pub framing: Option<Arc<Mutex<RequestFraming>>>,
     pub _in_flight: Option<InFlightGuard>,
-    pub _named: Named,
+    pub _request_id: RequestIdGuard,
     pub _memory_permit: MemoryPermit,
 }
 
-impl Drop for Held {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        if let Some(seen) = &self.seen {
-            lock(seen).answered(true);
+        if let Some(framing) = &self.framing {
+            lock(framing).answered(true);
         }
     }
 }
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::config::Config;
 use crate::proxy::body::memory::BodyMemory;
-use crate::proxy::downstream::client::Caller;
+use crate::proxy::downstream::client::ClientHandle;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::Counters;
 use std::collections::{HashMap, HashSet};
@@ -28,8 +28,8 @@
 /// counted and not timed: the process may have been held up itself.
 const LASTING_SHORTAGE: u32 = 8;
 
-/// What all connections share.
-pub struct Server {
+/// The state that all client connections share.
+pub struct DownstreamServer {
     pub config: Arc<Config>,
     pub driver: UnboundedSender<DispatcherMessage>,
     pub ready: watch::Receiver<bool>,
@@ -38,7 +38,7 @@
     pub counters: Arc<Counters>,
     pub next_id: AtomicU32,
     pub next_caller: AtomicU64,
-    pub callers: Mutex<HashMap<u64, Arc<Caller>>>,
+    pub callers: Mutex<HashMap<u64, Arc<ClientHandle>>>,
     /// The callers' own ids of the requests that are open.
     pub open: Arc<Mutex<HashSet<String>>>,
     /// What bodies may hold of the memory.
@@ -53,8 +53,8 @@
     pub ending: AtomicBool,
 }
 
-impl Server {
-    /// A server that hands its requests to the driver.
+impl DownstreamServer {
+    /// Creates a server that passes its requests to the dispatcher.
     pub fn new(
         config: Arc<Config>,
         driver: UnboundedSender<DispatcherMessage>,
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -9,15 +9,15 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What is owed on a connection that is not served any longer.
+/// The response that is still owed on a connection that is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owed {
-    /// No request has begun, or the answer to it has.
-    Nothing,
-    /// An answer to a request that has not come whole.
-    ToPartial,
-    /// An answer to a whole request.
-    ToWhole,
+pub enum PendingResponse {
+    /// No request has started, or the response to it has.
+    NotOwed,
+    /// A response to a request that was not received completely.
+    ForPartialRequest,
+    /// A response to a complete request.
+    ForCompleteRequest,
 }
 
 /// Bytes that may follow a request before its answer, or no further attempt is made for it. A caller sends one
@@ -60,23 +60,23 @@
     Whole,
 }
 
-/// What a connection without an open request is at.
+/// The state of a connection without an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idle {
-    /// Nothing has ever come.
+pub enum IdleState {
+    /// Nothing was ever received.
     Silent,
-    /// It was answered, but has brought no call.
-    Strange,
-    /// Between calls.
-    Resting,
-    /// A part of a head has come.
-    Begun,
-    /// Its last answer is written, and its client has not read that yet.
+    /// Requests were answered, but none of them was for a known class.
+    UnrecognizedOnly,
+    /// A request was answered, and the next one has not started.
+    BetweenRequests,
+    /// A part of a request head was received.
+    PartialHead,
+    /// The last response is written, but the client has not read it yet.
     Lingering,
 }
 
-/// What is known of a caller's connection.
-pub struct Seen {
+/// Tracks the requests on a client's connection: where each starts and ends, and how fast it is received.
+pub struct RequestFraming {
     pub phase: Phase,
     /// What has come and has not gone to hyper.
     pub ahead: BytesMut,
@@ -116,7 +116,7 @@
     pub resets: bool,
 }
 
-impl Seen {
+impl RequestFraming {
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
@@ -145,16 +145,16 @@
     }
 
     /// What a connection without an open request is at, and since when nothing has come; `None` with one open.
-    pub fn idle(&self) -> Option<(Idle, Instant)> {
+    pub fn idle(&self) -> Option<(IdleState, Instant)> {
         let latest = self.reads.back().map_or(self.since, |(_, at)| self.since.max(*at));
         if self.lingering {
-            return Some((Idle::Lingering, latest));
+            return Some((IdleState::Lingering, latest));
         }
         let idle = match (self.ahead.is_empty(), self.asked) {
-            (true, false) if self.answers > 0 => Idle::Strange,
-            (true, false) => Idle::Silent,
-            (true, true) => Idle::Resting,
-            (false, _) => Idle::Begun,
+            (true, false) if self.answers > 0 => IdleState::UnrecognizedOnly,
+            (true, false) => IdleState::Silent,
+            (true, true) => IdleState::BetweenRequests,
+            (false, _) => IdleState::PartialHead,
         };
         (self.phase == Phase::Head).then_some((idle, latest))
     }
@@ -201,14 +201,14 @@
 
     /// What a connection is owed that is not served any longer. Behind an answer that its client does not take, there
     /// is no place for another.
-    pub fn owed(&self) -> Owed {
+    pub fn pending_response(&self) -> PendingResponse {
         match self.phase {
-            _ if self.ended || self.stuck_since.is_some() => Owed::Nothing,
-            Phase::Head if self.ahead.is_empty() => Owed::Nothing,
-            Phase::Head => Owed::ToPartial,
-            _ if self.responding => Owed::Nothing,
-            Phase::Passing(_) | Phase::Unbounded => Owed::ToPartial,
-            Phase::Whole => Owed::ToWhole,
+            _ if self.ended || self.stuck_since.is_some() => PendingResponse::NotOwed,
+            Phase::Head if self.ahead.is_empty() => PendingResponse::NotOwed,
+            Phase::Head => PendingResponse::ForPartialRequest,
+            _ if self.responding => PendingResponse::NotOwed,
+            Phase::Passing(_) | Phase::Unbounded => PendingResponse::ForPartialRequest,
+            Phase::Whole => PendingResponse::ForCompleteRequest,
         }
     }
 
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -4,9 +4,9 @@
 use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
 use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
-use crate::proxy::downstream::Server;
-use crate::proxy::downstream::connection::Line;
-use crate::proxy::downstream::guards::{Held, Named, Owed};
+use crate::proxy::downstream::DownstreamServer;
+use crate::proxy::downstream::connection::ClientConnection;
+use crate::proxy::downstream::guards::{CancelOnDrop, RequestGuard, RequestIdGuard};
 use crate::proxy::downstream::responses::{COME_BACK, end_to_end, refusal, status};
 use crate::proxy::downstream::timing::PATIENCE;
 use crate::proxy::messages::{ClientRequest, DispatcherMessage, FinalResponse};
@@ -25,7 +25,8 @@
 /// No caller waits for longer.
 pub const MOST_BUDGET: Duration = Duration::from_secs(3600);
 
-pub struct Asked {
+/// The parameters of a request, from its path and headers.
+pub struct RequestParameters {
     pub call_id: String,
     pub class: usize,
     pub tenant: usize,
@@ -37,7 +38,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-impl Server {
+impl DownstreamServer {
     pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class(request) {
             Some(class) => self.refuse(class),
@@ -57,7 +58,7 @@
         self.config.names.classes.iter().position(|class| class == in_path)
     }
 
-    pub async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<ResponseBody> {
+    pub async fn reply(&self, request: Request<Incoming>, line: &ClientConnection) -> Response<ResponseBody> {
         if request.uri().path() == "/healthz" {
             self.first_list().await;
             return match *self.ready.borrow() {
@@ -78,13 +79,13 @@
     pub async fn call(
         &self,
         request: Request<Incoming>,
-        line: &Line,
+        line: &ClientConnection,
     ) -> Result<Response<ResponseBody>, (StatusCode, &'static str)> {
-        let seen = &line.seen;
-        if lock(seen).both_lengths() {
+        let framing = &line.framing;
+        if lock(framing).both_lengths() {
             return Err((StatusCode::BAD_REQUEST, "Content-Length beside Transfer-Encoding\n"));
         }
-        let asked = self.check(&request)?;
+        let parameters = self.check(&request)?;
         let size = request.body().size_hint();
         if size.lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"));
@@ -93,10 +94,10 @@
         let Some(memory_permit) =
             self.body_memory.try_reserve(size.map_or(MAX_BUFFERED_BODY, |size| size.min(MAX_BUFFERED_BODY)))
         else {
-            return Ok(self.refuse(asked.class));
+            return Ok(self.refuse(parameters.class));
         };
-        let Some(named) = Named::take(&self.open, asked.call_id) else {
-            self.counters.count(asked.class, RequestOutcome::Failure);
+        let Some(request_id) = RequestIdGuard::take(&self.open, parameters.call_id) else {
+            self.counters.count(parameters.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
         let (mut head, mut body) = request.into_parts();
@@ -106,27 +107,32 @@
                 Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
                 Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
             };
-        let first_deadline = Instant::now() + asked.budget;
+        let first_deadline = Instant::now() + parameters.budget;
         // Read before it waits, so that its time runs meanwhile.
-        let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
+        let is_told = timeout(parameters.budget, self.first_list()).await.is_ok();
         if !is_told || self.refusing.load(Ordering::Relaxed) {
-            return Ok(self.refuse(asked.class));
+            return Ok(self.refuse(parameters.class));
         }
         end_to_end(&mut head.headers);
-        let mut held = Held { seen: None, _in_flight: None, _named: named, _memory_permit: memory_permit };
+        let mut guard = RequestGuard {
+            framing: None,
+            _in_flight: None,
+            _request_id: request_id,
+            _memory_permit: memory_permit,
+        };
         let (remainder, came) = if complete { (None, None) } else { Some(BodyRemainder::new(body)).unzip() };
         let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
         let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
-        let mut owed = Owed(Some(id), &self.driver);
+        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.driver);
         let (answer, mut answered) = oneshot::channel();
-        let Asked { class, tenant, work, budget, .. } = asked;
+        let RequestParameters { class, tenant, work, budget, .. } = parameters;
         let mut has_come = || {
-            held._in_flight = Some(self.counters.start_request());
-            lock(seen).whole() + budget
+            guard._in_flight = Some(self.counters.start_request());
+            lock(framing).whole() + budget
         };
         let deadline = if complete { has_come() } else { first_deadline };
-        let client = line.presence();
+        let client = line.liveness();
         let call =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender: answer };
         self.driver.send(DispatcherMessage::Request(Box::new(call))).ok();
@@ -152,7 +158,7 @@
                 () = line.left() => return left, // with it the request is given up
             },
         };
-        owed.0 = None;
+        cancel_on_drop.0 = None;
         Ok(match answer.unwrap_or(FinalResponse::Failed) {
             FinalResponse::Served(mut reply) => {
                 *reply.version_mut() = Version::HTTP_11;
@@ -161,13 +167,13 @@
                 // The length of what a HEAD does not bring is for its caller to know.
                 length.map(|length| reply.headers_mut().insert(CONTENT_LENGTH, length));
                 if !reply.body().is_fully_buffered() {
-                    held.seen = Some(seen.clone());
+                    guard.framing = Some(framing.clone());
                     // Without chunks, the end of the connection is that of the body.
                     if is_old && reply.body().size_hint().exact().is_none() {
-                        let seen = seen.clone();
-                        reply.body_mut().on_abort(move || lock(&seen).resets = true);
+                        let framing = framing.clone();
+                        reply.body_mut().on_abort(move || lock(&framing).resets = true);
                     }
-                    reply.body_mut().keep_until_end(held);
+                    reply.body_mut().keep_until_end(guard);
                 }
                 reply
             }
@@ -177,7 +183,10 @@
     }
 
     /// What a request asks for, or why it cannot be taken.
-    pub fn check(&self, request: &Request<Incoming>) -> Result<Asked, (StatusCode, &'static str)> {
+    pub fn check(
+        &self,
+        request: &Request<Incoming>,
+    ) -> Result<RequestParameters, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
         let (headers, names) = (request.headers(), &self.config.names);
         let in_path = request.uri().path().split('/').nth(1).unwrap_or("");
@@ -216,7 +225,7 @@
                 .filter(|cost| cost.is_finite() && *cost >= 0.0)
                 .map(|micros| Some((micros * 1e3) as u64)),
         };
-        Ok(Asked {
+        Ok(RequestParameters {
             call_id: call_id.ok_or(bad("X-Call-Id is missing or malformed\n"))?.to_owned(),
             class,
             tenant: tenant.ok_or(bad("X-Caller is missing or not known\n"))?,
--- a/src/proxy/downstream/serving.rs
+++ b/src/proxy/downstream/serving.rs
@@ -1,6 +1,6 @@
 //! Serves clients from the first endpoint list until all is answered behind a signal to stop.
 
-use crate::proxy::downstream::Server;
+use crate::proxy::downstream::DownstreamServer;
 use crate::proxy::downstream::draining::{LAST_ANSWERS, LAST_LOOK, longest_deadline};
 use crate::proxy::downstream::timing::{LOOK_EVERY, PATIENCE};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-impl Server {
+impl DownstreamServer {
     /// Serves until told to stop, then for a while longer, and returns when all is answered.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -3,7 +3,7 @@
 use crate::config::endpoint_listing::Listing;
 use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::body::response_body::ResponseBody;
-use crate::proxy::downstream::connection::Presence;
+use crate::proxy::downstream::connection::ClientLiveness;
 use crate::proxy::metrics;
 use crate::proxy::orders::OrderRequest;
 use crate::proxy::shared_folder::FolderEvent;
@@ -46,7 +46,7 @@
 pub struct ClientRequest {
     pub id: RequestId,
     pub request: Request<RequestBody>,
-    pub client: Presence,
+    pub client: ClientLiveness,
     pub class: usize,
     pub tenant: usize,
     /// The expected work in nanoseconds, if the client states it.
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -4,7 +4,7 @@
 //! process is held up. So both are looked at right before each write: the clock first, as the process may be held
 //! up when it has read that, and then the kernel's state of the caller's connection.
 
-use crate::proxy::downstream::connection::Presence;
+use crate::proxy::downstream::connection::ClientLiveness;
 use std::fmt;
 use std::ops::Range;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
 /// The conditions under which an attempt may be written to its upstream.
 pub struct SendConditions {
     /// Whose request it is, if it is a caller's.
-    pub client: Option<Presence>,
+    pub client: Option<ClientLiveness>,
     /// When the caller stops waiting, if it is a caller's request.
     pub client_deadline: Option<Instant>,
     /// How long the answer is waited for.
@@ -89,7 +89,7 @@
 
     fn check_client_connected(&self, all_has_come: bool) -> Result<(), NotSent> {
         match &self.client {
-            Some(client) if client.has_left(all_has_come) => Err(NotSent::ClientDisconnected),
+            Some(client) if client.is_disconnected(all_has_come) => Err(NotSent::ClientDisconnected),
             _ => Ok(()),
         }
     }
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -4,7 +4,7 @@
 use crate::proxy::body::memory::{BodyMemory, MemoryPermit};
 use crate::proxy::body::request_body::{RequestBody, UpstreamRequestBody};
 use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
-use crate::proxy::downstream::connection::Presence;
+use crate::proxy::downstream::connection::ClientLiveness;
 use crate::proxy::send_check::{NotSent, SendCheck, SendConditions, seconds};
 use crate::proxy::sync::lock;
 use crate::proxy::upstream::connect::{ConnectDeadline, ConnectError};
@@ -76,7 +76,7 @@
     pub attempt_counter: Option<Arc<AtomicU64>>,
     pub body_memory: Arc<BodyMemory>,
     /// Whose request it is, if it is a caller's.
-    pub client: Option<Presence>,
+    pub client: Option<ClientLiveness>,
     /// When the caller stops waiting, if it is a caller's request.
     pub client_deadline: Option<Instant>,
     /// Is set right before the first byte is written.
@@ -134,7 +134,7 @@
     *lock(&progress.send_check) = Some(SendCheck::new(conditions, context.write_started.clone()));
     let taken = connection.progress.clone();
     let taken: BodyConsumedCallback = Box::new(move || taken.body_consumed.store(true, Ordering::Relaxed));
-    let client_disconnected = || context.client.as_ref().is_some_and(|client| client.has_left(false));
+    let client_disconnected = || context.client.as_ref().is_some_and(|client| client.is_disconnected(false));
     let broken = || -> ExchangeOutcome {
         if let Some(reason) = lock(&progress.send_check).as_ref().and_then(SendCheck::not_sent) {
             let begun = context.write_started.load(Ordering::Relaxed);
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -6,8 +6,8 @@
 use super::pool::ConnectionSource;
 use crate::proxy::body::memory::BodyMemory;
 use crate::proxy::body::request_body::RequestBody;
-use crate::proxy::downstream::connection::Presence;
-use crate::proxy::downstream::connection::{Gate, Line};
+use crate::proxy::downstream::connection::ClientLiveness;
+use crate::proxy::downstream::connection::{ClientConnection, SingleRequestStream};
 use balancer::decision::AttemptOutcome;
 use hyper::Request;
 use socket2::SockRef;
@@ -76,7 +76,7 @@
 }
 
 /// What becomes of an attempt on a used connection where the process does this between the choice and the write.
-async fn held_up(client: Option<Presence>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
+async fn held_up(client: Option<ClientLiveness>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (connection, mut peer) = used(&listener).await;
     let write_started = Arc::new(AtomicBool::new(false));
@@ -114,12 +114,12 @@
 }
 
 /// A caller's end of a connection, and what an attempt for it is given.
-async fn client() -> (std::net::TcpStream, Line) {
+async fn client() -> (std::net::TcpStream, ClientConnection) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let taken = listener.accept().unwrap().0;
     taken.set_nonblocking(true).unwrap();
-    (client, Gate::new(TcpStream::from_std(taken).unwrap()).1)
+    (client, SingleRequestStream::new(TcpStream::from_std(taken).unwrap()).1)
 }
 
 /// Guards upstreams against work that nobody waits for: a late turn of the event loop lies between the choice and
@@ -128,7 +128,7 @@
 async fn a_caller_that_leaves_before_the_write_gets_no_attempt() {
     for reset in [false, true] {
         let (client, line) = client().await;
-        let held = held_up(Some(line.presence()), Duration::from_secs(30), move || {
+        let held = held_up(Some(line.liveness()), Duration::from_secs(30), move || {
             if reset {
                 SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
             }
