--- a/src/config/endpoint_listing.rs
+++ b/src/config/endpoint_listing.rs
@@ -9,19 +9,19 @@
     #[serde(default)]
     pub all: bool,
     #[serde(default)]
-    pub targets: Vec<Target>,
+    pub targets: Vec<ListedEndpoint>,
 }
 
-/// One upstream of a list.
+/// One endpoint of a list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Target {
+pub struct ListedEndpoint {
     pub uid: String,
     pub endpoint: String,
     #[serde(default)]
     pub az: String,
     #[serde(default)]
     pub pod_group: u16,
-    pub state: State,
+    pub state: ListedState,
     #[serde(default = "one")]
     pub capacity_hint: f32,
     /// Unix time in milliseconds; 0 for long ago.
@@ -29,10 +29,10 @@
     pub boot_ms: u64,
 }
 
-/// State of an upstream; what is not known is not sent to.
+/// State of an endpoint. An unknown state is read as terminating, so the endpoint gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ListedState {
     InService,
     Terminated,
     #[serde(other)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -49,8 +49,8 @@
 /// How the descriptors are shared out.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections of callers.
-    pub callers: usize,
+    /// Maximum number of client connections.
+    pub clients: usize,
     /// Connections to upstreams, idle ones included.
     pub upstreams: usize,
     /// Bytes of memory.
@@ -67,8 +67,9 @@
     pub connect_timeout: Duration,
 }
 
+/// The configuration file as it is written.
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     listen: Option<String>,
     discovery: Option<String>,
     admin_addr: Option<String>,
@@ -88,17 +89,18 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawNames {
-    classes: Vec<Named>,
+    classes: Vec<NamedEntry>,
     #[serde(default)]
-    tenants: Vec<Named>,
+    tenants: Vec<NamedEntry>,
     zones: Vec<String>,
     limits: NameLimits,
     telemetry: Option<Telemetry>,
 }
 
+/// An entry of the settings of which only the name is read.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Named {
+struct NamedEntry {
     name: String,
 }
 
@@ -138,7 +140,7 @@
     }
 
     fn parse(text: &str, listen: Option<String>, discovery: Option<String>) -> Result<Self, String> {
-        let raw: Raw = json("configuration", text)?;
+        let raw: RawConfig = json("configuration", text)?;
         let settings = raw.settings.to_string();
         let names: RawNames = json("settings", &settings)?;
         let settings = simulator::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
@@ -155,7 +157,7 @@
         // Every caller that waits has an attempt out; callers that do not only hold a place.
         let reserved = RESERVED + admin.as_ref().map_or(0, |_| ADMIN_DESCRIPTORS);
         let upstreams = (sockets / CALLING).min((sockets - reserved) / 2);
-        let callers = sockets - reserved - upstreams;
+        let clients = sockets - reserved - upstreams;
         Ok(Self {
             listen: address("listen", listen.or(raw.listen))?,
             listen_fd: variable("LB_LISTEN_FD").map(|fd| descriptor(&fd)).transpose()?,
@@ -163,7 +165,7 @@
             admin: admin.map(|admin| address("admin_addr", Some(admin))).transpose()?,
             seed: u64::from_str_radix(&raw.seed, 16)
                 .map_err(|_| format!("`seed` is not a hexadecimal number: {:?}", raw.seed))?,
-            limits: Limits { callers, upstreams, memory: memory.saturating_mul(1 << 20) },
+            limits: Limits { clients, upstreams, memory: memory.saturating_mul(1 << 20) },
             known: raw.known,
             settings,
             names: Names {
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: their start, their response and their end.
 
-use super::{Driver, Out};
+use super::{AttemptInFlight, Dispatcher};
 use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
 use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
@@ -23,28 +23,28 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
 
-impl Driver {
-    pub(super) fn send(&mut self, id: RequestId, server: EndpointId, until: Time, begin_by: Option<Time>) {
+impl Dispatcher {
+    pub(super) fn send(&mut self, id: RequestId, endpoint: EndpointId, until: Time, begin_by: Option<Time>) {
         let now = self.clock.now();
         let Some(open) = self.requests.get_mut(&id) else { return };
         let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
         open.attempts += 1;
-        let upstream = self.servers.get(&server).copied();
+        let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = open.client_deadline;
         let has_time = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
         let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
-        let possible = open.answer.is_some() && allowed && !open.request.body().is_consumed();
+        let possible = open.response_sender.is_some() && allowed && !open.request.body().is_consumed();
         let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
         let Some((upstream, address)) = target else { return self.not_sent(id, number) };
-        let Some(connection_source) = self.idle.acquire(server) else { return self.not_sent(id, number) };
+        let Some(connection_source) = self.idle.acquire(endpoint) else { return self.not_sent(id, number) };
         let request = forwarded(&open.request, address);
         let (cancel, cancelled) = oneshot::channel::<()>();
         let write_started = Arc::new(AtomicBool::new(false));
         let mark = write_started.clone();
-        open.out.push(Out {
+        open.attempts_in_flight.push(AttemptInFlight {
             number,
-            server,
+            endpoint,
             upstream,
             sent: now,
             begun: None,
@@ -54,7 +54,7 @@
         let remainder = open.request.body().remainder.clone().filter(|_| open.deadline.is_none());
         let expiry =
             expiry(self.clock.instant(until), remainder.map(|remainder| (open.whole.subscribe(), remainder)));
-        let (inputs, client) = (self.inputs.clone(), Some(open.caller.clone()));
+        let (messages, client) = (self.messages.clone(), Some(open.client.clone()));
         let attempt_counter = Some(self.counters.attempts());
         let begin_by = begin_by.map(|end| self.clock.instant(end));
         let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
@@ -84,17 +84,17 @@
                 exchanged = exchange => exchanged,
                 () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
             };
-            let input = match exchanged {
+            let message = match exchanged {
                 ExchangeOutcome::Ended(finished) => DispatcherMessage::AttemptEnded(id, number, finished),
                 ExchangeOutcome::ClientDisconnected(finished) => {
-                    inputs.send(DispatcherMessage::ClientDisconnected(id)).ok(); // first, or the request would be sent again
+                    messages.send(DispatcherMessage::ClientDisconnected(id)).ok(); // first, or the request would be sent again
                     DispatcherMessage::AttemptEnded(id, number, finished)
                 }
                 ExchangeOutcome::ResponseStarted(begun) => {
                     DispatcherMessage::ResponseStarted(id, number, begun)
                 }
             };
-            inputs.send(input).ok();
+            messages.send(message).ok();
         });
     }
 
@@ -124,7 +124,7 @@
     /// The module hears of it once it is done with what it is at.
     pub(super) fn not_sent(&mut self, id: RequestId, attempt: u32) {
         let open = self.requests.get(&id);
-        let closed = open.is_none_or(|open| open.answer.is_none());
+        let closed = open.is_none_or(|open| open.response_sender.is_none());
         let spent = open.is_some_and(|open| open.request.body().is_consumed());
         let end = AttemptEnd {
             attempt,
@@ -138,18 +138,18 @@
     }
 
     /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
-    pub(super) fn on_begun(&mut self, id: RequestId, number: u32, begun: StartedResponse) {
+    pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, begun: StartedResponse) {
         let deadline = self.requests.get(&id).and_then(|open| open.deadline);
         let deadline = deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_answer(id) else {
-            return self.on_ended(id, number, AttemptOutcome::Cancelled.into());
+            return self.on_attempt_ended(id, number, AttemptOutcome::Cancelled.into());
         };
         let load = self.load_report(&begun.head);
         let open = self.requests.get_mut(&id);
-        let out = open.and_then(|open| open.out.iter_mut().find(|out| out.number == number));
-        let inputs = self.inputs.clone();
+        let out = open.and_then(|open| open.attempts_in_flight.iter_mut().find(|out| out.number == number));
+        let messages = self.messages.clone();
         let report = Box::new(move |finished| {
-            inputs.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
+            messages.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
         });
         let StartedResponse { head, body, connection, memory_permit } = begun;
         let passing = |kept| ResponseBody::streamed(kept, body, connection, memory_permit, deadline, report);
@@ -161,19 +161,19 @@
         sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
     }
 
-    pub(super) fn on_ended(&mut self, id: RequestId, attempt: u32, finished: AttemptResult) {
+    pub(super) fn on_attempt_ended(&mut self, id: RequestId, attempt: u32, finished: AttemptResult) {
         let now = self.clock.now();
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(at) = open.out.iter().position(|out| out.number == attempt) else { return };
-        let out = open.out.swap_remove(at);
+        let Some(at) = open.attempts_in_flight.iter().position(|out| out.number == attempt) else { return };
+        let out = open.attempts_in_flight.swap_remove(at);
         let (class, spent) = (open.class, open.request.body().is_consumed());
         // A request that was still coming held up its attempt.
         let whole = open.whole.borrow().map_or(0, |whole| self.clock.time(whole));
         let elapsed = now.saturating_sub(out.sent.max(whole));
         // One to a process that has drained, gone or been replaced since is of no use.
-        let current = out.upstream.in_service && self.servers.get(&out.server) == Some(&out.upstream);
+        let current = out.upstream.in_service && self.endpoints.get(&out.endpoint) == Some(&out.upstream);
         if let Some(connection) = finished.connection.filter(|_| current) {
-            self.idle.put(out.server, connection);
+            self.idle.put(out.endpoint, connection);
         }
         let mut load = finished.response.as_ref().and_then(|response| self.load_report(response));
         if let Some((end, figures)) = out.begun {
@@ -188,7 +188,7 @@
         if let Some(response) = finished.response.filter(|_| closing) {
             self.answer(id, FinalResponse::Served(response.map(ResponseBody::from)));
         }
-        let closed = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
+        let closed = self.requests.get(&id).is_none_or(|open| open.response_sender.is_none());
         let end = AttemptEnd {
             attempt,
             outcome: finished.outcome,
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -1,15 +1,15 @@
 //! The endpoint list: what is told of it, and what is forgotten.
 
-use super::{Driver, MOST_FORMER, Out, Upstream};
-use crate::config::endpoint_listing::{Listing, State, Target};
+use super::{AttemptInFlight, Dispatcher, MOST_FORMER, Upstream};
+use crate::config::endpoint_listing::{ListedEndpoint, ListedState, Listing};
 use crate::proxy::clock::ClockReading;
 use crate::proxy::start_times::ListOrigin;
 use balancer::decision::{EndpointEntry, EndpointId, EndpointState, Event, ZoneId};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-impl Driver {
-    pub(super) fn on_listed(&mut self, listing: Listing, origin: ListOrigin) {
+impl Dispatcher {
+    pub(super) fn on_endpoint_list(&mut self, listing: Listing, origin: ListOrigin) {
         let reading = self.clock.read();
         self.start_times.learn_clocks(reading);
         let entry = |target| self.entry(target, origin, reading);
@@ -30,23 +30,24 @@
     /// connections. Guards the memory where upstreams are ever new.
     pub(super) fn forget_gone(&mut self, listing: &Listing) {
         let names = |gone: bool| {
-            let targets = listing.targets.iter().filter(move |t| (t.state == State::Terminated) == gone);
+            let targets =
+                listing.targets.iter().filter(move |t| (t.state == ListedState::Terminated) == gone);
             targets.map(|target| target.uid.as_str()).collect::<HashSet<_>>()
         };
         let (named, gone) = (names(false), names(true));
-        let (servers, idle, former) = (&mut self.servers, &mut self.idle, &mut self.former);
+        let (endpoints, idle, former) = (&mut self.endpoints, &mut self.idle, &mut self.former);
         let offline = &self.offline;
         let mut left = Vec::new();
-        self.ids.retain(|uid, server| {
+        self.ids.retain(|uid, endpoint| {
             let stays = !gone.contains(uid.as_str()) && (!listing.all || named.contains(uid.as_str()));
-            if !stays && servers.remove(server).is_some() {
-                idle.close(*server);
+            if !stays && endpoints.remove(endpoint).is_some() {
+                idle.close(*endpoint);
                 former.push_back(uid.clone());
-                left.push(*server);
+                left.push(*endpoint);
             }
             stays || offline.contains(uid) // what is out by hand is so when it is listed again
         });
-        left.into_iter().for_each(|server| self.take_back(server));
+        left.into_iter().for_each(|endpoint| self.withdraw(endpoint));
         let former = &mut self.former;
         former.drain(..former.len().saturating_sub(MOST_FORMER));
         self.forget_starts();
@@ -64,25 +65,25 @@
 
     /// Withdraws the attempts that still wait for a connection to an upstream: once it is there, they would be
     /// written. The module hears that they were never sent.
-    pub(super) fn take_back(&mut self, server: EndpointId) {
-        let out = self.requests.values_mut().flat_map(|open| &mut open.out);
-        out.filter(|out| out.server == server).for_each(Out::take_back);
+    pub(super) fn withdraw(&mut self, endpoint: EndpointId) {
+        let out = self.requests.values_mut().flat_map(|open| &mut open.attempts_in_flight);
+        out.filter(|out| out.endpoint == endpoint).for_each(AttemptInFlight::withdraw);
     }
 
     pub(super) fn id(&mut self, uid: &str) -> EndpointId {
         *self.ids.entry(uid.to_owned()).or_insert_with(|| {
-            self.next_server += 1;
-            EndpointId(self.next_server)
+            self.next_endpoint += 1;
+            EndpointId(self.next_endpoint)
         })
     }
 
     pub(super) fn entry(
         &mut self,
-        target: &Target,
+        target: &ListedEndpoint,
         origin: ListOrigin,
         reading: ClockReading,
     ) -> EndpointEntry {
-        let server = self.id(&target.uid);
+        let endpoint = self.id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
             crate::proxy::logging::log(format_args!(
@@ -90,24 +91,24 @@
                 target.uid, target.endpoint
             ));
         }
-        let in_service = target.state == State::InService;
+        let in_service = target.state == ListedState::InService;
         let upstream = Upstream { address, boot_ms: target.boot_ms, in_service };
         // Connections to a former process, or to one that takes nothing new, are of no use, nor is waiting for one.
-        if !in_service || self.servers.get(&server) != Some(&upstream) {
-            self.idle.close(server);
-            self.take_back(server);
+        if !in_service || self.endpoints.get(&endpoint) != Some(&upstream) {
+            self.idle.close(endpoint);
+            self.withdraw(endpoint);
         }
-        self.servers.insert(server, upstream);
+        self.endpoints.insert(endpoint, upstream);
         let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
         let zone = self.config.names.zones.iter().position(|zone| *zone == target.az);
         EndpointEntry {
-            endpoint: server,
+            endpoint,
             zone: ZoneId(zone.and_then(|zone| u8::try_from(zone).ok()).unwrap_or(u8::MAX)),
             cell: target.pod_group,
             state: match target.state {
-                State::InService => EndpointState::InService,
-                State::Terminating => EndpointState::Draining,
-                State::Terminated => EndpointState::Removed,
+                ListedState::InService => EndpointState::InService,
+                ListedState::Terminating => EndpointState::Draining,
+                ListedState::Terminated => EndpointState::Removed,
             },
             capacity: target.capacity_hint,
             started,
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -33,8 +33,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// The safety net answers this much after a request's time, when the module should long have done so.
-const NET_AFTER: Time = 25_000_000;
+/// Time after a request's deadline at which the dispatcher fails the request itself, in nanoseconds. The decision module
+/// should have ended it long before.
+const DEADLINE_GUARD_DELAY: Time = 25_000_000;
 
 /// How often idle connections are looked through.
 const SWEEP_EVERY: Time = 500_000_000;
@@ -45,16 +46,16 @@
 /// Upstreams that are on no list any more whose names are kept: an order about them is no mistake.
 const MOST_FORMER: usize = 1024;
 
-/// How long a probe may take.
-const PROBE_PATIENCE: Duration = Duration::from_millis(250);
+/// How long a load query may take.
+const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Inputs taken in a row before timers get their turn.
 const BURST: usize = 32;
 
-/// A request that is not answered yet, or has attempts out.
-struct Open {
+/// A request that has no response yet, or has attempts in flight.
+struct PendingRequest {
     request: Request<RequestBody>,
-    caller: ClientLiveness,
+    client: ClientLiveness,
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
@@ -63,15 +64,15 @@
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
-    answer: Option<oneshot::Sender<FinalResponse>>,
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
     attempts: u32,
-    out: Vec<Out>,
+    attempts_in_flight: Vec<AttemptInFlight>,
 }
 
 /// An attempt that has not ended.
-struct Out {
+struct AttemptInFlight {
     number: u32,
-    server: EndpointId,
+    endpoint: EndpointId,
     /// The process that it was sent to.
     upstream: Upstream,
     sent: Time,
@@ -83,9 +84,9 @@
     cancel: Option<oneshot::Sender<()>>,
 }
 
-impl Out {
+impl AttemptInFlight {
     /// Withdraws the attempt, unless it may have been written.
-    fn take_back(&mut self) {
+    fn withdraw(&mut self) {
         if !self.write_started.load(Ordering::Relaxed) {
             self.cancel = None;
         }
@@ -99,15 +100,15 @@
     Follow,
 }
 
-/// An event that waits for the module to be done with the one before.
-type Pending = (RequestId, AttemptEnd);
+/// The end of an attempt, queued until the decision module has handled the current event.
+type QueuedAttemptEnd = (RequestId, AttemptEnd);
 
 /// The task that owns the decision module.
-pub struct Driver {
+pub struct Dispatcher {
     config: Arc<Config>,
     balancer: LoadBalancer,
     clock: Clock,
-    inputs: UnboundedSender<DispatcherMessage>,
+    messages: UnboundedSender<DispatcherMessage>,
     subscribe: UnboundedSender<()>,
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
@@ -120,18 +121,18 @@
     former: VecDeque<String>,
     /// When upstreams started that are listed, or were lately.
     start_times: StartTimes,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, PendingRequest>,
     /// The upstreams that are listed, and the number of the next new one: none is given out twice.
     ids: HashMap<String, EndpointId>,
-    next_server: u32,
-    servers: HashMap<EndpointId, Upstream>,
+    next_endpoint: u32,
+    endpoints: HashMap<EndpointId, Upstream>,
     idle: IdlePool,
     body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// When the safety net is due for each request that is owed an answer.
-    nets: BTreeSet<(Time, RequestId)>,
+    /// The times at which requests without a response are failed by the deadline guard.
+    deadline_guards: BTreeSet<(Time, RequestId)>,
     actions: Vec<Action>,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<QueuedAttemptEnd>,
 }
 
 /// Where an upstream listens, since when it runs, and whether it takes work.
@@ -142,11 +143,11 @@
     in_service: bool,
 }
 
-impl Driver {
-    /// A driver that knows the configured list. `ready` turns true once there is an upstream to send to.
+impl Dispatcher {
+    /// Creates a dispatcher that starts with the configured list. `ready` turns true once an endpoint is in service.
     pub fn new(
         config: Arc<Config>,
-        inputs: UnboundedSender<DispatcherMessage>,
+        messages: UnboundedSender<DispatcherMessage>,
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
@@ -157,10 +158,10 @@
             .map_err(|error| format!("settings: {error}"))?;
         let idle = IdlePool::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
         let (shared, folder_state) = shared.unzip();
-        let mut driver = Self {
+        let mut dispatcher = Self {
             balancer,
             clock,
-            inputs,
+            messages,
             subscribe,
             ready,
             counters,
@@ -171,61 +172,67 @@
             start_times: StartTimes::default(),
             requests: HashMap::new(),
             ids: HashMap::new(),
-            next_server: 0,
-            servers: HashMap::new(),
+            next_endpoint: 0,
+            endpoints: HashMap::new(),
             idle,
             body_memory,
             timers: BinaryHeap::new(),
-            nets: BTreeSet::new(),
+            deadline_guards: BTreeSet::new(),
             actions: Vec::new(),
             pending: VecDeque::new(),
             config,
         };
         if let Some(state) = folder_state {
-            driver.on_folder_state(state); // before anything can be sent
+            dispatcher.on_folder_state(state); // before anything can be sent
         }
-        let known = Listing { all: true, ..driver.config.known.clone() };
-        driver.on_listed(known, ListOrigin::Configuration);
-        driver.set_timer(SWEEP_EVERY, Timer::Sweep);
-        if driver.shared.is_some() {
-            driver.set_timer(FOLLOW_EVERY, Timer::Follow);
+        let known = Listing { all: true, ..dispatcher.config.known.clone() };
+        dispatcher.on_endpoint_list(known, ListOrigin::Configuration);
+        dispatcher.set_timer(SWEEP_EVERY, Timer::Sweep);
+        if dispatcher.shared.is_some() {
+            dispatcher.set_timer(FOLLOW_EVERY, Timer::Follow);
         }
-        Ok(driver)
+        Ok(dispatcher)
     }
 
     /// Serves until nobody can tell it anything any more.
     pub async fn run(mut self, mut inbox: UnboundedReceiver<DispatcherMessage>) {
-        let mut inputs = Vec::new();
+        let mut messages = Vec::new();
         loop {
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-            let net = self.nets.first().map(|(at, _)| *at);
-            let next = timer.into_iter().chain(net).min().unwrap_or_else(|| self.clock.now());
+            let deadline_guard = self.deadline_guards.first().map(|(at, _)| *at);
+            let next = timer.into_iter().chain(deadline_guard).min().unwrap_or_else(|| self.clock.now());
             tokio::select! {
                 biased;
                 () = sleep_until(self.clock.instant(next)) => {}
-                got = inbox.recv_many(&mut inputs, BURST) => if got == 0 { return },
+                got = inbox.recv_many(&mut messages, BURST) => if got == 0 { return },
             }
-            for input in inputs.drain(..) {
-                self.on_input(input);
+            for message in messages.drain(..) {
+                self.on_message(message);
             }
             self.ring();
         }
     }
 
-    fn on_input(&mut self, input: DispatcherMessage) {
-        match input {
-            DispatcherMessage::Request(call) => self.on_called(*call),
-            DispatcherMessage::ClientDisconnected(id) => self.on_caller_gone(id),
-            DispatcherMessage::RequestReceived(id, deadline) => self.on_whole(id, deadline),
-            DispatcherMessage::ResponseStarted(id, number, begun) => self.on_begun(id, number, *begun),
-            DispatcherMessage::AttemptEnded(id, number, finished) => self.on_ended(id, number, finished),
-            DispatcherMessage::LoadQueryEnded(server, finished) => self.on_probed(server, finished),
+    fn on_message(&mut self, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::Request(call) => self.on_request(*call),
+            DispatcherMessage::ClientDisconnected(id) => self.on_client_disconnected(id),
+            DispatcherMessage::RequestReceived(id, deadline) => self.on_request_received(id, deadline),
+            DispatcherMessage::ResponseStarted(id, number, begun) => {
+                self.on_response_started(id, number, *begun)
+            }
+            DispatcherMessage::AttemptEnded(id, number, finished) => {
+                self.on_attempt_ended(id, number, finished)
+            }
+            DispatcherMessage::LoadQueryEnded(endpoint, finished) => {
+                self.on_load_query_ended(endpoint, finished)
+            }
             DispatcherMessage::DescriptorShortage => self.idle.close_all(),
-            DispatcherMessage::EndpointList(listing) => self.on_listed(listing, ListOrigin::Discovery),
+            DispatcherMessage::EndpointList(listing) => self.on_endpoint_list(listing, ListOrigin::Discovery),
             DispatcherMessage::DiscoveryFailed => self.tell(Event::DiscoveryFailed),
             DispatcherMessage::DiscoveryMoved => self.tell(Event::DiscoveryMoved),
-            DispatcherMessage::OperatorOrder(request) => self.on_ordered(request),
-            DispatcherMessage::SharedFolder(event) => self.on_folder(event),
+            DispatcherMessage::OperatorOrder(request) => self.on_operator_order(request),
+            DispatcherMessage::SharedFolder(event) => self.on_shared_folder(event),
         }
     }
 }
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -1,12 +1,12 @@
 //! Orders of operators, and the folder that is shared with another process.
 
-use super::Driver;
+use super::Dispatcher;
 use crate::proxy::orders::{OfflineList, Order, OrderRequest, Verdict};
 use crate::proxy::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use balancer::decision::{EndpointId, Event};
 
-impl Driver {
-    pub(super) fn on_folder(&mut self, event: FolderEvent) {
+impl Dispatcher {
+    pub(super) fn on_shared_folder(&mut self, event: FolderEvent) {
         match event {
             FolderEvent::Checked(state) => {
                 self.shared.iter_mut().for_each(SharedFolder::checked);
@@ -41,10 +41,10 @@
     }
 
     pub(super) fn show_hosts(&self) {
-        self.counters.set_hosts(self.servers.len(), self.balancer.avoided());
+        self.counters.set_hosts(self.endpoints.len(), self.balancer.avoided());
     }
 
-    pub(super) fn on_ordered(&mut self, request: OrderRequest) {
+    pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
         let verdict = match &self.shared {
             _ if !self.was_listed(&request.order.uid) => Verdict::Unknown,
             Some(shared) => return shared.keep(request),
@@ -55,7 +55,7 @@
 
     /// Whether an upstream is or was listed, here or in a process before.
     pub(super) fn was_listed(&self, uid: &str) -> bool {
-        let is_listed = self.ids.get(uid).is_some_and(|server| self.servers.contains_key(server));
+        let is_listed = self.ids.get(uid).is_some_and(|endpoint| self.endpoints.contains_key(endpoint));
         is_listed || self.offline.contains(uid) || self.former.iter().any(|former| former == uid)
     }
 
@@ -71,20 +71,20 @@
     pub(super) fn enforce(&mut self, offline: OfflineList) {
         let before = std::mem::replace(&mut self.offline, offline.clone());
         for uid in offline.difference(&before) {
-            let server = self.id(uid);
-            self.take_back(server);
-            self.tell(Event::Offline(server));
+            let endpoint = self.id(uid);
+            self.withdraw(endpoint);
+            self.tell(Event::Offline(endpoint));
         }
         for uid in before.difference(&offline) {
-            let server = self.id(uid);
-            self.tell(Event::Online(server));
-            self.remember_former(uid, server);
+            let endpoint = self.id(uid);
+            self.tell(Event::Online(endpoint));
+            self.remember_former(uid, endpoint);
         }
     }
 
     /// An order outlives the entry of its upstream on the list, and the name outlives the order.
-    pub(super) fn remember_former(&mut self, uid: &str, server: EndpointId) {
-        let is_listed = self.servers.contains_key(&server);
+    pub(super) fn remember_former(&mut self, uid: &str, endpoint: EndpointId) {
+        let is_listed = self.endpoints.contains_key(&endpoint);
         if !is_listed && !self.former.iter().any(|former| former == uid) {
             self.former.push_back(uid.to_owned());
         }
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -1,13 +1,13 @@
 //! Requests: from the client's task to the final answer.
 
-use super::{Driver, NET_AFTER, Open, Out};
+use super::{AttemptInFlight, DEADLINE_GUARD_DELAY, Dispatcher, PendingRequest};
 use crate::proxy::messages::{ClientRequest, FinalResponse};
 use balancer::decision::{Event, IncomingRequest, RequestId};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-impl Driver {
-    pub(super) fn on_called(&mut self, call: ClientRequest) {
+impl Dispatcher {
+    pub(super) fn on_request(&mut self, call: ClientRequest) {
         let (id, deadline, now) = (call.id, self.clock.time(call.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
         let streamed = call.request.body().remainder.is_some();
@@ -22,32 +22,35 @@
         let deadline = Some(deadline).filter(|_| !streamed);
         self.requests.insert(
             id,
-            Open {
+            PendingRequest {
                 request: call.request,
-                caller: call.client,
+                client: call.client,
                 class: call.class,
                 deadline,
                 client_deadline,
                 whole: watch::Sender::new(None),
-                answer: Some(call.response_sender),
+                response_sender: Some(call.response_sender),
                 attempts: 0,
-                out: Vec::new(),
+                attempts_in_flight: Vec::new(),
             },
         );
-        self.nets.extend(deadline.map(|deadline| (deadline.saturating_add(NET_AFTER), id)));
+        self.deadline_guards
+            .extend(deadline.map(|deadline| (deadline.saturating_add(DEADLINE_GUARD_DELAY), id)));
         self.tell(Event::Request(id, demand));
     }
 
     /// The time of a request runs from its last byte.
-    pub(super) fn on_whole(&mut self, id: RequestId, deadline: Instant) {
+    pub(super) fn on_request_received(&mut self, id: RequestId, deadline: Instant) {
         let deadline = self.clock.time(deadline);
-        let Some(open) = self.requests.get_mut(&id).filter(|open| open.answer.is_some()) else { return };
+        let Some(open) = self.requests.get_mut(&id).filter(|open| open.response_sender.is_some()) else {
+            return;
+        };
         open.deadline = Some(deadline);
         open.whole.send_replace(Some(Instant::now()));
-        self.nets.insert((deadline.saturating_add(NET_AFTER), id));
+        self.deadline_guards.insert((deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
     }
 
-    pub(super) fn on_caller_gone(&mut self, id: RequestId) {
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if self.take_answer(id).is_some() {
             self.tell(Event::ClientDisconnected(id));
             self.forget_if_done(id);
@@ -58,10 +61,10 @@
     /// for its connection is not sent any more, also where those that are out must not be cancelled.
     pub(super) fn take_answer(&mut self, id: RequestId) -> Option<(oneshot::Sender<FinalResponse>, usize)> {
         let open = self.requests.get_mut(&id)?;
-        let answer = open.answer.take()?;
-        open.out.iter_mut().for_each(Out::take_back);
+        let answer = open.response_sender.take()?;
+        open.attempts_in_flight.iter_mut().for_each(AttemptInFlight::withdraw);
         if let Some(deadline) = open.deadline {
-            self.nets.remove(&(deadline.saturating_add(NET_AFTER), id));
+            self.deadline_guards.remove(&(deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
         }
         Some((answer, open.class))
     }
@@ -78,7 +81,11 @@
     }
 
     pub(super) fn forget_if_done(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.answer.is_none() && open.out.is_empty()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|open| open.response_sender.is_none() && open.attempts_in_flight.is_empty())
+        {
             self.requests.remove(&id);
         }
     }
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -1,12 +1,12 @@
 //! Timers, and the deadline guard behind the decision module.
 
-use super::{Driver, FOLLOW_EVERY, SWEEP_EVERY, Timer};
+use super::{Dispatcher, FOLLOW_EVERY, SWEEP_EVERY, Timer};
 use crate::proxy::messages::FinalResponse;
 use crate::proxy::shared_folder::SharedFolder;
 use balancer::decision::{Event, RequestId, Time};
 use std::cmp::Reverse;
 
-impl Driver {
+impl Dispatcher {
     pub(super) fn set_timer(&mut self, after: Time, timer: Timer) {
         self.timers.push(Reverse((self.clock.now().saturating_add(after), timer)));
     }
@@ -29,13 +29,13 @@
                 }
             }
         }
-        while let Some(&(_, id)) = self.nets.first().filter(|(at, _)| *at <= now) {
-            self.on_net(id);
+        while let Some(&(_, id)) = self.deadline_guards.first().filter(|(at, _)| *at <= now) {
+            self.on_deadline_guard(id);
         }
     }
 
     /// Guards the callers: what the module has left open past its time is answered all the same.
-    pub(super) fn on_net(&mut self, id: RequestId) {
+    pub(super) fn on_deadline_guard(&mut self, id: RequestId) {
         crate::proxy::logging::log(format_args!("request {} was left open past its time", id.0));
         self.answer(id, FinalResponse::Failed);
         self.tell(Event::ClientDisconnected(id));
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -31,10 +31,10 @@
     pub async fn cut_overdue(self: Arc<Self>) {
         loop {
             sleep(LOOK_EVERY).await;
-            let callers = lock(&self.callers);
+            let clients = lock(&self.clients);
             let overdue =
-                callers.values().filter(|caller| lock(&caller.connection.framing).overdue(PATIENCE));
-            overdue.for_each(|caller| caller.cut.notify_one());
+                clients.values().filter(|client| lock(&client.connection.framing).overdue(PATIENCE));
+            overdue.for_each(|client| client.cut.notify_one());
         }
     }
 
@@ -66,7 +66,7 @@
         if failing.failures == 0 {
             return;
         }
-        self.driver.send(DispatcherMessage::DescriptorShortage).ok();
+        self.dispatcher.send(DispatcherMessage::DescriptorShortage).ok();
         let is_lasting = failing.failures >= LASTING_SHORTAGE;
         self.close_idle_where(|idle, _| {
             is_lasting
@@ -80,14 +80,14 @@
     /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
     /// that is soon.
     pub async fn has_room(&self) {
-        while self.count() >= self.config.limits.callers + SURPLUS_CONNECTIONS {
+        while self.count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
             self.close_idle();
             self.left.notified().await;
         }
     }
 
     pub fn count(&self) -> usize {
-        lock(&self.callers).len()
+        lock(&self.clients).len()
     }
 
     /// Has an idle connection closed: one that has brought no call for a while goes before one that rests, and a
@@ -100,15 +100,15 @@
 
     /// The same among those of which this holds.
     pub fn close_idle_where(&self, may_go: impl Fn(IdleState, Instant) -> bool) -> bool {
-        let callers = lock(&self.callers);
+        let clients = lock(&self.clients);
         let idle =
-            callers.values().filter_map(|caller| Some((lock(&caller.connection.framing).idle()?, caller)));
+            clients.values().filter_map(|client| Some((lock(&client.connection.framing).idle()?, client)));
         // One beyond the room that lingers holds no place in it.
         let idle: Vec<_> =
-            idle.filter(|((idle, _), caller)| *idle != IdleState::Lingering || !caller.surplus).collect();
+            idle.filter(|((idle, _), client)| *idle != IdleState::Lingering || !client.surplus).collect();
         // Those on their way out hold their places until they are gone.
         let uncalled = idle.iter().filter(|((idle, _), _)| *idle != IdleState::BetweenRequests).count();
-        let crowded = uncalled > self.config.limits.callers / UNCALLED;
+        let crowded = uncalled > self.config.limits.clients / UNCALLED;
         let rank = |idle, since: Instant| match idle {
             IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
             IdleState::Silent if since.elapsed() > NEWLY => 0,
@@ -117,24 +117,24 @@
             IdleState::PartialHead => 3,
             IdleState::BetweenRequests => 4,
         };
-        let staying = idle.into_iter().filter(|(_, caller)| !caller.leaving.load(Ordering::Relaxed));
+        let staying = idle.into_iter().filter(|(_, client)| !client.leaving.load(Ordering::Relaxed));
         let candidates = staying.filter(|((idle, since), _)| may_go(*idle, *since));
         let goes = candidates.min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
-        let Some((_, caller)) = goes else { return false };
-        caller.leaving.store(true, Ordering::Relaxed);
-        caller.close.notify_one();
+        let Some((_, client)) = goes else { return false };
+        client.leaving.store(true, Ordering::Relaxed);
+        client.close.notify_one();
         true
     }
 
     pub fn take(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
-        let surplus = self.count() >= self.config.limits.callers && !self.close_idle();
+        let surplus = self.count() >= self.config.limits.clients && !self.close_idle();
         let (stream, connection) = SingleRequestStream::new(tcp);
         let (close, cut) = (Notify::new(), Notify::new());
-        let caller =
+        let client =
             Arc::new(ClientHandle { surplus, connection, leaving: AtomicBool::new(false), close, cut });
-        let number = self.next_caller.fetch_add(1, Ordering::Relaxed);
-        lock(&self.callers).insert(number, caller.clone());
-        tokio::spawn(ClientTask { server: self.clone(), number, caller }.serve(stream, closing.clone()));
+        let number = self.next_client.fetch_add(1, Ordering::Relaxed);
+        lock(&self.clients).insert(number, client.clone());
+        tokio::spawn(ClientTask { server: self.clone(), number, client }.serve(stream, closing.clone()));
     }
 }
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -29,12 +29,12 @@
 pub struct ClientTask {
     pub server: Arc<DownstreamServer>,
     pub number: u64,
-    pub caller: Arc<ClientHandle>,
+    pub client: Arc<ClientHandle>,
 }
 
 impl Drop for ClientTask {
     fn drop(&mut self) {
-        lock(&self.server.callers).remove(&self.number);
+        lock(&self.server.clients).remove(&self.number);
         self.server.left.notify_one();
     }
 }
@@ -46,7 +46,7 @@
         if reason == CloseReason::Panicked {
             crate::proxy::logging::log(format_args!("the task of a client's connection has panicked"));
         }
-        self.caller.connection.close(reason, self.caller.close.notified()).await;
+        self.client.connection.close(reason, self.client.close.notified()).await;
     }
 
     /// Has requests answered until the connection is not to be served any longer.
@@ -55,7 +55,7 @@
         stream: SingleRequestStream,
         mut closing: watch::Receiver<bool>,
     ) -> CloseReason {
-        let line = &self.caller.connection;
+        let line = &self.client.connection;
         let service =
             service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(self.respond(request).await));
         let connection =
@@ -74,7 +74,7 @@
             tokio::select! {
                 biased; // a request that has come is read before its connection is closed between requests
                 _ = connection.as_mut() => return CloseReason::Done,
-                () = self.caller.cut.notified() => {
+                () = self.client.cut.notified() => {
                     // What has come in this moment is read first.
                     let turn = if line.has_bytes() { LOOK_EVERY / 10 } else { Duration::ZERO };
                     tokio::select! {
@@ -92,7 +92,7 @@
                 () = async { drop(closing.wait_for(|close| *close).await) }, if closes.is_none() => {
                     closes = Some(NEWLY);
                 }
-                () = self.caller.close.notified() => {
+                () = self.client.close.notified() => {
                     (closes, place_needed) = (Some(Duration::ZERO), true);
                 }
                 () = sleep(LOOK_EVERY / 10), if closes.is_some() => {}
@@ -102,11 +102,11 @@
 
     pub async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let is_call = self.server.class(&request).is_some();
-        let mut reply = match self.caller.surplus {
+        let mut reply = match self.client.surplus {
             true => self.server.refuse_surplus(&request),
-            false => self.server.reply(request, &self.caller.connection).await,
+            false => self.server.reply(request, &self.client.connection).await,
         };
-        let mut framing = lock(&self.caller.connection.framing);
+        let mut framing = lock(&self.client.connection.framing);
         // One that has begun to come behind this one was read: it is answered before the connection ends.
         let closes = self.closes() && !framing.holds_more();
         // What is left of a request that was answered early is not waited for.
@@ -123,7 +123,7 @@
 
     /// Whether the connection is to end with an answer.
     pub fn closes(&self) -> bool {
-        let leaving = self.caller.leaving.load(Ordering::Relaxed);
-        self.caller.surplus || leaving || self.server.leaving.load(Ordering::Relaxed)
+        let leaving = self.client.leaving.load(Ordering::Relaxed);
+        self.client.surplus || leaving || self.server.leaving.load(Ordering::Relaxed)
     }
 }
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -40,7 +40,7 @@
     /// Answers what is still open when the process ends: dropped with its task, it would get no answer.
     pub async fn end_all(&self) {
         self.ending.store(true, Ordering::Relaxed);
-        lock(&self.callers).values().for_each(|caller| caller.cut.notify_one());
+        lock(&self.clients).values().for_each(|client| client.cut.notify_one());
         timeout(LOOK_EVERY + LINGER, self.all_left()).await.ok();
     }
 
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -31,14 +31,14 @@
 /// The state that all client connections share.
 pub struct DownstreamServer {
     pub config: Arc<Config>,
-    pub driver: UnboundedSender<DispatcherMessage>,
+    pub dispatcher: UnboundedSender<DispatcherMessage>,
     pub ready: watch::Receiver<bool>,
     /// Whether the first list has been told: before that, nothing is sent on.
     pub told: watch::Receiver<bool>,
     pub counters: Arc<Counters>,
     pub next_id: AtomicU32,
-    pub next_caller: AtomicU64,
-    pub callers: Mutex<HashMap<u64, Arc<ClientHandle>>>,
+    pub next_client: AtomicU64,
+    pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
     /// The callers' own ids of the requests that are open.
     pub open: Arc<Mutex<HashSet<String>>>,
     /// What bodies may hold of the memory.
@@ -57,20 +57,20 @@
     /// Creates a server that passes its requests to the dispatcher.
     pub fn new(
         config: Arc<Config>,
-        driver: UnboundedSender<DispatcherMessage>,
+        dispatcher: UnboundedSender<DispatcherMessage>,
         (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         body_memory: Arc<BodyMemory>,
     ) -> Self {
         Self {
             config,
-            driver,
+            dispatcher,
             ready,
             told,
             counters,
             next_id: AtomicU32::new(0),
-            next_caller: AtomicU64::new(0),
-            callers: Mutex::default(),
+            next_client: AtomicU64::new(0),
+            clients: Mutex::default(),
             open: Arc::default(),
             body_memory,
             left: Notify::new(),
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -124,7 +124,7 @@
         let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
         let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
-        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.driver);
+        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.dispatcher);
         let (answer, mut answered) = oneshot::channel();
         let RequestParameters { class, tenant, work, budget, .. } = parameters;
         let mut has_come = || {
@@ -135,14 +135,14 @@
         let client = line.liveness();
         let call =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender: answer };
-        self.driver.send(DispatcherMessage::Request(Box::new(call))).ok();
+        self.dispatcher.send(DispatcherMessage::Request(Box::new(call))).ok();
         let left = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // nobody reads this
         let early = match came {
             None => None,
             Some(came) => tokio::select! {
                 biased;
                 Ok(()) = came => {
-                    self.driver.send(DispatcherMessage::RequestReceived(id, has_come())).ok();
+                    self.dispatcher.send(DispatcherMessage::RequestReceived(id, has_come())).ok();
                     None
                 }
                 answer = &mut answered => Some(answer),
@@ -214,7 +214,7 @@
         let tenant = match names.tenants.is_empty() {
             true => Some(0),
             false => {
-                text(headers, "x-caller").and_then(|caller| names.tenants.iter().position(|t| t == caller))
+                text(headers, "x-caller").and_then(|client| names.tenants.iter().position(|t| t == client))
             }
         };
         let budget = text(headers, "x-budget").and_then(|budget| budget.parse().ok());
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -113,7 +113,7 @@
     let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), body_memory.clone());
     let dispatcher =
-        dispatcher::Driver::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
+        dispatcher::Dispatcher::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
     if let Some(address) = config.admin {
         let (counters, ready, dispatcher) = (counters.clone(), is_ready.clone(), events.clone());
         admin::open(address, admin::AdminContext { counters, ready, dispatcher })?;
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -76,11 +76,11 @@
     fn budget(&self, now: Instant) -> Option<Duration> {
         // An attempt that outlives its own limit is given up by that, not here.
         let left = self.until.saturating_duration_since(now);
-        let of_caller = match self.client_deadline {
+        let client_budget = match self.client_deadline {
             Some(end) => budget(end.saturating_duration_since(now))?,
             None => left,
         };
-        self.in_window(now).then_some(left.min(of_caller))
+        self.in_window(now).then_some(left.min(client_budget))
     }
 
     fn in_window(&self, now: Instant) -> bool {
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -39,8 +39,8 @@
     }
 
     /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
-    pub fn acquire(&mut self, server: EndpointId) -> Option<ConnectionSource> {
-        while let Some((since, connection)) = self.idle.get_mut(&server).and_then(Vec::pop) {
+    pub fn acquire(&mut self, endpoint: EndpointId) -> Option<ConnectionSource> {
+        while let Some((since, connection)) = self.idle.get_mut(&endpoint).and_then(Vec::pop) {
             if since.elapsed() < self.keep && connection.is_quiet() {
                 return Some(ConnectionSource::Idle(connection));
             }
@@ -49,13 +49,13 @@
     }
 
     /// Keeps a connection for the next attempt.
-    pub fn put(&mut self, server: EndpointId, connection: Connection) {
-        self.idle.entry(server).or_default().push((Instant::now(), connection));
+    pub fn put(&mut self, endpoint: EndpointId, connection: Connection) {
+        self.idle.entry(endpoint).or_default().push((Instant::now(), connection));
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn close(&mut self, server: EndpointId) {
-        self.idle.remove(&server);
+    pub fn close(&mut self, endpoint: EndpointId) {
+        self.idle.remove(&endpoint);
     }
 
     /// Closes all idle connections.
@@ -82,8 +82,8 @@
 
     /// Closes the connection that has been idle for longest, if there is one.
     pub fn close_oldest(&mut self) -> bool {
-        let oldest = self.idle.iter().filter_map(|(server, idle)| Some((idle.first()?.0, *server))).min();
-        let idle = oldest.and_then(|(_, server)| self.idle.get_mut(&server));
+        let oldest = self.idle.iter().filter_map(|(endpoint, idle)| Some((idle.first()?.0, *endpoint))).min();
+        let idle = oldest.and_then(|(_, endpoint)| self.idle.get_mut(&endpoint));
         idle.map(|idle| idle.remove(0)).is_some()
     }
 }
