--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -10,16 +10,16 @@
 
 use crate::config::Config;
 use crate::config::endpoint_listing::Listing;
-use crate::proxy::body::memory::Budget;
-use crate::proxy::body::request_body::Payload;
+use crate::proxy::body::memory::BodyMemory;
+use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::clock::Clock;
-use crate::proxy::downstream::connection::Presence;
-use crate::proxy::messages::{Answer, Input};
+use crate::proxy::downstream::connection::ClientLiveness;
+use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self, Counters};
 use crate::proxy::orders::OfflineList;
 use crate::proxy::shared_folder::{FolderState, SharedFolder};
 use crate::proxy::start_times::{ListOrigin, StartTimes};
-use crate::proxy::upstream::pool::Idle;
+use crate::proxy::upstream::pool::IdlePool;
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, AttemptEnd, EndpointId, Event, LoadReport, RequestId, Time};
 use hyper::Request;
@@ -33,8 +33,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// The safety net answers this much after a request's time, when the module should long have done so.
-const NET_AFTER: Time = 25_000_000;
+/// Time after a request's deadline at which the dispatcher fails the request itself, in nanoseconds. The decision module
+/// should have ended it long before.
+const DEADLINE_GUARD_DELAY: Time = 25_000_000;
 
 /// How often idle connections are looked through.
 const SWEEP_EVERY: Time = 500_000_000;
@@ -45,48 +46,48 @@
 /// Upstreams that are on no list any more whose names are kept: an order about them is no mistake.
 const MOST_FORMER: usize = 1024;
 
-/// How long a probe may take.
-const PROBE_PATIENCE: Duration = Duration::from_millis(250);
+/// How long a load query may take.
+const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Inputs taken in a row before timers get their turn.
 const BURST: usize = 32;
 
-/// A request that is not answered yet, or has attempts out.
-struct Open {
-    request: Request<Payload>,
-    caller: Presence,
+/// A request that has no response yet, or has attempts in flight.
+struct PendingRequest {
+    request: Request<RequestBody>,
+    client: ClientLiveness,
     class: usize,
     /// When its caller stops waiting; not known as long as the request is still coming.
     deadline: Option<Time>,
     /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
-    caller_until: Time,
+    client_deadline: Time,
     /// When all of it had come, for attempts whose time runs from then on.
     whole: watch::Sender<Option<Instant>>,
     /// Where the answer goes; `None` once it is given or not owed any more.
-    answer: Option<oneshot::Sender<Answer>>,
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
     attempts: u32,
-    out: Vec<Out>,
+    attempts_in_flight: Vec<AttemptInFlight>,
 }
 
 /// An attempt that has not ended.
-struct Out {
+struct AttemptInFlight {
     number: u32,
-    server: EndpointId,
+    endpoint: EndpointId,
     /// The process that it was sent to.
     upstream: Upstream,
     sent: Time,
     /// How the request ends if the answer that has begun comes to its end, and the figures that came with it.
-    begun: Option<(metrics::End, Option<LoadReport>)>,
+    begun: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
     /// It has its connection: from here on it may be written. Before, it can be taken back as if never sent.
-    under_way: Arc<AtomicBool>,
+    write_started: Arc<AtomicBool>,
     /// Dropping it withdraws the attempt.
     cancel: Option<oneshot::Sender<()>>,
 }
 
-impl Out {
+impl AttemptInFlight {
     /// Withdraws the attempt, unless it may have been written.
-    fn take_back(&mut self) {
-        if !self.under_way.load(Ordering::Relaxed) {
+    fn withdraw(&mut self) {
+        if !self.write_started.load(Ordering::Relaxed) {
             self.cancel = None;
         }
     }
@@ -99,15 +100,15 @@
     Follow,
 }
 
-/// An event that waits for the module to be done with the one before.
-type Pending = (RequestId, AttemptEnd);
+/// The end of an attempt, queued until the decision module has handled the current event.
+type QueuedAttemptEnd = (RequestId, AttemptEnd);
 
 /// The task that owns the decision module.
-pub struct Driver {
+pub struct Dispatcher {
     config: Arc<Config>,
     balancer: LoadBalancer,
     clock: Clock,
-    inputs: UnboundedSender<Input>,
+    messages: UnboundedSender<DispatcherMessage>,
     subscribe: UnboundedSender<()>,
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
@@ -120,18 +121,18 @@
     former: VecDeque<String>,
     /// When upstreams started that are listed, or were lately.
     start_times: StartTimes,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, PendingRequest>,
     /// The upstreams that are listed, and the number of the next new one: none is given out twice.
     ids: HashMap<String, EndpointId>,
-    next_server: u32,
-    servers: HashMap<EndpointId, Upstream>,
-    idle: Idle,
-    budget: Arc<Budget>,
+    next_endpoint: u32,
+    endpoints: HashMap<EndpointId, Upstream>,
+    idle: IdlePool,
+    body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// When the safety net is due for each request that is owed an answer.
-    nets: BTreeSet<(Time, RequestId)>,
+    /// The times at which requests without a response are failed by the deadline guard.
+    deadline_guards: BTreeSet<(Time, RequestId)>,
     actions: Vec<Action>,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<QueuedAttemptEnd>,
 }
 
 /// Where an upstream listens, since when it runs, and whether it takes work.
@@ -142,25 +143,25 @@
     in_service: bool,
 }
 
-impl Driver {
-    /// A driver that knows the configured list. `ready` turns true once there is an upstream to send to.
+impl Dispatcher {
+    /// Creates a dispatcher that starts with the configured list. `ready` turns true once an endpoint is in service.
     pub fn new(
         config: Arc<Config>,
-        inputs: UnboundedSender<Input>,
+        messages: UnboundedSender<DispatcherMessage>,
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
-        (counters, budget): (Arc<Counters>, Arc<Budget>),
+        (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
         shared: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
         let balancer = LoadBalancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
-        let idle = Idle::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
+        let idle = IdlePool::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
         let (shared, folder_state) = shared.unzip();
-        let mut driver = Self {
+        let mut dispatcher = Self {
             balancer,
             clock,
-            inputs,
+            messages,
             subscribe,
             ready,
             counters,
@@ -171,61 +172,67 @@
             start_times: StartTimes::default(),
             requests: HashMap::new(),
             ids: HashMap::new(),
-            next_server: 0,
-            servers: HashMap::new(),
+            next_endpoint: 0,
+            endpoints: HashMap::new(),
             idle,
-            budget,
+            body_memory,
             timers: BinaryHeap::new(),
-            nets: BTreeSet::new(),
+            deadline_guards: BTreeSet::new(),
             actions: Vec::new(),
             pending: VecDeque::new(),
             config,
         };
         if let Some(state) = folder_state {
-            driver.on_folder_state(state); // before anything can be sent
+            dispatcher.on_folder_state(state); // before anything can be sent
         }
-        let known = Listing { all: true, ..driver.config.known.clone() };
-        driver.on_listed(known, ListOrigin::Configuration);
-        driver.set_timer(SWEEP_EVERY, Timer::Sweep);
-        if driver.shared.is_some() {
-            driver.set_timer(FOLLOW_EVERY, Timer::Follow);
+        let known = Listing { all: true, ..dispatcher.config.known.clone() };
+        dispatcher.on_endpoint_list(known, ListOrigin::Configuration);
+        dispatcher.set_timer(SWEEP_EVERY, Timer::Sweep);
+        if dispatcher.shared.is_some() {
+            dispatcher.set_timer(FOLLOW_EVERY, Timer::Follow);
         }
-        Ok(driver)
+        Ok(dispatcher)
     }
 
     /// Serves until nobody can tell it anything any more.
-    pub async fn run(mut self, mut inbox: UnboundedReceiver<Input>) {
-        let mut inputs = Vec::new();
+    pub async fn run(mut self, mut inbox: UnboundedReceiver<DispatcherMessage>) {
+        let mut messages = Vec::new();
         loop {
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-            let net = self.nets.first().map(|(at, _)| *at);
-            let next = timer.into_iter().chain(net).min().unwrap_or_else(|| self.clock.now());
+            let deadline_guard = self.deadline_guards.first().map(|(at, _)| *at);
+            let next = timer.into_iter().chain(deadline_guard).min().unwrap_or_else(|| self.clock.now());
             tokio::select! {
                 biased;
                 () = sleep_until(self.clock.instant(next)) => {}
-                got = inbox.recv_many(&mut inputs, BURST) => if got == 0 { return },
+                got = inbox.recv_many(&mut messages, BURST) => if got == 0 { return },
             }
-            for input in inputs.drain(..) {
-                self.on_input(input);
+            for message in messages.drain(..) {
+                self.on_message(message);
             }
             self.ring();
         }
     }
 
-    fn on_input(&mut self, input: Input) {
-        match input {
-            Input::Called(call) => self.on_called(*call),
-            Input::CallerGone(id) => self.on_caller_gone(id),
-            Input::Whole(id, deadline) => self.on_whole(id, deadline),
-            Input::Begun(id, number, begun) => self.on_begun(id, number, *begun),
-            Input::Ended(id, number, finished) => self.on_ended(id, number, finished),
-            Input::Probed(server, finished) => self.on_probed(server, finished),
-            Input::DescriptorsShort => self.idle.close_all(),
-            Input::Listed(listing) => self.on_listed(listing, ListOrigin::Discovery),
-            Input::ListFailed => self.tell(Event::DiscoveryFailed),
-            Input::ListMoved => self.tell(Event::DiscoveryMoved),
-            Input::Ordered(request) => self.on_ordered(request),
-            Input::Folder(event) => self.on_folder(event),
+    fn on_message(&mut self, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::Request(call) => self.on_request(*call),
+            DispatcherMessage::ClientDisconnected(id) => self.on_client_disconnected(id),
+            DispatcherMessage::RequestReceived(id, deadline) => self.on_request_received(id, deadline),
+            DispatcherMessage::ResponseStarted(id, number, begun) => {
+                self.on_response_started(id, number, *begun)
+            }
+            DispatcherMessage::AttemptEnded(id, number, finished) => {
+                self.on_attempt_ended(id, number, finished)
+            }
+            DispatcherMessage::LoadQueryEnded(endpoint, finished) => {
+                self.on_load_query_ended(endpoint, finished)
+            }
+            DispatcherMessage::DescriptorShortage => self.idle.close_all(),
+            DispatcherMessage::EndpointList(listing) => self.on_endpoint_list(listing, ListOrigin::Discovery),
+            DispatcherMessage::DiscoveryFailed => self.tell(Event::DiscoveryFailed),
+            DispatcherMessage::DiscoveryMoved => self.tell(Event::DiscoveryMoved),
+            DispatcherMessage::OperatorOrder(request) => self.on_operator_order(request),
+            DispatcherMessage::SharedFolder(event) => self.on_shared_folder(event),
         }
     }
 }
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -1,6 +1,6 @@
 //! The end: the backlog, the last answers, and how long clients are still served.
 
-use crate::proxy::downstream::Server;
+use crate::proxy::downstream::DownstreamServer;
 use crate::proxy::downstream::closing::LINGER;
 use crate::proxy::downstream::timing::LOOK_EVERY;
 use crate::proxy::sync::lock;
@@ -36,11 +36,11 @@
     settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
 }
 
-impl Server {
+impl DownstreamServer {
     /// Answers what is still open when the process ends: dropped with its task, it would get no answer.
     pub async fn end_all(&self) {
         self.ending.store(true, Ordering::Relaxed);
-        lock(&self.callers).values().for_each(|caller| caller.cut.notify_one());
+        lock(&self.clients).values().for_each(|client| client.cut.notify_one());
         timeout(LOOK_EVERY + LINGER, self.all_left()).await.ok();
     }
 
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -14,9 +14,9 @@
 mod timing;
 
 use crate::config::Config;
-use crate::proxy::body::memory::Budget;
-use crate::proxy::downstream::client::Caller;
-use crate::proxy::messages::Input;
+use crate::proxy::body::memory::BodyMemory;
+use crate::proxy::downstream::client::ClientHandle;
+use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::metrics::Counters;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64};
@@ -28,21 +28,21 @@
 /// counted and not timed: the process may have been held up itself.
 const LASTING_SHORTAGE: u32 = 8;
 
-/// What all connections share.
-pub struct Server {
+/// The state that all client connections share.
+pub struct DownstreamServer {
     pub config: Arc<Config>,
-    pub driver: UnboundedSender<Input>,
+    pub dispatcher: UnboundedSender<DispatcherMessage>,
     pub ready: watch::Receiver<bool>,
     /// Whether the first list has been told: before that, nothing is sent on.
     pub told: watch::Receiver<bool>,
     pub counters: Arc<Counters>,
     pub next_id: AtomicU32,
-    pub next_caller: AtomicU64,
-    pub callers: Mutex<HashMap<u64, Arc<Caller>>>,
+    pub next_client: AtomicU64,
+    pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
     /// The callers' own ids of the requests that are open.
     pub open: Arc<Mutex<HashSet<String>>>,
     /// What bodies may hold of the memory.
-    pub budget: Arc<Budget>,
+    pub body_memory: Arc<BodyMemory>,
     /// A caller's connection has ended.
     pub left: Notify,
     /// Another process takes the new connections, or nobody does: each answer is the last on its own.
@@ -53,26 +53,26 @@
     pub ending: AtomicBool,
 }
 
-impl Server {
-    /// A server that hands its requests to the driver.
+impl DownstreamServer {
+    /// Creates a server that passes its requests to the dispatcher.
     pub fn new(
         config: Arc<Config>,
-        driver: UnboundedSender<Input>,
+        dispatcher: UnboundedSender<DispatcherMessage>,
         (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
-        budget: Arc<Budget>,
+        body_memory: Arc<BodyMemory>,
     ) -> Self {
         Self {
             config,
-            driver,
+            dispatcher,
             ready,
             told,
             counters,
             next_id: AtomicU32::new(0),
-            next_caller: AtomicU64::new(0),
-            callers: Mutex::default(),
+            next_client: AtomicU64::new(0),
+            clients: Mutex::default(),
             open: Arc::default(),
-            budget,
+            body_memory,
             left: Notify::new(),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -1,16 +1,16 @@
 //! Requests: they are read, checked, and handed to the dispatcher.
 
-use crate::proxy::body::buffer::{Gathered, gather};
-use crate::proxy::body::request_body::{Payload, Rest};
-use crate::proxy::body::response_body::Reply;
-use crate::proxy::body::{MOST_BODY, MOST_KEPT};
-use crate::proxy::downstream::Server;
-use crate::proxy::downstream::connection::Line;
-use crate::proxy::downstream::guards::{Held, Named, Owed};
+use crate::proxy::body::buffer::{BufferedBody, buffer_body};
+use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
+use crate::proxy::body::response_body::ResponseBody;
+use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
+use crate::proxy::downstream::DownstreamServer;
+use crate::proxy::downstream::connection::ClientConnection;
+use crate::proxy::downstream::guards::{CancelOnDrop, RequestGuard, RequestIdGuard};
 use crate::proxy::downstream::responses::{COME_BACK, end_to_end, refusal, status};
 use crate::proxy::downstream::timing::PATIENCE;
-use crate::proxy::messages::{Answer, Call, Input};
-use crate::proxy::metrics::End;
+use crate::proxy::messages::{ClientRequest, DispatcherMessage, FinalResponse};
+use crate::proxy::metrics::RequestOutcome;
 use crate::proxy::sync::lock;
 use balancer::decision::{Idempotency, RequestId};
 use bytes::Bytes;
@@ -25,7 +25,8 @@
 /// No caller waits for longer.
 pub const MOST_BUDGET: Duration = Duration::from_secs(3600);
 
-pub struct Asked {
+/// The parameters of a request, from its path and headers.
+pub struct RequestParameters {
     pub call_id: String,
     pub class: usize,
     pub tenant: usize,
@@ -37,8 +38,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-impl Server {
-    pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<Reply> {
+impl DownstreamServer {
+    pub fn refuse_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class(request) {
             Some(class) => self.refuse(class),
             None => refusal(COME_BACK),
@@ -46,8 +47,8 @@
     }
 
     /// Refuses a request of a class that nobody has heard of yet.
-    pub fn refuse(&self, class: usize) -> Response<Reply> {
-        self.counters.count(class, End::Busy);
+    pub fn refuse(&self, class: usize) -> Response<ResponseBody> {
+        self.counters.count(class, RequestOutcome::Busy);
         refusal(COME_BACK)
     }
 
@@ -57,7 +58,7 @@
         self.config.names.classes.iter().position(|class| class == in_path)
     }
 
-    pub async fn reply(&self, request: Request<Incoming>, line: &Line) -> Response<Reply> {
+    pub async fn reply(&self, request: Request<Incoming>, line: &ClientConnection) -> Response<ResponseBody> {
         if request.uri().path() == "/healthz" {
             self.first_list().await;
             return match *self.ready.borrow() {
@@ -68,7 +69,7 @@
         match self.call(request, line).await {
             Ok(reply) => reply,
             Err((code, text)) => {
-                let mut reply = Response::new(Reply::from(Bytes::from_static(text.as_bytes())));
+                let mut reply = Response::new(ResponseBody::from(Bytes::from_static(text.as_bytes())));
                 *reply.status_mut() = code;
                 reply
             }
@@ -78,61 +79,70 @@
     pub async fn call(
         &self,
         request: Request<Incoming>,
-        line: &Line,
-    ) -> Result<Response<Reply>, (StatusCode, &'static str)> {
-        let seen = &line.seen;
-        if lock(seen).both_lengths() {
+        line: &ClientConnection,
+    ) -> Result<Response<ResponseBody>, (StatusCode, &'static str)> {
+        let framing = &line.framing;
+        if lock(framing).both_lengths() {
             return Err((StatusCode::BAD_REQUEST, "Content-Length beside Transfer-Encoding\n"));
         }
-        let asked = self.check(&request)?;
+        let parameters = self.check(&request)?;
         let size = request.body().size_hint();
-        if size.lower() > MOST_BODY {
+        if size.lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"));
         }
         let size = size.exact().and_then(|size| usize::try_from(size).ok());
-        let Some(room) = self.budget.take(size.map_or(MOST_KEPT, |size| size.min(MOST_KEPT))) else {
-            return Ok(self.refuse(asked.class));
+        let Some(memory_permit) =
+            self.body_memory.try_reserve(size.map_or(MAX_BUFFERED_BODY, |size| size.min(MAX_BUFFERED_BODY)))
+        else {
+            return Ok(self.refuse(parameters.class));
         };
-        let Some(named) = Named::take(&self.open, asked.call_id) else {
-            self.counters.count(asked.class, End::Failure);
+        let Some(request_id) = RequestIdGuard::take(&self.open, parameters.call_id) else {
+            self.counters.count(parameters.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
         let (mut head, mut body) = request.into_parts();
-        let (kept, whole) = match timeout(PATIENCE, gather(&mut body, MOST_KEPT, None)).await {
-            Ok(Ok(Gathered { kept, whole })) => (kept, whole || body.is_end_stream()),
-            Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
-            Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
-        };
-        let first_deadline = Instant::now() + asked.budget;
+        let (buffered, complete) =
+            match timeout(PATIENCE, buffer_body(&mut body, MAX_BUFFERED_BODY, None)).await {
+                Ok(Ok(BufferedBody { buffered, complete })) => (buffered, complete || body.is_end_stream()),
+                Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
+                Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
+            };
+        let first_deadline = Instant::now() + parameters.budget;
         // Read before it waits, so that its time runs meanwhile.
-        let is_told = timeout(asked.budget, self.first_list()).await.is_ok();
+        let is_told = timeout(parameters.budget, self.first_list()).await.is_ok();
         if !is_told || self.refusing.load(Ordering::Relaxed) {
-            return Ok(self.refuse(asked.class));
+            return Ok(self.refuse(parameters.class));
         }
         end_to_end(&mut head.headers);
-        let mut held = Held { seen: None, _taken: None, _named: named, _room: room };
-        let (rest, came) = if whole { (None, None) } else { Some(Rest::new(body)).unzip() };
+        let mut guard = RequestGuard {
+            framing: None,
+            _in_flight: None,
+            _request_id: request_id,
+            _memory_permit: memory_permit,
+        };
+        let (remainder, came) = if complete { (None, None) } else { Some(BodyRemainder::new(body)).unzip() };
         let (is_head, is_old) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
-        let request = Request::from_parts(head, Payload { kept, rest });
+        let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
-        let mut owed = Owed(Some(id), &self.driver);
+        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.dispatcher);
         let (answer, mut answered) = oneshot::channel();
-        let Asked { class, tenant, work, budget, .. } = asked;
+        let RequestParameters { class, tenant, work, budget, .. } = parameters;
         let mut has_come = || {
-            held._taken = Some(self.counters.taken());
-            lock(seen).whole() + budget
+            guard._in_flight = Some(self.counters.start_request());
+            lock(framing).whole() + budget
         };
-        let deadline = if whole { has_come() } else { first_deadline };
-        let caller = line.presence();
-        let call = Call { id, request, caller, class, tenant, work, deadline, answer };
-        self.driver.send(Input::Called(Box::new(call))).ok();
+        let deadline = if complete { has_come() } else { first_deadline };
+        let client = line.liveness();
+        let call =
+            ClientRequest { id, request, client, class, tenant, work, deadline, response_sender: answer };
+        self.dispatcher.send(DispatcherMessage::Request(Box::new(call))).ok();
         let left = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // nobody reads this
         let early = match came {
             None => None,
             Some(came) => tokio::select! {
                 biased;
                 Ok(()) = came => {
-                    self.driver.send(Input::Whole(id, has_come())).ok();
+                    self.dispatcher.send(DispatcherMessage::RequestReceived(id, has_come())).ok();
                     None
                 }
                 answer = &mut answered => Some(answer),
@@ -148,32 +158,35 @@
                 () = line.left() => return left, // with it the request is given up
             },
         };
-        owed.0 = None;
-        Ok(match answer.unwrap_or(Answer::Failed) {
-            Answer::Served(mut reply) => {
+        cancel_on_drop.0 = None;
+        Ok(match answer.unwrap_or(FinalResponse::Failed) {
+            FinalResponse::Served(mut reply) => {
                 *reply.version_mut() = Version::HTTP_11;
                 let length = reply.headers().get(CONTENT_LENGTH).filter(|_| is_head).cloned();
                 end_to_end(reply.headers_mut());
                 // The length of what a HEAD does not bring is for its caller to know.
                 length.map(|length| reply.headers_mut().insert(CONTENT_LENGTH, length));
-                if !reply.body().is_whole() {
-                    held.seen = Some(seen.clone());
+                if !reply.body().is_fully_buffered() {
+                    guard.framing = Some(framing.clone());
                     // Without chunks, the end of the connection is that of the body.
                     if is_old && reply.body().size_hint().exact().is_none() {
-                        let seen = seen.clone();
-                        reply.body_mut().on_break(move || lock(&seen).resets = true);
+                        let framing = framing.clone();
+                        reply.body_mut().on_abort(move || lock(&framing).resets = true);
                     }
-                    reply.body_mut().hold(held);
+                    reply.body_mut().keep_until_end(guard);
                 }
                 reply
             }
-            Answer::Refused(stay_away) => refusal(stay_away),
-            Answer::Failed => status(StatusCode::BAD_GATEWAY),
+            FinalResponse::Rejected(stay_away) => refusal(stay_away),
+            FinalResponse::Failed => status(StatusCode::BAD_GATEWAY),
         })
     }
 
     /// What a request asks for, or why it cannot be taken.
-    pub fn check(&self, request: &Request<Incoming>) -> Result<Asked, (StatusCode, &'static str)> {
+    pub fn check(
+        &self,
+        request: &Request<Incoming>,
+    ) -> Result<RequestParameters, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
         let (headers, names) = (request.headers(), &self.config.names);
         let in_path = request.uri().path().split('/').nth(1).unwrap_or("");
@@ -201,7 +214,7 @@
         let tenant = match names.tenants.is_empty() {
             true => Some(0),
             false => {
-                text(headers, "x-caller").and_then(|caller| names.tenants.iter().position(|t| t == caller))
+                text(headers, "x-caller").and_then(|client| names.tenants.iter().position(|t| t == client))
             }
         };
         let budget = text(headers, "x-budget").and_then(|budget| budget.parse().ok());
@@ -212,7 +225,7 @@
                 .filter(|cost| cost.is_finite() && *cost >= 0.0)
                 .map(|micros| Some((micros * 1e3) as u64)),
         };
-        Ok(Asked {
+        Ok(RequestParameters {
             call_id: call_id.ok_or(bad("X-Call-Id is missing or malformed\n"))?.to_owned(),
             class,
             tenant: tenant.ok_or(bad("X-Caller is missing or not known\n"))?,
