--- a/fault-injector/src/lib.rs
+++ b/fault-injector/src/lib.rs
@@ -1,51 +1,51 @@
-//! Makes system calls of a program under test fail. Set as `LD_PRELOAD`, this library stands in front of the C
-//! library's wrappers and reads a plan from the environment variable `FAULT_PLAN`.
+//! Injects faults into the system calls of a program under test. Loaded by `LD_PRELOAD`, this library replaces functions
+//! of the C library by its own wrappers and reads a fault plan from the environment variable `FAULT_PLAN`.
 //!
 //! # The plan
 //!
-//! Rules, separated by `;`. The first rule that strikes a call decides.
+//! A plan consists of rules, separated by `;`. The first rule that injects a fault into a call decides; the rules after
+//! it do not count the call as a match.
 //!
 //! ```text
 //! rule   = call ":" fault { ":" option }
-//! fault  = ERRNO            the call fails with it, by name: ENETUNREACH
-//!        | "short=" BYTES   a read or write moves at most so many bytes
-//!        | "delay=" MS      the call is made so much later
-//!        | "kill"           the process gets SIGKILL in place of the call
-//! option = "from=" N        the first call that is struck, counted from 1 among those that match
-//!        | "count=" N       so many calls are struck, and none after them
-//!        | "share=" F       this part of the calls is struck, drawn from the seed
-//!        | "seed=" N
-//!        | "on=inet"        only TCP sockets, not files, pipes or the socket that tells of signals
-//!        | "path=" PREFIX   only files whose absolute path begins so
-//!        | "port=" N        only sockets with this port at either end, or that are to have it
+//! fault  = ERRNO            the call fails with this error, such as ENETUNREACH
+//!        | "short=" BYTES   a read or write transfers at most this number of bytes
+//!        | "delay=" MS      the call is made after this delay in milliseconds
+//!        | "kill"           the process is killed with SIGKILL instead of making the call
+//! option = "from=" N        the first matching call that may get the fault, counted from 1
+//!        | "count=" N       at most this number of calls get the fault
+//!        | "share=" F       this fraction (0 to 1) of the matching calls, sampled by the seed, gets the fault
+//!        | "seed=" N        the seed of that sample, 0 by default
+//!        | "on=inet"        only IPv4 and IPv6 sockets, not files, pipes or the socket that delivers signals
+//!        | "path=" PREFIX   only files whose absolute path starts with the prefix
+//!        | "port=" N        only sockets with this local or remote port, or being bound or connected to it
 //! ```
 //!
 //! `FAULT_PLAN="connect:ENETUNREACH:share=0.33:seed=7;accept:EMFILE:from=3:count=2;write:short=1:on=inet"`
 //!
-//! The calls are those that the balancer makes through the C library: [`plan::Call`] lists them, and what they are
-//! called there. A plan that does not parse ends the process with one line and status 2. Each fault is noted in the
-//! file named by `FAULT_LOG`, if it is set, as a line `call fault`.
+//! Rules apply to the calls that the balancer makes through the C library; [`plan::Call`] lists them. A plan that does
+//! not parse ends the process with one line on standard error and status 2. If `FAULT_LOG` is set, each injected fault is
+//! appended to the file it names, as a line `call fault`.
 //!
 //! # The wall clock
 //!
-//! `WALL_CLOCK_STEP` names a file with the milliseconds by which the wall clock is ahead (behind, with a minus sign). The
-//! file may be replaced while the program runs, which steps the clock; the monotonic clocks run on.
+//! `WALL_CLOCK_STEP` names a file that holds the offset of the wall clock in milliseconds, negative if the clock is
+//! behind. Replacing the file while the program runs steps the clock; the monotonic clocks are unaffected.
 //!
 //! # Limits
 //!
-//! - Calls that bypass the C library are out of reach. `rustix` makes its calls itself: of the balancer's, that is the
-//!   `poll` that looks whether a caller has left.
-//! - What goes on goes to the kernel directly, not to another preloaded library.
-//! - An error that the kernel would tell later, through `SO_ERROR`, is told by the call itself.
-//!
-//! - EAGAIN of a read or write with bytes or room there is no failure that Linux knows: a program that waits for
-//!   edges, as ours does, never hears of them again.
+//! - Calls that bypass the C library cannot be intercepted. `rustix` makes its system calls directly; in the balancer,
+//!   that is the `poll` that checks whether a client has disconnected.
+//! - Calls that proceed go directly to the kernel, not to another preloaded library.
+//! - An error that the kernel would report later through `SO_ERROR` is returned by the call itself.
+//! - `EAGAIN` for a read or write on a descriptor that is ready is not a failure that occurs on Linux. A program that
+//!   relies on edge-triggered polling, as the balancer does, gets no further event for the descriptor and stalls.
 //!
 //! # Safety
 //!
-//! This crate and the balancer's inherited descriptor are the only places with `unsafe` code. Each function in
-//! `interpose` has the C library's own signature and contract, and hands its arguments on as they came; what it reads
-//! of them, it reads as the kernel would.
+//! This crate and the balancer's handling of its inherited descriptor are the only places with `unsafe` code. Each
+//! wrapper has the signature and contract of the C library function it replaces and passes its arguments on unchanged,
+//! except that a fault may limit the number of bytes. A wrapper reads the memory behind them only where the kernel would.
 
 mod interpose;
 mod log;
--- a/fault-injector/src/plan.rs
+++ b/fault-injector/src/plan.rs
@@ -1,11 +1,11 @@
-//! The plan: which calls fail, and how.
+//! The fault plan: its grammar, and the selection of a fault for each intercepted system call.
 
 use std::fmt;
 use std::str::FromStr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A system call that can be made to fail. Several wrappers of the C library may make the same one.
+/// A system call that faults can be injected into. Several functions of the C library may map to the same call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Accept,
@@ -26,7 +26,7 @@
     Write,
 }
 
-/// The names of the calls, the one that is written to the log first.
+/// The names of each call in a plan. The first name is the one that is written to the fault log.
 const CALL_NAMES: &[(Call, &[&str])] = &[
     (Call::Accept, &["accept", "accept4"]),
     (Call::Bind, &["bind"]),
@@ -46,7 +46,7 @@
     (Call::Write, &["write", "writev", "send", "sendto", "sendmsg"]),
 ];
 
-/// The errors that can be injected.
+/// The errors that can be injected, by name and `errno` value.
 const ERRORS: &[(&str, i32)] = &[
     ("E2BIG", libc::E2BIG),
     ("EACCES", libc::EACCES),
@@ -88,55 +88,55 @@
 ];
 
 impl Call {
-    /// The name in the log.
+    /// Returns the name that the fault log uses for this call.
     pub fn name(self) -> &'static str {
-        let names = CALL_NAMES.iter().find(|(call, _)| *call == self);
-        names.map_or("", |(_, names)| names[0])
+        let entry = CALL_NAMES.iter().find(|(call, _)| *call == self);
+        entry.map_or("", |(_, names)| names[0])
     }
 
-    /// Whether it moves bytes that can be cut short.
-    fn moves_bytes(self) -> bool {
+    /// Whether the call transfers a number of bytes that `short=` can limit.
+    fn supports_short_transfer(self) -> bool {
         matches!(self, Self::Read | Self::Write)
     }
 }
 
 impl FromStr for Call {
-    type Err = Reason;
+    type Err = RuleError;
 
-    fn from_str(name: &str) -> Result<Self, Reason> {
+    fn from_str(name: &str) -> Result<Self, RuleError> {
         let call = CALL_NAMES.iter().find(|(_, names)| names.contains(&name));
-        call.map(|(call, _)| *call).ok_or(Reason::UnknownCall)
+        call.map(|(call, _)| *call).ok_or(RuleError::UnknownCall)
     }
 }
 
-/// What happens to a call that is struck.
+/// A fault to inject into a matching call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error.
+    /// The call fails with this `errno` value.
     Errno(i32),
-    /// It moves at most so many bytes.
+    /// The call transfers at most this number of bytes.
     Short(usize),
-    /// It is made so much later.
+    /// The call is made after this delay.
     Delay(Duration),
-    /// The process is killed in its place.
+    /// The process is killed with SIGKILL instead of making the call.
     Kill,
 }
 
 impl FromStr for Fault {
-    type Err = Reason;
+    type Err = RuleError;
 
-    fn from_str(text: &str) -> Result<Self, Reason> {
+    fn from_str(text: &str) -> Result<Self, RuleError> {
         match text.split_once('=') {
             Some(("short", bytes)) => {
-                let bytes = number(bytes)?;
-                // A write of nothing would tell an end that there is not.
-                if bytes == 0 { Err(Reason::BadNumber) } else { Ok(Self::Short(bytes)) }
+                let bytes = parse_number(bytes)?;
+                // A transfer of zero bytes would signal an end of the stream that has not been reached.
+                if bytes == 0 { Err(RuleError::InvalidNumber) } else { Ok(Self::Short(bytes)) }
             }
-            Some(("delay", millis)) => Ok(Self::Delay(Duration::from_millis(number(millis)?))),
+            Some(("delay", millis)) => Ok(Self::Delay(Duration::from_millis(parse_number(millis)?))),
             None if text == "kill" => Ok(Self::Kill),
             _ => {
                 let error = ERRORS.iter().find(|(name, _)| *name == text);
-                error.map(|(_, errno)| Self::Errno(*errno)).ok_or(Reason::UnknownFault)
+                error.map(|(_, errno)| Self::Errno(*errno)).ok_or(RuleError::UnknownFault)
             }
         }
     }
@@ -146,7 +146,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Errno(errno) => {
-                let error = ERRORS.iter().find(|(_, known)| known == errno);
+                let error = ERRORS.iter().find(|(_, value)| value == errno);
                 f.write_str(error.map_or("?", |(name, _)| name))
             }
             Self::Short(bytes) => write!(f, "short={bytes}"),
@@ -156,13 +156,14 @@
     }
 }
 
-/// What a call is about, looked up only where a rule asks for it.
-pub trait Subject {
-    /// Whether it is a TCP socket.
+/// The object that a call operates on. Each property is looked up only if a rule filters on it.
+pub trait Target {
+    /// Whether the target is an IPv4 or IPv6 socket.
     fn is_inet(&self) -> bool;
-    /// Whether its absolute path, or one of both for a rename, begins so.
-    fn has_path(&self, prefix: &str) -> bool;
-    /// Whether either end has this port, or is to have it.
+    /// Whether the absolute path of the target starts with `prefix`. For a rename, either of the two paths may.
+    fn has_path_prefix(&self, prefix: &str) -> bool;
+    /// Whether `port` is the local or remote port of the socket, or the port of the address that the call binds or
+    /// connects it to.
     fn has_port(&self, port: u16) -> bool;
 }
 
@@ -171,52 +172,57 @@
 struct Rule {
     call: Call,
     fault: Fault,
+    /// The number of the first matching call that may get the fault, counted from 1.
     first: u64,
+    /// The maximum number of calls that get the fault.
     count: u64,
+    /// The fraction of matching calls that get the fault, from 0 to 1.
     share: f64,
+    /// Seeds the sampling of calls if `share` is below 1.
     seed: u64,
     only_inet: bool,
-    path: Option<String>,
+    path_prefix: Option<String>,
     port: Option<u16>,
-    /// Calls that matched so far.
-    matched: AtomicU64,
-    /// Calls that were struck so far.
-    struck: AtomicU64,
+    /// The number of calls that matched so far.
+    matched_calls: AtomicU64,
+    /// The number of matching calls selected so far. It may exceed `count`, beyond which no fault is injected.
+    selected_calls: AtomicU64,
 }
 
 impl Rule {
-    fn matches(&self, call: Call, subject: &dyn Subject) -> bool {
+    fn matches(&self, call: Call, target: &dyn Target) -> bool {
         self.call == call
-            && (!self.only_inet || subject.is_inet())
-            && self.path.as_deref().is_none_or(|prefix| subject.has_path(prefix))
-            && self.port.is_none_or(|port| subject.has_port(port))
+            && (!self.only_inet || target.is_inet())
+            && self.path_prefix.as_deref().is_none_or(|prefix| target.has_path_prefix(prefix))
+            && self.port.is_none_or(|port| target.has_port(port))
     }
 
-    /// Counts a call that matches, and tells whether it is struck.
-    fn strikes(&self) -> bool {
-        let number = self.matched.fetch_add(1, Ordering::Relaxed) + 1;
-        if number < self.first || !self.is_drawn(number) {
+    /// Counts a matching call and returns whether the fault is injected into it.
+    fn should_inject(&self) -> bool {
+        let match_number = self.matched_calls.fetch_add(1, Ordering::Relaxed) + 1;
+        if match_number < self.first || !self.is_sampled(match_number) {
             return false;
         }
-        self.struck.fetch_add(1, Ordering::Relaxed) < self.count
+        self.selected_calls.fetch_add(1, Ordering::Relaxed) < self.count
     }
 
-    /// Whether the seed picks this call. It depends on nothing but the seed and the number.
-    fn is_drawn(&self, number: u64) -> bool {
-        let drawn = split_mix(self.seed ^ split_mix(number));
-        (drawn as f64) < self.share * (u64::MAX as f64)
+    /// Whether the matching call with this number is sampled. The result depends only on the share, the seed and the
+    /// number, so that a run can be repeated.
+    fn is_sampled(&self, match_number: u64) -> bool {
+        let sample = split_mix64(self.seed ^ split_mix64(match_number));
+        (sample as f64) < self.share * (u64::MAX as f64)
     }
 }
 
 impl FromStr for Rule {
-    type Err = Reason;
+    type Err = RuleError;
 
-    fn from_str(text: &str) -> Result<Self, Reason> {
+    fn from_str(text: &str) -> Result<Self, RuleError> {
         let mut parts = text.split(':');
         let call: Call = parts.next().unwrap_or_default().parse()?;
-        let fault: Fault = parts.next().ok_or(Reason::NoFault)?.parse()?;
-        if matches!(fault, Fault::Short(_)) && !call.moves_bytes() {
-            return Err(Reason::NotShort);
+        let fault: Fault = parts.next().ok_or(RuleError::MissingFault)?.parse()?;
+        if matches!(fault, Fault::Short(_)) && !call.supports_short_transfer() {
+            return Err(RuleError::ShortNotSupported);
         }
         let mut rule = Self {
             call,
@@ -226,55 +232,55 @@
             share: 1.0,
             seed: 0,
             only_inet: false,
-            path: None,
+            path_prefix: None,
             port: None,
-            matched: AtomicU64::new(0),
-            struck: AtomicU64::new(0),
+            matched_calls: AtomicU64::new(0),
+            selected_calls: AtomicU64::new(0),
         };
         for option in parts {
-            match option.split_once('=').ok_or(Reason::UnknownOption)? {
-                ("from", first) => rule.first = number(first)?,
-                ("count", count) => rule.count = number(count)?,
+            match option.split_once('=').ok_or(RuleError::UnknownOption)? {
+                ("from", first) => rule.first = parse_number(first)?,
+                ("count", count) => rule.count = parse_number(count)?,
                 ("share", share) => {
-                    rule.share = number(share)?;
+                    rule.share = parse_number(share)?;
                     if !(0.0..=1.0).contains(&rule.share) {
-                        return Err(Reason::BadNumber);
+                        return Err(RuleError::InvalidNumber);
                     }
                 }
-                ("seed", seed) => rule.seed = number(seed)?,
+                ("seed", seed) => rule.seed = parse_number(seed)?,
                 ("on", "inet") => rule.only_inet = true,
-                ("path", prefix) => rule.path = Some(prefix.to_owned()),
-                ("port", port) => rule.port = Some(number(port)?),
-                _ => return Err(Reason::UnknownOption),
+                ("path", prefix) => rule.path_prefix = Some(prefix.to_owned()),
+                ("port", port) => rule.port = Some(parse_number(port)?),
+                _ => return Err(RuleError::UnknownOption),
             }
         }
         Ok(rule)
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T, Reason> {
-    text.parse().map_err(|_| Reason::BadNumber)
+fn parse_number<T: FromStr>(text: &str) -> Result<T, RuleError> {
+    text.parse().map_err(|_| RuleError::InvalidNumber)
 }
 
-/// The SplitMix64 generator's output function.
-fn split_mix(seed: u64) -> u64 {
+/// The output function of the SplitMix64 generator.
+fn split_mix64(seed: u64) -> u64 {
     let mixed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// Which calls fail.
+/// An ordered list of rules that decide which calls get a fault.
 #[derive(Debug, Default)]
 pub struct Plan {
     rules: Vec<Rule>,
 }
 
 impl Plan {
-    /// What happens to a call; `None` where it is made as it came. The first rule that strikes it decides; the rules
-    /// behind that one do not count it.
-    pub fn strike(&self, call: Call, subject: &dyn Subject) -> Option<Fault> {
-        let rule = self.rules.iter().find(|rule| rule.matches(call, subject) && rule.strikes())?;
+    /// Selects the fault for a call, or `None` if the call is made unchanged. The first rule that injects its fault
+    /// into the call decides. Rules after it do not count the call as a match.
+    pub fn select_fault(&self, call: Call, target: &dyn Target) -> Option<Fault> {
+        let rule = self.rules.iter().find(|rule| rule.matches(call, target) && rule.should_inject())?;
         Some(rule.fault)
     }
 }
@@ -290,26 +296,26 @@
     }
 }
 
-/// Why a rule is no rule.
+/// Why a rule does not parse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum RuleError {
     UnknownCall,
-    NoFault,
+    MissingFault,
     UnknownFault,
     UnknownOption,
-    BadNumber,
-    NotShort,
+    InvalidNumber,
+    ShortNotSupported,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RuleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::UnknownCall => "no such call",
-            Self::NoFault => "the fault is missing",
+            Self::MissingFault => "the fault is missing",
             Self::UnknownFault => "no such fault",
             Self::UnknownOption => "no such option",
-            Self::BadNumber => "a number is malformed or out of range",
-            Self::NotShort => "only reads and writes can be short",
+            Self::InvalidNumber => "a number is malformed or out of range",
+            Self::ShortNotSupported => "only reads and writes can be short",
         })
     }
 }
@@ -317,10 +323,10 @@
 /// A plan that does not parse.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError {
-    /// The rule as it stands in the plan.
+    /// The text of the rule in the plan.
     pub rule: String,
-    /// What is wrong with it.
-    pub reason: Reason,
+    /// Why the rule does not parse.
+    pub reason: RuleError,
 }
 
 impl fmt::Display for PlanError {
