--- a/fault-injector/src/bin/fault_probe.rs
+++ b/fault-injector/src/bin/fault_probe.rs
@@ -1,57 +1,57 @@
-//! Makes the system calls that the injector's own tests look at, and prints how each ended.
+//! Repeats one kind of operation for the tests of the injector, and prints the result of each repetition.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// How often a call is made.
-const TIMES: usize = 12;
+/// The number of times that an operation is repeated.
+const REPETITIONS: usize = 12;
 
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
-    let [_, action, subject] = &arguments[..] else {
-        eprintln!("usage: fault-probe connect|append|read|replace|exchange SUBJECT");
+    let [_, action, target] = &arguments[..] else {
+        eprintln!("usage: fault-probe connect|append|read|replace|exchange TARGET");
         std::process::exit(1);
     };
-    for _ in 0..TIMES {
-        let ended = match action.as_str() {
-            "connect" => TcpStream::connect(subject).map(|_| "done".to_owned()),
-            "append" => append(subject),
-            "read" => read(subject),
-            "replace" => replace(subject),
-            "exchange" => exchange(subject),
-            _ => Err(io::Error::other("no such action")),
+    for _ in 0..REPETITIONS {
+        let result = match action.as_str() {
+            "connect" => TcpStream::connect(target).map(|_| "done".to_owned()),
+            "append" => append(target),
+            "read" => read(target),
+            "replace" => replace(target),
+            "exchange" => exchange(target),
+            _ => Err(io::Error::other("unknown action")),
         };
-        match ended {
+        match result {
             Ok(text) => println!("{text}"),
             Err(error) => println!("error {}", error.raw_os_error().unwrap_or(0)),
         }
     }
 }
 
-/// Writes once, and tells how many bytes were taken.
+/// Appends to a file by one write, and returns the number of bytes written.
 fn append(path: &str) -> io::Result<String> {
     let mut file = File::options().append(true).create(true).open(path)?;
-    let taken = file.write(b"four")?;
+    let bytes_written = file.write(b"four")?;
     file.sync_all()?;
-    Ok(taken.to_string())
+    Ok(bytes_written.to_string())
 }
 
-/// Reads once, and tells how many bytes came.
+/// Reads from a file once, and returns the number of bytes read.
 fn read(path: &str) -> io::Result<String> {
     let mut buffer = [0; 64];
     Ok(File::open(path)?.read(&mut buffer)?.to_string())
 }
 
-/// Puts a new file in place of another.
+/// Replaces a file: writes `PATH.new` and renames it to `PATH`.
 fn replace(path: &str) -> io::Result<String> {
-    let new = format!("{path}.new");
-    fs::write(&new, "new")?;
-    fs::rename(&new, path)?;
+    let new_path = format!("{path}.new");
+    fs::write(&new_path, "new")?;
+    fs::rename(&new_path, path)?;
     Ok("done".to_owned())
 }
 
-/// Sends four bytes and reads them back, and tells in how many pieces each went.
+/// Sends four bytes and receives their echo. Returns the number of writes, the number of reads and the bytes received.
 fn exchange(address: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
     let (mut sent, mut writes) = (0, 0);
@@ -59,12 +59,12 @@
         sent += stream.write(&b"four"[sent..])?;
         writes += 1;
     }
-    let (mut back, mut reads) = (Vec::new(), 0);
-    while back.len() < 4 {
+    let (mut received, mut reads) = (Vec::new(), 0);
+    while received.len() < 4 {
         let mut buffer = [0; 64];
-        let got = stream.read(&mut buffer)?;
-        back.extend_from_slice(&buffer[..got]);
+        let bytes_read = stream.read(&mut buffer)?;
+        received.extend_from_slice(&buffer[..bytes_read]);
         reads += 1;
     }
-    Ok(format!("{writes} {reads} {}", String::from_utf8_lossy(&back)))
+    Ok(format!("{writes} {reads} {}", String::from_utf8_lossy(&received)))
 }
--- a/fault-injector/src/interpose.rs
+++ b/fault-injector/src/interpose.rs
@@ -1,9 +1,9 @@
 //! Wrappers that replace the system call functions of the C library and inject faults. A call without a fault is passed
 //! to the kernel with unchanged arguments.
 //!
-//! Rust code does not call the wrappers directly: this library is preloaded, so the dynamic linker resolves the functions
-//! to them rather than to the C library. One safety argument applies to the `unsafe` blocks of all wrappers: the
-//! arguments are those of the caller, who has to meet the requirements of the system call.
+//! Rust code does not call the wrappers directly: this library is preloaded, so the dynamic linker resolves the
+//! functions to them rather than to the C library. One safety argument applies to the `unsafe` blocks of all wrappers:
+//! the arguments are those of the caller, who has to meet the requirements of the system call.
 
 use crate::log;
 use crate::plan::{Call, Fault, Plan, Target};
--- a/fault-injector/src/lib.rs
+++ b/fault-injector/src/lib.rs
@@ -1,5 +1,5 @@
-//! Injects faults into the system calls of a program under test. Loaded by `LD_PRELOAD`, this library replaces functions
-//! of the C library by its own wrappers and reads a fault plan from the environment variable `FAULT_PLAN`.
+//! Injects faults into the system calls of a program under test. Loaded by `LD_PRELOAD`, this library replaces
+//! functions of the C library by its own wrappers and reads a fault plan from the environment variable `FAULT_PLAN`.
 //!
 //! # The plan
 //!
@@ -24,8 +24,8 @@
 //! `FAULT_PLAN="connect:ENETUNREACH:share=0.33:seed=7;accept:EMFILE:from=3:count=2;write:short=1:on=inet"`
 //!
 //! Rules apply to the calls that the balancer makes through the C library; [`plan::Call`] lists them. A plan that does
-//! not parse ends the process with one line on standard error and status 2. If `FAULT_LOG` is set, each injected fault is
-//! appended to the file it names, as a line `call fault`.
+//! not parse ends the process with one line on standard error and status 2. If `FAULT_LOG` is set, each injected fault
+//! is appended to the file it names, as a line `call fault`.
 //!
 //! # The wall clock
 //!
@@ -45,7 +45,8 @@
 //!
 //! This crate and the balancer's handling of its inherited descriptor are the only places with `unsafe` code. Each
 //! wrapper has the signature and contract of the C library function it replaces and passes its arguments on unchanged,
-//! except that a fault may limit the number of bytes. A wrapper reads the memory behind them only where the kernel would.
+//! except that a fault may limit the number of bytes. A wrapper reads the memory behind them only where the kernel
+//! would.
 
 mod interpose;
 mod log;
--- a/fault-injector/src/plan.rs
+++ b/fault-injector/src/plan.rs
@@ -310,12 +310,12 @@
 impl fmt::Display for RuleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::UnknownCall => "no such call",
-            Self::MissingFault => "the fault is missing",
-            Self::UnknownFault => "no such fault",
-            Self::UnknownOption => "no such option",
-            Self::InvalidNumber => "a number is malformed or out of range",
-            Self::ShortNotSupported => "only reads and writes can be short",
+            Self::UnknownCall => "unknown system call",
+            Self::MissingFault => "no fault given",
+            Self::UnknownFault => "unknown error name or fault",
+            Self::UnknownOption => "unknown option",
+            Self::InvalidNumber => "malformed number, or number out of range",
+            Self::ShortNotSupported => "`short` applies only to reads and writes",
         })
     }
 }
