--- a/src/decision/attempt_learning.rs
+++ b/src/decision/attempt_learning.rs
@@ -4,7 +4,7 @@
 use super::circuit_breaker::FailureKind;
 use super::event::{AttemptEnd, AttemptOutcome, Duration, Time};
 use super::event_log::Topic;
-use super::idle_connections::IdleStep;
+use super::idle_connections::IdleTimeBucket;
 use super::rejections::ClassRejections;
 use super::request_table::{Lateness, PendingRequest};
 use super::statistics::OUTCOME_GAIN;
@@ -46,7 +46,7 @@
             AttemptOutcome::Success => self.on_success(request, position),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::InvalidRequest => {}
             AttemptOutcome::Rejected => {
-                let request_time = self.traffic.overall.calm as Duration;
+                let request_time = self.traffic.overall.baseline as Duration;
                 self.endpoints[position].rejections[class].on_rejection(now, request_time);
             }
             AttemptOutcome::Error => {
@@ -67,7 +67,7 @@
     /// Whether a time-out says nothing of its endpoint: it has counted already, or its limit was too short. By the
     /// mean latency instead of the calm one, the time-outs of a stuck endpoint would excuse themselves.
     fn is_excused(&self, request: &PendingRequest, elapsed: Duration) -> bool {
-        let calm = self.traffic.classes[request.class].calm;
+        let calm = self.traffic.classes[request.class].baseline;
         request.lateness == Lateness::Overdue || (elapsed as f64) < TIMEOUT_OF_CALM * calm
     }
 
@@ -83,13 +83,13 @@
 
     /// Learns which part of the requests the warm endpoints of the own zone serve, while that is used.
     fn learn_home_share(&mut self, position: usize) {
-        if self.zone_routing.has_left_own_zone() {
+        if self.zone_routing.avoids_own_zone() {
             return;
         }
         let endpoint = &self.endpoints[position];
         let is_home = endpoint.zone == usize::from(self.settings.zone.0);
-        let is_warm = endpoint.warm_up.warm_from(&self.settings) <= self.now;
-        self.slow_start.learn_home_share(self.now, is_home && is_warm);
+        let is_warm = endpoint.warm_up.warm_at(&self.settings) <= self.now;
+        self.slow_start.learn_own_zone_share(self.now, is_home && is_warm);
     }
 
     fn learn_latency(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
@@ -107,7 +107,13 @@
     }
 
     /// An attempt without an answer tells of its endpoint, or of its connection where idle ones fail.
-    pub(super) fn on_failure(&mut self, position: usize, idle: IdleStep, sent: Time, kind: FailureKind) {
+    pub(super) fn on_failure(
+        &mut self,
+        position: usize,
+        idle: IdleTimeBucket,
+        sent: Time,
+        kind: FailureKind,
+    ) {
         self.idle_risk.learn(idle, true, self.now);
         if idle.was_idle() {
             self.endpoints[position].close_idle(&mut self.actions); // the next failure is not for this reason
@@ -119,7 +125,7 @@
 
     pub(super) fn on_breaker_failure(&mut self, position: usize, sent: Time, kind: FailureKind) {
         let failing = self.traffic.learn_failure();
-        self.endpoints.zone_pool(position).learn_failing(true, self.now);
+        self.endpoints.zone_pool(position).learn_failure_ratio(true, self.now);
         let endpoint = &mut self.endpoints[position];
         if !endpoint.breaker.on_failure(self.now, sent, failing, kind) {
             return;
@@ -134,7 +140,7 @@
 
     fn on_breaker_success(&mut self, position: usize) {
         self.traffic.learn_success();
-        self.endpoints.zone_pool(position).learn_failing(false, self.now);
+        self.endpoints.zone_pool(position).learn_failure_ratio(false, self.now);
         self.endpoints[position].breaker.on_success();
         self.endpoints.set_tripped(position, false);
     }
--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -7,15 +7,15 @@
 use super::event::{AttemptOutcome, Duration, SECOND, Time};
 
 /// How long a breaker stays open. The cap bounds how long a healed endpoint idles.
-pub(crate) const OPEN: Backoff = Backoff { first: SECOND, cap: 8 * SECOND };
+pub(crate) const OPEN_BACKOFF: Backoff = Backoff { first: SECOND, cap: 8 * SECOND };
 /// Chance that an endpoint no worse than the rest trips: sets how many failures in a row it takes ...
-const FALSE_TRIP_CHANCE: f64 = 0.01;
+const FALSE_TRIP_PROBABILITY: f64 = 0.01;
 /// ... within these bounds: one failure is no row, and a broken tier must still show its worst.
-const LEAST_FAILURES: f64 = 2.0;
-const MOST_FAILURES: f64 = 6.0;
+const MIN_FAILURES: f64 = 2.0;
+const MAX_FAILURES: f64 = 6.0;
 /// The failing part of all attempts is taken to lie between these, whose logarithms are finite.
-const LEAST_FAILING: f64 = 0.001;
-const MOST_FAILING: f64 = 0.999;
+const MIN_FAILURE_RATIO: f64 = 0.001;
+const MAX_FAILURE_RATIO: f64 = 0.999;
 /// Successes in a row after which one failure no longer reopens.
 const PROBATION_SUCCESSES: u32 = 3;
 /// Successes in a row after which the open time starts again from its first value.
@@ -53,7 +53,7 @@
     /// A trial request is out.
     pub trial_in_flight: bool,
     /// It opened last for an attempt without an answer: the endpoint may be behind with work that was given up.
-    opened_unanswered: bool,
+    opened_by_unanswered: bool,
 }
 
 impl CircuitBreaker {
@@ -63,34 +63,34 @@
         if !self.tripped {
             return true;
         }
-        let patience: Duration = if repeatable { 0 } else { OPEN.delay(self.recent_openings) };
-        !self.trial_in_flight && now >= self.open_until.saturating_add(patience)
+        let extra_wait: Duration = if repeatable { 0 } else { OPEN_BACKOFF.delay(self.recent_openings) };
+        !self.trial_in_flight && now >= self.open_until.saturating_add(extra_wait)
     }
 
     /// Whether the endpoint has to be left alone until its next trial. It goes on with requests that were given up, and
     /// where all endpoints do, work that nobody waits for any more would keep them busy for ever.
-    pub fn is_behind(&self, now: Time, repeatable: bool) -> bool {
-        self.opened_unanswered && !self.admits(now, repeatable)
+    pub fn may_be_backlogged(&self, now: Time, repeatable: bool) -> bool {
+        self.opened_by_unanswered && !self.admits(now, repeatable)
     }
 
     /// Takes note of a failed attempt; `failing` is the part of all attempts that fails. Gives whether the breaker
     /// opens. A failure of an attempt that was sent before it opened tells nothing that the breaker does not know:
     /// one burst would open it many times over, up to the longest open time.
-    pub fn on_failure(&mut self, now: Time, sent: Time, failing: f64, kind: FailureKind) -> bool {
-        if sent < self.opened_at {
+    pub fn on_failure(&mut self, now: Time, sent_at: Time, failure_ratio: f64, kind: FailureKind) -> bool {
+        if sent_at < self.opened_at {
             return false;
         }
         let on_probation = self.recent_openings > 0 && self.consecutive_successes < PROBATION_SUCCESSES;
         self.consecutive_failures += 1;
         self.consecutive_successes = 0;
-        if f64::from(self.consecutive_failures) < failures_to_trip(failing) && !on_probation {
+        if f64::from(self.consecutive_failures) < failures_to_trip(failure_ratio) && !on_probation {
             return false;
         }
         self.consecutive_failures = 0;
         self.recent_openings += 1;
         self.opened_at = now;
-        self.open_until = now + OPEN.delay(self.recent_openings);
-        self.opened_unanswered = kind == FailureKind::Unanswered;
+        self.open_until = now + OPEN_BACKOFF.delay(self.recent_openings);
+        self.opened_by_unanswered = kind == FailureKind::Unanswered;
         true
     }
 
@@ -105,7 +105,7 @@
 }
 
 /// Failures in a row that trip a breaker, where so large a part of all attempts fails.
-fn failures_to_trip(failing: f64) -> f64 {
-    let failing = failing.clamp(LEAST_FAILING, MOST_FAILING);
-    (FALSE_TRIP_CHANCE.ln() / failing.ln()).ceil().clamp(LEAST_FAILURES, MOST_FAILURES)
+fn failures_to_trip(failure_ratio: f64) -> f64 {
+    let failure_ratio = failure_ratio.clamp(MIN_FAILURE_RATIO, MAX_FAILURE_RATIO);
+    (FALSE_TRIP_PROBABILITY.ln() / failure_ratio.ln()).ceil().clamp(MIN_FAILURES, MAX_FAILURES)
 }
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -3,7 +3,7 @@
 use super::action::Action;
 use super::circuit_breaker::CircuitBreaker;
 use super::event::{Duration, EndpointId, SECOND, Time};
-use super::idle_connections::{ConnectionLimit, IdleRisk, IdleStep, SPARE_CONNECTIONS};
+use super::idle_connections::{ConnectionLimit, IdleRisk, IdleTimeBucket, MAX_IDLE_CONNECTIONS};
 use super::rejections::ClassRejections;
 use super::settings::Settings;
 use super::slow_start::WarmUp;
@@ -12,11 +12,11 @@
 /// Weight of an attempt in its endpoint's slowness: a balancer with few requests sees few a second of each.
 const SLOWNESS_GAIN: f64 = 0.3;
 /// Most by which one attempt raises the slowness, before its weight.
-const SLOWNESS_STEP: f64 = 4.0;
+const MAX_SLOWNESS_STEP: f64 = 4.0;
 /// An endpoint that answered so lately is alive: a connection that fails is one too many for it.
-const ALIVE: Duration = SECOND;
+const ALIVE_WINDOW: Duration = SECOND;
 /// A turn counts as complete within this rounding error.
-const TURN_ROUNDING: f64 = 1e-9;
+const TURN_TOLERANCE: f64 = 1e-9;
 
 /// An endpoint.
 #[derive(Debug, Default)]
@@ -33,9 +33,9 @@
     /// Its capacity, to be compared with that of others.
     pub capacity: f64,
     /// Place in the round robin.
-    pub order: u64,
+    pub round_robin_order: u64,
     /// Fraction of a turn that has come together.
-    turn: f64,
+    turn_credit: f64,
     pub warm_up: WarmUp,
     pub in_flight: u32,
     /// Responses of it that are being streamed: each has a connection, and none of its work is left.
@@ -46,7 +46,7 @@
     /// Our connections to it, in use or idle.
     open_connections: u32,
     /// When an attempt at it ended last, and left its connection idle.
-    idle_from: Time,
+    idle_since: Time,
     /// When it answered last.
     answered_at: Time,
     /// How long its attempts take, as a multiple of their class's mean.
@@ -56,17 +56,17 @@
 
 impl Endpoint {
     /// An endpoint that nothing is known of yet.
-    pub fn new(id: EndpointId, order: u64, turn: f64, classes: usize) -> Self {
+    pub fn new(id: EndpointId, round_robin_order: u64, turn_credit: f64, classes: usize) -> Self {
         let rejections = vec![ClassRejections::default(); classes];
-        Self { id, order, turn, slowness: 1.0, rejections, ..Self::default() }
+        Self { id, round_robin_order, turn_credit, slowness: 1.0, rejections, ..Self::default() }
     }
 
     /// A new process: the failures of its predecessor say nothing of it, nor do its connections. For its warm-up, `draw`
     /// is a random number from 0 to 1, and `least_cost` what the lightest requests cost.
-    pub fn on_restart(&mut self, now: Time, draw: f64, least_cost: f64) {
+    pub fn on_restart(&mut self, now: Time, random_fraction: f64, min_cost: f64) {
         self.breaker = CircuitBreaker::default();
         self.rejections.fill(ClassRejections::default());
-        self.warm_up.restart(now, draw, least_cost);
+        self.warm_up.restart(now, random_fraction, min_cost);
         self.slowness = 1.0;
         self.open_connections = self.connections_in_use();
         self.connection_limit = None;
@@ -80,19 +80,20 @@
     /// Takes its turn in the round robin, if that is complete. A smaller or slower endpoint takes a fraction of the
     /// turns: a slow one that still answers would else be swamped before it is at its limit. A cold one has its
     /// budget instead.
-    pub fn takes_turn(&mut self, largest_capacity: f64, now: Time, settings: &Settings) -> bool {
-        self.turn += self.capacity / largest_capacity * self.slowness.max(1.0).powi(-2);
-        let complete = self.turn >= 1.0 - TURN_ROUNDING;
-        if complete {
-            self.turn -= 1.0;
+    pub fn take_turn(&mut self, largest_capacity: f64, now: Time, settings: &Settings) -> bool {
+        self.turn_credit += self.capacity / largest_capacity * self.slowness.max(1.0).powi(-2);
+        let is_complete = self.turn_credit >= 1.0 - TURN_TOLERANCE;
+        if is_complete {
+            self.turn_credit -= 1.0;
         }
-        complete || !self.warm_up.is_warm(now, settings)
+        is_complete || !self.warm_up.is_warm(now, settings)
     }
 
     /// Learns how long an attempt of a class took.
-    pub fn learn_slowness(&mut self, class: &LatencyStatistics, took: Duration) {
+    pub fn learn_slowness(&mut self, class: &LatencyStatistics, elapsed: Duration) {
         if class.is_trusted() {
-            self.slowness += SLOWNESS_GAIN * (took as f64 / class.mean - self.slowness).min(SLOWNESS_STEP);
+            self.slowness +=
+                SLOWNESS_GAIN * (elapsed as f64 / class.mean - self.slowness).min(MAX_SLOWNESS_STEP);
         }
     }
 
@@ -103,7 +104,7 @@
 
     /// Whether it has answered so lately that it must be alive.
     pub fn is_alive(&self, now: Time) -> bool {
-        now < self.answered_at.saturating_add(ALIVE)
+        now < self.answered_at.saturating_add(ALIVE_WINDOW)
     }
 
     // ---- Connections ----
@@ -118,18 +119,18 @@
         idle_timeout: Duration,
         repeatable: bool,
         actions: &mut Vec<Action>,
-    ) -> IdleStep {
-        let idle = now.saturating_sub(self.idle_from);
-        if self.has_no_idle_connection() || idle >= idle_timeout {
+    ) -> IdleTimeBucket {
+        let idle_time = now.saturating_sub(self.idle_since);
+        if self.has_no_idle_connection() || idle_time >= idle_timeout {
             self.open_connections = self.connections_in_use();
-            return IdleStep::default();
+            return IdleTimeBucket::default();
         }
-        let step = IdleStep::of(idle);
-        if !risk.should_replace(step, now, repeatable) {
-            return step;
+        let idle_bucket = IdleTimeBucket::of(idle_time);
+        if !risk.should_replace(idle_bucket, now, repeatable) {
+            return idle_bucket;
         }
         self.close_idle(actions);
-        IdleStep::default()
+        IdleTimeBucket::default()
     }
 
     /// Counts a connection for the request that was just sent.
@@ -139,8 +140,8 @@
 
     /// A connection is idle again. Those of a burst would stay for long, and keep those of other balancers out.
     pub fn release_connection(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.idle_from = now;
-        if self.open_connections > self.connections_in_use() + SPARE_CONNECTIONS {
+        self.idle_since = now;
+        if self.open_connections > self.connections_in_use() + MAX_IDLE_CONNECTIONS {
             self.close_idle(actions);
         }
     }
@@ -155,12 +156,12 @@
     pub fn learn_connection_limit(&mut self, now: Time) {
         let connections = self.connections_in_use();
         self.open_connections = connections;
-        self.connection_limit = Some(ConnectionLimit { connections, learned: now });
+        self.connection_limit = Some(ConnectionLimit { connections, learned_at: now });
     }
 
     /// Whether a request would need a connection that the endpoint did not let us have lately. Guards against
     /// endpoints that accept fewer than usual: each attempt costs the whole time of a failed connection.
-    pub fn lacks_connection(&self, now: Time) -> bool {
+    pub fn is_at_connection_limit(&self, now: Time) -> bool {
         let Some(limit) = self.connection_limit else { return false };
         self.has_no_idle_connection() && u64::from(self.connections_in_use()) >= limit.allowed(now)
     }
--- a/src/decision/endpoint_pool.rs
+++ b/src/decision/endpoint_pool.rs
@@ -35,7 +35,7 @@
     }
 
     /// Learns whether an attempt failed.
-    pub fn learn_failing(&mut self, failed: bool, now: Time) {
+    pub fn learn_failure_ratio(&mut self, failed: bool, now: Time) {
         self.failing.learn(failed, now, OUTCOME_GAIN, ZONE_FADE);
     }
 
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -6,15 +6,15 @@
 use super::rejections;
 use super::request_table::PendingRequest;
 use super::settings::{DeduplicationGroup, Idempotency, Settings};
-use super::slow_start::{self, PoolShare, SlowStart};
+use super::slow_start::{self, PoolCapacities, SlowStart};
 use super::statistics::TrafficStatistics;
 
 /// Proposals of one pick before the fallback, as in Ribbon's availability-filtering rule.
-const MOST_PROPOSALS: u32 = 10;
+const MAX_SKIPPED: u32 = 10;
 /// Rounds through a pool before the fallback, as smaller endpoints pass over some of their turns.
-const MOST_ROUNDS: usize = 3;
+const MAX_ROUNDS: usize = 3;
 /// An endpoint is over-full at this multiple of its calm share of requests in flight.
-const OVERFULL_MULTIPLE: f64 = 1.2;
+const IN_FLIGHT_LIMIT_MULTIPLE: f64 = 1.2;
 
 /// What selecting an endpoint reads and changes.
 #[derive(Debug)]
@@ -33,41 +33,41 @@
     pub fn pick(&mut self, pool: usize, request: &PendingRequest) -> Option<usize> {
         let count = self.endpoints.pools[pool].members.len();
         let start = self.endpoints.pools[pool].cursor;
-        let share = self.in_flight_share(pool);
-        let mut proposals = 0;
-        let mut spare = None;
-        let mut next = None;
-        for member in (start + 1..).take(MOST_ROUNDS * count).map(|step| step % count) {
+        let limit_per_capacity = self.in_flight_limit_per_capacity(pool);
+        let mut skipped = 0;
+        let mut at_limit = None;
+        let mut last_resort = None;
+        for member in (start + 1..).take(MAX_ROUNDS * count).map(|step| step % count) {
             let position = self.endpoints.pools[pool].members[member];
             if !self.is_candidate(pool, position, request) {
                 continue;
             }
-            if !self.is_behind(position, request.class) {
-                next = next.or(Some(member));
+            if !self.may_be_backlogged(position, request.class) {
+                last_resort = last_resort.or(Some(member));
             }
-            if !self.takes_turn(position) {
+            if !self.take_turn(position) {
                 continue;
             }
             let rejecting = self.is_rejecting(position, request.class);
-            if !rejecting && self.is_available(position, request.class, share) {
-                return Some(self.picked(pool, member));
+            if !rejecting && self.is_available(position, request.class, limit_per_capacity) {
+                return Some(self.advance_cursor(pool, member));
             }
             if !rejecting && !self.endpoints[position].breaker.tripped {
-                spare = spare.or(Some(member));
+                at_limit = at_limit.or(Some(member));
             }
-            proposals += 1;
-            if proposals > MOST_PROPOSALS && next.is_some() {
+            skipped += 1;
+            if skipped > MAX_SKIPPED && last_resort.is_some() {
                 break;
             }
         }
         // The fallback only guarantees a quick return: better an over-full endpoint than a tripped or rejecting one,
         // and better one of another zone than those. None of them may be behind with its requests.
-        let takes_any = pool == self.endpoints.all_zones();
-        let fallback = if takes_any { spare.or(next)? } else { spare? };
-        Some(self.picked(pool, fallback))
+        let allows_last_resort = pool == self.endpoints.all_zones();
+        let fallback = if allows_last_resort { at_limit.or(last_resort)? } else { at_limit? };
+        Some(self.advance_cursor(pool, fallback))
     }
 
-    fn picked(&mut self, pool: usize, member: usize) -> usize {
+    fn advance_cursor(&mut self, pool: usize, member: usize) -> usize {
         let pool = &mut self.endpoints.pools[pool];
         pool.cursor = member;
         pool.members[member]
@@ -75,67 +75,71 @@
 
     /// Whether an endpoint may be sent to at all. Draining and removed ones are in no pool.
     fn is_candidate(&mut self, pool: usize, position: usize, request: &PendingRequest) -> bool {
-        let again = request.last_attempt.is_some_and(|last| last.endpoint == position);
+        let was_tried_last = request.last_attempt.is_some_and(|last| last.endpoint == position);
         let has_others = self.endpoints.pools[pool].members.len() > 1;
-        !(again && has_others)
-            && self.is_in_group(position, request)
+        !(was_tried_last && has_others)
+            && self.is_in_deduplication_group(position, request)
             && self.slow_start_allows(pool, position, request.class)
     }
 
     /// A request with an idempotency key that may have run stays with the endpoints that drop its repeats.
-    fn is_in_group(&self, position: usize, request: &PendingRequest) -> bool {
+    fn is_in_deduplication_group(&self, position: usize, request: &PendingRequest) -> bool {
         let endpoint = &self.endpoints[position];
-        let first = request.may_have_run.map_or(endpoint, |first| &self.endpoints[first.endpoint]);
+        let first_endpoint =
+            request.may_have_run.map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
         match self.settings.classes[request.class].idempotency {
-            Idempotency::Keyed(DeduplicationGroup::Zone, _) => first.zone == endpoint.zone,
-            Idempotency::Keyed(DeduplicationGroup::Cell, _) => first.cell == endpoint.cell,
+            Idempotency::Keyed(DeduplicationGroup::Zone, _) => first_endpoint.zone == endpoint.zone,
+            Idempotency::Keyed(DeduplicationGroup::Cell, _) => first_endpoint.cell == endpoint.cell,
             _ => true,
         }
     }
 
     /// Whether a cold endpoint's budget has room for a request of a class.
     fn slow_start_allows(&mut self, pool: usize, position: usize, class: usize) -> bool {
-        let warmth = self.endpoints[position].warm_up.warmth(self.now, self.settings);
-        if warmth >= 1.0 {
+        let capacity_fraction = self.endpoints[position].warm_up.capacity_fraction(self.now, self.settings);
+        if capacity_fraction >= 1.0 {
             return true;
         }
-        let ease = slow_start::budget_ease(self.settings, load_query::is_enabled(self.settings));
-        let is_home = pool == usize::from(self.settings.zone.0);
-        let share = PoolShare {
+        let budget_multiple =
+            slow_start::budget_multiple(self.settings, load_query::is_enabled(self.settings));
+        let is_own_zone = pool == usize::from(self.settings.zone.0);
+        let capacities = PoolCapacities {
             tier_capacity: self.endpoints.pools[self.endpoints.all_zones()].capacity,
-            home_capacity: is_home.then_some(self.endpoints.pools[pool].capacity),
+            own_zone_capacity: is_own_zone.then_some(self.endpoints.pools[pool].capacity),
         };
-        let rate = self.slow_start.growth(self.now, share) * warmth * ease;
+        let growth_rate =
+            self.slow_start.budget_growth_rate(self.now, capacities) * capacity_fraction * budget_multiple;
         let class_cost = self.slow_start.class_cost(class);
         let endpoint = &mut self.endpoints[position];
-        endpoint.warm_up.allows(self.now, rate * endpoint.capacity, class_cost)
+        endpoint.warm_up.allows(self.now, growth_rate * endpoint.capacity, class_cost)
     }
 
     /// Whether an endpoint has to be left alone until the next trial of its breaker.
-    fn is_behind(&self, position: usize, class: usize) -> bool {
-        self.endpoints[position].breaker.is_behind(self.now, self.settings.is_repeatable(class))
+    fn may_be_backlogged(&self, position: usize, class: usize) -> bool {
+        self.endpoints[position].breaker.may_be_backlogged(self.now, self.settings.is_repeatable(class))
     }
 
-    fn takes_turn(&mut self, position: usize) -> bool {
-        let largest = self.endpoints.largest_capacity;
-        self.endpoints[position].takes_turn(largest, self.now, self.settings)
+    fn take_turn(&mut self, position: usize) -> bool {
+        let largest_capacity = self.endpoints.largest_capacity;
+        self.endpoints[position].take_turn(largest_capacity, self.now, self.settings)
     }
 
     fn is_rejecting(&self, position: usize, class: usize) -> bool {
         let endpoint = &self.endpoints[position];
-        rejections::rejects(&endpoint.rejections, class, self.now) || endpoint.lacks_connection(self.now)
+        rejections::rejects(&endpoint.rejections, class, self.now)
+            || endpoint.is_at_connection_limit(self.now)
     }
 
     /// Requests in flight for each unit of capacity up to which an endpoint of a pool is not over-full.
-    fn in_flight_share(&self, pool: usize) -> f64 {
+    fn in_flight_limit_per_capacity(&self, pool: usize) -> f64 {
         let capacity = self.endpoints.pools[pool].capacity.max(f64::MIN_POSITIVE);
-        OVERFULL_MULTIPLE * self.traffic.calm_in_flight(self.now) / capacity
+        IN_FLIGHT_LIMIT_MULTIPLE * self.traffic.baseline_in_flight(self.now) / capacity
     }
 
     /// Whether an endpoint is under its limit, and its breaker lets a request through.
-    fn is_available(&self, position: usize, class: usize, share: f64) -> bool {
+    fn is_available(&self, position: usize, class: usize, limit_per_capacity: f64) -> bool {
         let endpoint = &self.endpoints[position];
-        let limit = (share * endpoint.capacity).ceil().max(1.0);
+        let limit = (limit_per_capacity * endpoint.capacity).ceil().max(1.0);
         let repeatable = self.settings.is_repeatable(class);
         f64::from(endpoint.in_flight) < limit && endpoint.breaker.admits(self.now, repeatable)
     }
--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -16,14 +16,14 @@
     endpoints: Vec<Endpoint>,
     positions: HashMap<EndpointId, usize>,
     /// Positions that no endpoint has.
-    free: Vec<usize>,
+    free_positions: Vec<usize>,
     /// Endpoints that operators have taken offline, listed or not.
     offline: HashSet<EndpointId>,
     /// One for each zone; the last has all endpoints.
     pub pools: Vec<EndpointPool>,
     /// The largest capacity of an endpoint in service.
     pub largest_capacity: f64,
-    classes: usize,
+    class_count: usize,
 }
 
 impl std::ops::Index<usize> for EndpointTable {
@@ -46,11 +46,11 @@
         Self {
             endpoints: Vec::new(),
             positions: HashMap::new(),
-            free: Vec::new(),
+            free_positions: Vec::new(),
             offline: HashSet::new(),
             pools: (0..=settings.zones).map(|_| EndpointPool::default()).collect(),
             largest_capacity: DEFAULT_CAPACITY,
-            classes: settings.classes.len(),
+            class_count: settings.classes.len(),
         }
     }
 
@@ -79,7 +79,7 @@
     // ---- The list ----
 
     /// Counts all endpoints as removed, until a complete list names them again.
-    pub fn remove_all(&mut self) {
+    pub fn mark_all_removed(&mut self) {
         for &position in self.positions.values() {
             self.endpoints[position].removed = true;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Takes over an entry of a list. The pools have to be rebuilt after it. `least_cost` is what the lightest requests cost.
-    pub fn apply(&mut self, entry: &EndpointEntry, now: Time, least_cost: f64, rng: &mut fastrand::Rng) {
+    pub fn apply(&mut self, entry: &EndpointEntry, now: Time, min_cost: f64, rng: &mut fastrand::Rng) {
         let removed = entry.state == EndpointState::Removed;
         let position = match self.position(entry.endpoint) {
             Some(position) => position,
@@ -107,19 +107,19 @@
         endpoint.in_service = endpoint.listed_in_service && !offline;
         endpoint.capacity = valid_capacity(entry.capacity);
         if entry.started.is_some() && entry.started != endpoint.warm_up.started {
-            endpoint.on_restart(now, rng.f64(), least_cost);
+            endpoint.on_restart(now, rng.f64(), min_cost);
         }
         endpoint.warm_up.started = entry.started;
     }
 
     fn add(&mut self, id: EndpointId, rng: &mut fastrand::Rng) -> usize {
         // Seeded, so that replicas that skip an endpoint don't all hit the same next one.
-        let order = rng.u64(..);
-        let turn = rng.f64();
-        let endpoint = Endpoint::new(id, order, turn, self.classes);
-        let position = self.free.pop().unwrap_or(self.endpoints.len());
+        let round_robin_order = rng.u64(..);
+        let turn_credit = rng.f64();
+        let endpoint = Endpoint::new(id, round_robin_order, turn_credit, self.class_count);
+        let position = self.free_positions.pop().unwrap_or(self.endpoints.len());
         match self.endpoints.get_mut(position) {
-            Some(place) => *place = endpoint,
+            Some(slot) => *slot = endpoint,
             None => self.endpoints.push(endpoint),
         }
         self.positions.insert(id, position);
@@ -138,7 +138,7 @@
             if endpoint.removed && !referenced.contains(&position) {
                 self.positions.remove(&endpoint.id);
                 *endpoint = Endpoint::default();
-                self.free.push(position);
+                self.free_positions.push(position);
             }
         }
     }
@@ -148,7 +148,7 @@
         let positions = 0..self.endpoints.len();
         let mut members: Vec<usize> =
             positions.filter(|&position| self.endpoints[position].in_service).collect();
-        members.sort_by_key(|&position| self.endpoints[position].order);
+        members.sort_by_key(|&position| self.endpoints[position].round_robin_order);
         self.pools.iter_mut().for_each(EndpointPool::clear);
         self.largest_capacity = f64::MIN_POSITIVE;
         for position in members {
@@ -159,9 +159,9 @@
     }
 
     /// When each endpoint of a pool is warm, and its capacity.
-    pub fn warm_ups(&self, pool: usize, settings: &Settings) -> Vec<(Time, f64)> {
+    pub fn warm_up_ends(&self, pool: usize, settings: &Settings) -> Vec<(Time, f64)> {
         let members = self.pools[pool].members.iter().map(|&position| &self.endpoints[position]);
-        members.map(|endpoint| (endpoint.warm_up.warm_from(settings), endpoint.capacity)).collect()
+        members.map(|endpoint| (endpoint.warm_up.warm_at(settings), endpoint.capacity)).collect()
     }
 
     // ---- Operators ----
@@ -182,15 +182,15 @@
         &mut self,
         id: EndpointId,
         now: Time,
-        least_cost: f64,
+        min_cost: f64,
         rng: &mut fastrand::Rng,
     ) -> bool {
         let was_offline = self.offline.remove(&id);
         let Some(position) = self.position(id).filter(|_| was_offline) else { return false };
         let endpoint = &mut self.endpoints[position];
-        endpoint.on_restart(now, rng.f64(), least_cost);
+        endpoint.on_restart(now, rng.f64(), min_cost);
         endpoint.in_service = endpoint.listed_in_service;
-        endpoint.warm_up.brought_back = Some(now);
+        endpoint.warm_up.brought_online_at = Some(now);
         true
     }
 
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -150,7 +150,7 @@
 
     /// Changes what is in hand, and sums what was in hand until now.
     fn change_in_hand(&mut self, change: f64, now: Time, window: Duration) {
-        let passed = now.saturating_sub(self.in_hand.updated) as f64 / window as f64;
+        let passed = now.saturating_sub(self.in_hand.updated_at) as f64 / window as f64;
         let held = self.waiting * window as f64 * (1.0 - (-passed).exp());
         self.in_hand.add(now, held, window);
         self.waiting = (self.waiting + change).max(0.0);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -134,14 +134,14 @@
     }
 
     fn on_complete_list(&mut self, entries: &[EndpointEntry]) {
-        self.endpoints.remove_all();
+        self.endpoints.mark_all_removed();
         self.on_endpoints(entries);
     }
 
     fn on_endpoints(&mut self, entries: &[EndpointEntry]) {
-        let least_cost = self.slow_start.least_cost();
+        let min_cost = self.slow_start.min_cost();
         for entry in entries {
-            self.endpoints.apply(entry, self.now, least_cost, &mut self.rng);
+            self.endpoints.apply(entry, self.now, min_cost, &mut self.rng);
         }
         self.forget_removed();
         self.rebuild_pools();
@@ -163,7 +163,7 @@
     fn rebuild_pools(&mut self) {
         self.endpoints.rebuild_pools();
         let home = usize::from(self.settings.zone.0);
-        self.slow_start.set_home_endpoints(self.endpoints.warm_ups(home, &self.settings));
+        self.slow_start.set_own_zone_endpoints(self.endpoints.warm_up_ends(home, &self.settings));
     }
 
     fn on_offline(&mut self, endpoint: EndpointId) {
@@ -173,8 +173,8 @@
     }
 
     fn on_online(&mut self, endpoint: EndpointId) {
-        let least_cost = self.slow_start.least_cost();
-        if self.endpoints.bring_online(endpoint, self.now, least_cost, &mut self.rng) {
+        let min_cost = self.slow_start.min_cost();
+        if self.endpoints.bring_online(endpoint, self.now, min_cost, &mut self.rng) {
             self.rebuild_pools();
         }
     }
--- a/src/decision/rejections.rs
+++ b/src/decision/rejections.rs
@@ -33,7 +33,7 @@
 
     /// The endpoint answered with an error. Answers to other classes would keep its breaker closed.
     pub fn on_error(&mut self, now: Time) {
-        self.extend(now, circuit_breaker::OPEN.first, TOLERATED_ERRORS);
+        self.extend(now, circuit_breaker::OPEN_BACKOFF.first, TOLERATED_ERRORS);
     }
 
     /// Passes the endpoint over, longer each time, once so many in a row were tolerated.
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -195,7 +195,8 @@
         let latency = &self.traffic.classes[request.class];
         if latency.is_trusted() && !request.streaming {
             let token = lateness_token(id, request.attempts);
-            self.actions.push(Action::SetTimer { after: latency.above(LATE_DEVIATIONS), token });
+            self.actions
+                .push(Action::SetTimer { after: latency.mean_plus_deviations(LATE_DEVIATIONS), token });
         }
         let repeatable = self.settings.is_repeatable(request.class);
         let timeout = self.settings.idle_timeout;
@@ -221,7 +222,7 @@
     fn attempt_limit(&self, request: &PendingRequest) -> Time {
         let left = request.deadline.saturating_sub(self.now);
         let latency = &self.traffic.classes[request.class];
-        let overdue = latency.above(OVERDUE_DEVIATIONS);
+        let overdue = latency.mean_plus_deviations(OVERDUE_DEVIATIONS);
         let attempts_left = request.attempts + 1 < self.settings.max_attempts;
         let may_retry = attempts_left && self.settings.is_repeatable(request.class);
         let is_cut = may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= left;
@@ -287,7 +288,7 @@
         self.change_weight(-weight);
         let latency: &LatencyStatistics = &self.traffic.classes[class];
         self.endpoints[endpoint].learn_slowness(latency, self.now - sent);
-        let after = latency.above(OVERDUE_DEVIATIONS - LATE_DEVIATIONS);
+        let after = latency.mean_plus_deviations(OVERDUE_DEVIATIONS - LATE_DEVIATIONS);
         self.actions.push(Action::SetTimer { after, token });
     }
 
@@ -306,7 +307,7 @@
         endpoint.release_connection(self.now, &mut self.actions);
         endpoint.breaker.trial_in_flight &= !request.is_trial;
         if end.outcome == AttemptOutcome::NotSent {
-            endpoint.warm_up.give_back(sent, request.warm_up_cost);
+            endpoint.warm_up.refund(sent, request.warm_up_cost);
         }
         self.learn(&request, position, &end);
         if request.closed {
--- a/src/decision/request_table.rs
+++ b/src/decision/request_table.rs
@@ -1,7 +1,7 @@
 //! The requests that are not answered yet, or have an attempt in flight.
 
 use super::event::{Duration, RequestId, Time};
-use super::idle_connections::IdleStep;
+use super::idle_connections::IdleTimeBucket;
 use super::settings::{Idempotency, Settings};
 use std::collections::HashMap;
 
@@ -50,7 +50,7 @@
     /// The attempt in flight is the trial of a breaker.
     pub is_trial: bool,
     /// How long the connection of the attempt in flight had been idle.
-    pub idle: IdleStep,
+    pub idle: IdleTimeBucket,
     /// The first attempt that may have run.
     pub may_have_run: Option<SentAttempt>,
     /// It has its final answer, or is owed none.
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -54,7 +54,7 @@
             _ => 0.0,
         };
         let most = f64::from(settings.max_attempts - 1);
-        self.futile[request.class].add_up_to(most, now, change, FUTILE_FADE);
+        self.futile[request.class].add_clamped(most, now, change, FUTILE_FADE);
     }
 
     /// Whether a request is sent again; takes the retry out of the budget.
--- a/src/decision/statistics.rs
+++ b/src/decision/statistics.rs
@@ -10,12 +10,12 @@
 /// Time over which request rates are averaged: a few requests at the smallest balancer.
 pub(crate) const RATE_WINDOW: Duration = 5 * SECOND;
 /// The calm latency falls much faster towards the mean than it rises: a jam must not come to look calm.
-const CALM_GAIN_DOWN: f64 = 0.05;
-const CALM_GAIN_UP: f64 = 0.001;
+const BASELINE_GAIN_DOWN: f64 = 0.05;
+const BASELINE_GAIN_UP: f64 = 0.001;
 /// Shortest latency that a limit is derived from, in nanoseconds.
-const LEAST_LIMIT: f64 = 1e6;
+const MIN_LATENCY_LIMIT_NS: f64 = 1e6;
 /// Least part of its window that a rate counts as having seen, so that the first samples don't blow it up.
-const LEAST_SEEN: f64 = 0.05;
+const MIN_OBSERVED_FRACTION: f64 = 0.05;
 
 /// Mean and mean deviation of a latency, or of a lateness.
 #[derive(Clone, Debug, Default)]
@@ -23,14 +23,14 @@
     pub mean: f64,
     pub deviation: f64,
     /// Follows the mean, faster downwards than upwards: the latency of calm times.
-    pub calm: f64,
+    pub baseline: f64,
     pub samples: u32,
 }
 
 impl LatencyStatistics {
     /// So many mean deviations above the mean, in nanoseconds.
-    pub fn above(&self, deviations: f64) -> Duration {
-        (self.mean + deviations * self.deviation).max(LEAST_LIMIT) as Duration
+    pub fn mean_plus_deviations(&self, deviations: f64) -> Duration {
+        (self.mean + deviations * self.deviation).max(MIN_LATENCY_LIMIT_NS) as Duration
     }
 
     /// Whether there are enough samples to go by.
@@ -39,14 +39,14 @@
     }
 
     /// Learns a sample with at least this weight; the first samples weigh more.
-    pub fn learn(&mut self, elapsed: f64, gain: f64) {
+    pub fn learn(&mut self, sample: f64, gain: f64) {
         self.samples = self.samples.saturating_add(1);
-        let least_gain = 1.0 / f64::from(self.samples);
-        let gain = gain.max(least_gain);
-        self.mean += gain * (elapsed - self.mean);
-        self.deviation += gain * ((elapsed - self.mean).abs() - self.deviation);
-        let calm_gain = if self.mean < self.calm { CALM_GAIN_DOWN } else { CALM_GAIN_UP };
-        self.calm += calm_gain.max(least_gain) * (self.mean - self.calm);
+        let min_gain = 1.0 / f64::from(self.samples);
+        let gain = gain.max(min_gain);
+        self.mean += gain * (sample - self.mean);
+        self.deviation += gain * ((sample - self.mean).abs() - self.deviation);
+        let baseline_gain = if self.mean < self.baseline { BASELINE_GAIN_DOWN } else { BASELINE_GAIN_UP };
+        self.baseline += baseline_gain.max(min_gain) * (self.mean - self.baseline);
     }
 }
 
@@ -54,42 +54,44 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DecayingSum {
     pub sum: f64,
-    pub updated: Time,
-    since: Time,
+    pub updated_at: Time,
+    started_at: Time,
 }
 
 impl DecayingSum {
     /// An empty sum that begins to count now.
-    pub fn since(now: Time) -> Self {
+    pub fn starting_at(now: Time) -> Self {
         Self::new(0.0, now, now)
     }
 
     /// A sum as it was when it was updated last, of what has come since a time.
-    pub fn new(sum: f64, updated: Time, since: Time) -> Self {
-        Self { sum, updated, since }
+    pub fn new(sum: f64, updated_at: Time, started_at: Time) -> Self {
+        Self { sum, updated_at, started_at }
     }
 
     /// The sum for each second, right from the first second on.
-    pub fn per_second(&self, now: Time, window: Duration) -> f64 {
-        let seen = 1.0 - (-(now.saturating_sub(self.since) as f64) / window as f64).exp();
-        self.get(now, window) * 1e9 / (window as f64 * seen.max(LEAST_SEEN))
+    pub fn per_second(&self, now: Time, time_constant: Duration) -> f64 {
+        let observed_fraction =
+            1.0 - (-(now.saturating_sub(self.started_at) as f64) / time_constant as f64).exp();
+        self.get(now, time_constant) * 1e9
+            / (time_constant as f64 * observed_fraction.max(MIN_OBSERVED_FRACTION))
     }
 
     /// What is left of the sum.
-    pub fn get(&self, now: Time, window: Duration) -> f64 {
-        self.sum * decay(now, self.updated, window)
+    pub fn get(&self, now: Time, time_constant: Duration) -> f64 {
+        self.sum * decay(now, self.updated_at, time_constant)
     }
 
     /// Adds an amount.
-    pub fn add(&mut self, now: Time, amount: f64, window: Duration) {
-        self.sum = self.get(now, window) + amount;
-        self.updated = now;
+    pub fn add(&mut self, now: Time, amount: f64, time_constant: Duration) {
+        self.sum = self.get(now, time_constant) + amount;
+        self.updated_at = now;
     }
 
     /// Adds or takes off, but the sum stays between nothing and a most.
-    pub fn add_up_to(&mut self, most: f64, now: Time, amount: f64, window: Duration) {
-        self.add(now, amount, window);
-        self.sum = self.sum.clamp(0.0, most);
+    pub fn add_clamped(&mut self, max: f64, now: Time, amount: f64, time_constant: Duration) {
+        self.add(now, amount, time_constant);
+        self.sum = self.sum.clamp(0.0, max);
     }
 }
 
@@ -97,26 +99,26 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRatio {
     value: f64,
-    updated: Time,
+    updated_at: Time,
 }
 
 impl DecayingRatio {
     /// The ratio as it is known now.
-    pub fn get(&self, now: Time, fade: Duration) -> f64 {
-        self.value * decay(now, self.updated, fade)
+    pub fn get(&self, now: Time, time_constant: Duration) -> f64 {
+        self.value * decay(now, self.updated_at, time_constant)
     }
 
     /// Learns whether one more attempt failed.
-    pub fn learn(&mut self, failed: bool, now: Time, gain: f64, fade: Duration) {
-        let old = self.get(now, fade);
-        self.value = old + gain * (f64::from(u8::from(failed)) - old);
-        self.updated = now;
+    pub fn learn(&mut self, failed: bool, now: Time, gain: f64, time_constant: Duration) {
+        let previous = self.get(now, time_constant);
+        self.value = previous + gain * (f64::from(u8::from(failed)) - previous);
+        self.updated_at = now;
     }
 }
 
 /// What is left after a while of what fades over a window, from 1 to 0.
-fn decay(now: Time, updated: Time, window: Duration) -> f64 {
-    (-(now.saturating_sub(updated) as f64) / window as f64).exp()
+fn decay(now: Time, updated_at: Time, time_constant: Duration) -> f64 {
+    (-(now.saturating_sub(updated_at) as f64) / time_constant as f64).exp()
 }
 
 /// What the balancer has learned of its traffic as a whole.
@@ -130,7 +132,7 @@
     pub per_in_flight: LatencyStatistics,
     answered: DecayingSum,
     /// Part of all attempts that fail.
-    failing: f64,
+    failure_ratio: f64,
 }
 
 impl TrafficStatistics {
@@ -140,8 +142,8 @@
             classes: vec![LatencyStatistics::default(); settings.classes.len()],
             overall: LatencyStatistics::default(),
             per_in_flight: LatencyStatistics::default(),
-            answered: DecayingSum::since(now),
-            failing: 0.0,
+            answered: DecayingSum::starting_at(now),
+            failure_ratio: 0.0,
         }
     }
 
@@ -156,24 +158,24 @@
     }
 
     /// Requests that would be in flight if all were answered as fast as in calm times (Little's law).
-    pub fn calm_in_flight(&self, now: Time) -> f64 {
-        self.answer_rate(now) * self.overall.calm / SECOND as f64
+    pub fn baseline_in_flight(&self, now: Time) -> f64 {
+        self.answer_rate(now) * self.overall.baseline / SECOND as f64
     }
 
     /// Learns that an attempt failed, and gives the part that fails now.
     pub fn learn_failure(&mut self) -> f64 {
-        self.failing += OUTCOME_GAIN * (1.0 - self.failing);
-        self.failing
+        self.failure_ratio += OUTCOME_GAIN * (1.0 - self.failure_ratio);
+        self.failure_ratio
     }
 
     /// Learns that an attempt succeeded.
     pub fn learn_success(&mut self) {
-        self.failing -= OUTCOME_GAIN * self.failing;
+        self.failure_ratio -= OUTCOME_GAIN * self.failure_ratio;
     }
 
     /// Learns how long an attempt of a class took, in nanoseconds.
-    pub fn learn_latency(&mut self, class: usize, took: f64) {
-        self.classes[class].learn(took, OUTCOME_GAIN);
-        self.overall.learn(took, OUTCOME_GAIN);
+    pub fn learn_latency(&mut self, class: usize, elapsed: f64) {
+        self.classes[class].learn(elapsed, OUTCOME_GAIN);
+        self.overall.learn(elapsed, OUTCOME_GAIN);
     }
 }
--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether requests go past the own zone.
-    pub fn has_left_own_zone(&self) -> bool {
+    pub fn avoids_own_zone(&self) -> bool {
         self.own_zone_left
     }
 
@@ -105,8 +105,8 @@
     if !selector.traffic.overall.is_trusted() {
         return false; // at a cold start nothing is calm yet, and every zone would be left at once
     }
-    let calm_in_flight = selector.traffic.calm_in_flight(selector.now);
-    let calm = calm_in_flight * zone.capacity / normal_capacity.max(f64::MIN_POSITIVE);
+    let baseline_in_flight = selector.traffic.baseline_in_flight(selector.now);
+    let calm = baseline_in_flight * zone.capacity / normal_capacity.max(f64::MIN_POSITIVE);
     let limit = OVERLOAD_MULTIPLE * calm + OVERLOAD_DEVIATIONS * calm.sqrt();
     f64::from(zone.in_flight) > limit.max(OVERLOAD_LEAST)
 }
@@ -126,7 +126,7 @@
     let now = selector.now;
     let other = random_zone(selector, |zone, pool| zone != own && is_sound(pool, now))?;
     let pools = &selector.endpoints.pools;
-    let calm = pools[own].lateness.calm;
+    let calm = pools[own].lateness.baseline;
     let least = SPILL_GAIN_OF_PRICE * selector.settings.cross_zone_price + SPILL_GAIN_LEAST;
     let gain = pools[own].expected_lateness(calm, now) - pools[other].expected_lateness(calm, now) - least;
     let spills = selector.rng.f64() < SPILL_PER_LATENESS * gain;
