--- a/src/decision/endpoint_pool.rs
+++ b/src/decision/endpoint_pool.rs
@@ -5,7 +5,7 @@
 use super::statistics::{DecayingRatio, LatencyStatistics, OUTCOME_GAIN};
 
 /// Time over which what is known of a zone fades: then it is tried again.
-pub(crate) const ZONE_FADE: Duration = 10 * SECOND;
+pub(crate) const ZONE_TIME_CONSTANT: Duration = 10 * SECOND;
 /// Weight of an attempt in the lateness of its zone: some ten of them, so that small balancers follow.
 const LATENESS_GAIN: f64 = 0.1;
 
@@ -22,37 +22,37 @@
     pub tripped: usize,
     /// Requests in flight at the members.
     pub in_flight: u32,
-    failing: DecayingRatio,
+    failure_ratio: DecayingRatio,
     /// How long attempts take, as part of their objective, and when that was learned last.
     pub lateness: LatencyStatistics,
-    lateness_updated: Time,
+    lateness_updated_at: Time,
 }
 
 impl EndpointPool {
     /// Part of the attempts that failed lately.
-    pub fn failing(&self, now: Time) -> f64 {
-        self.failing.get(now, ZONE_FADE)
+    pub fn failure_ratio(&self, now: Time) -> f64 {
+        self.failure_ratio.get(now, ZONE_TIME_CONSTANT)
     }
 
     /// Learns whether an attempt failed.
     pub fn learn_failure_ratio(&mut self, failed: bool, now: Time) {
-        self.failing.learn(failed, now, OUTCOME_GAIN, ZONE_FADE);
+        self.failure_ratio.learn(failed, now, OUTCOME_GAIN, ZONE_TIME_CONSTANT);
     }
 
     /// Learns how long an attempt took, as part of its objective.
     pub fn learn_lateness(&mut self, lateness: f64, now: Time) {
         self.lateness.learn(lateness, LATENESS_GAIN);
-        self.lateness_updated = now;
+        self.lateness_updated_at = now;
     }
 
     /// Lateness that a request can expect; what is known of it fades towards what is calm.
-    pub fn expected_lateness(&self, calm: f64, now: Time) -> f64 {
-        let age = now.saturating_sub(self.lateness_updated) as f64 / ZONE_FADE as f64;
-        calm + (self.lateness.mean - calm) * (-age).exp()
+    pub fn expected_lateness(&self, baseline: f64, now: Time) -> f64 {
+        let age = now.saturating_sub(self.lateness_updated_at) as f64 / ZONE_TIME_CONSTANT as f64;
+        baseline + (self.lateness.mean - baseline) * (-age).exp()
     }
 
     /// Members whose breaker is closed.
-    pub fn healthy(&self) -> usize {
+    pub fn healthy_count(&self) -> usize {
         self.members.len().saturating_sub(self.tripped)
     }
 
@@ -81,6 +81,6 @@
 /// The pools that an endpoint of a zone is in: its zone's, and the last one, which has all endpoints.
 pub(crate) fn pools_of(pools: &mut [EndpointPool], zone: usize) -> impl Iterator<Item = &mut EndpointPool> {
     let all = pools.len() - 1;
-    let of_zone = move |position: usize| position == zone || position == all;
-    pools.iter_mut().enumerate().filter(move |(position, _)| of_zone(*position)).map(|(_, pool)| pool)
+    let covers_zone = move |position: usize| position == zone || position == all;
+    pools.iter_mut().enumerate().filter(move |(position, _)| covers_zone(*position)).map(|(_, pool)| pool)
 }
