--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -10,7 +10,7 @@
 /// First watches are spread over this much for each replica: the capacity of discovery is fixed.
 const SPREAD_PER_REPLICA: Duration = SECOND / 10;
 /// The cap leaves time for two calls that fail, until what came during the start counts as notified after 6 s.
-const LONGEST_SPREAD: Duration = 2 * SECOND;
+const MAX_SPREAD: Duration = 2 * SECOND;
 /// Wait before a failed watch is opened again. It is in the sums of docs/design.md, which have to stay under the 6 s
 /// after which a change counts as notified.
 const WATCH_BACKOFF: Backoff = Backoff { first: 7 * SECOND / 20, cap: 3 * SECOND / 2 };
@@ -28,7 +28,7 @@
         let is_first = self.consecutive_failures.replace(0).is_none();
         if is_first && settings.polls_discovery {
             let spread = SPREAD_PER_REPLICA.saturating_mul(Duration::from(settings.replicas));
-            open_within(spread.min(LONGEST_SPREAD).min(settings.poll_within / 2), rng, actions);
+            open_watch_within(spread.min(MAX_SPREAD).min(settings.poll_within / 2), rng, actions);
         }
     }
 
@@ -36,7 +36,7 @@
     pub fn on_failure(&mut self, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) -> u32 {
         let failures = self.consecutive_failures.unwrap_or(0) + 1;
         self.consecutive_failures = Some(failures);
-        open_within(WATCH_BACKOFF.delay(failures), rng, actions);
+        open_watch_within(WATCH_BACKOFF.delay(failures), rng, actions);
         failures
     }
 
@@ -44,11 +44,11 @@
     /// once.
     pub fn on_moved(&mut self, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) {
         self.consecutive_failures = Some(0);
-        open_within(WATCH_BACKOFF.first, rng, actions);
+        open_watch_within(WATCH_BACKOFF.first, rng, actions);
     }
 }
 
 /// Opens the watch after a random part of a time, so that no two replicas call at once.
-fn open_within(most: Duration, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) {
-    actions.push(Action::SetTimer { after: rng.u64(..=most), token: WATCH_TOKEN });
+fn open_watch_within(max_delay: Duration, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) {
+    actions.push(Action::SetTimer { after: rng.u64(..=max_delay), token: WATCH_TOKEN });
 }
