--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! The state of one endpoint: its requests in flight, connections, latency and breaker.
 
 use super::action::Action;
 use super::circuit_breaker::CircuitBreaker;
@@ -9,16 +9,17 @@
 use super::slow_start::WarmUp;
 use super::statistics::LatencyStatistics;
 
-/// Weight of an attempt in its endpoint's slowness: a balancer with few requests sees few a second of each.
+/// Smoothing factor of an endpoint's slowness: large, as a balancer with few requests sends few per second to
+/// each endpoint.
 const SLOWNESS_GAIN: f64 = 0.3;
-/// Most by which one attempt raises the slowness, before its weight.
+/// Largest deviation from the slowness that one attempt may add, before smoothing.
 const MAX_SLOWNESS_STEP: f64 = 4.0;
-/// An endpoint that answered so lately is alive: a connection that fails is one too many for it.
+/// An endpoint that answered within this time is alive: a connection that fails exceeds its connection limit.
 const ALIVE_WINDOW: Duration = SECOND;
-/// A turn counts as complete within this rounding error.
+/// Rounding error within which a turn counts as complete.
 const TURN_TOLERANCE: f64 = 1e-9;
 
-/// An endpoint.
+/// One endpoint, and what has been learned about it.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub id: EndpointId,
@@ -28,41 +29,43 @@
     pub listed_in_service: bool,
     /// Gets requests: listed as in service, and not taken offline by an operator.
     pub in_service: bool,
-    /// It is on no list any more, and is forgotten once nothing refers to it.
+    /// No longer listed; forgotten once nothing refers to it.
     pub removed: bool,
-    /// Its capacity, to be compared with that of others.
+    /// Capacity relative to that of other endpoints.
     pub capacity: f64,
-    /// Place in the round robin.
+    /// Sort key in the round robin.
     pub round_robin_order: u64,
-    /// Fraction of a turn that has come together.
+    /// Accumulated fraction of a turn in the round robin.
     turn_credit: f64,
     pub warm_up: WarmUp,
     pub in_flight: u32,
-    /// Responses of it that are being streamed: each has a connection, and none of its work is left.
+    /// Responses that are being streamed. Each occupies a connection, but its work at the endpoint is done.
     pub streaming_responses: u32,
-    /// Its rejections, for each class.
+    /// Recent rejections and errors, by request class.
     pub rejections: Vec<ClassRejections>,
     connection_limit: Option<ConnectionLimit>,
-    /// Our connections to it, in use or idle.
+    /// This balancer's connections to the endpoint, in use or idle.
     open_connections: u32,
-    /// When an attempt at it ended last, and left its connection idle.
+    /// When an attempt last ended and left its connection idle.
     idle_since: Time,
-    /// When it answered last.
+    /// When the endpoint last answered.
     answered_at: Time,
-    /// How long its attempts take, as a multiple of their class's mean.
+    /// Exponentially weighted moving average of the latency of attempts, as a multiple of the mean of their
+    /// class.
     slowness: f64,
     pub breaker: CircuitBreaker,
 }
 
 impl Endpoint {
-    /// An endpoint that nothing is known of yet.
+    /// Creates an endpoint without any history.
     pub fn new(id: EndpointId, round_robin_order: u64, turn_credit: f64, classes: usize) -> Self {
         let rejections = vec![ClassRejections::default(); classes];
         Self { id, round_robin_order, turn_credit, slowness: 1.0, rejections, ..Self::default() }
     }
 
-    /// A new process: the failures of its predecessor say nothing of it, nor do its connections. For its warm-up, `draw`
-    /// is a random number from 0 to 1, and `least_cost` what the lightest requests cost.
+    /// Resets the state for a new process, to which the failures and connections of the old one don't apply.
+    /// Its slow-start budget begins at `random_fraction`, from 0 to 1, of `min_cost`, the cost of a request
+    /// of the lightest class.
     pub fn on_restart(&mut self, now: Time, random_fraction: f64, min_cost: f64) {
         self.breaker = CircuitBreaker::default();
         self.rejections.fill(ClassRejections::default());
@@ -72,14 +75,15 @@
         self.connection_limit = None;
     }
 
-    /// Connections in use.
+    /// Number of connections in use.
     pub fn connections_in_use(&self) -> u32 {
         self.in_flight + self.streaming_responses
     }
 
-    /// Takes its turn in the round robin, if that is complete. A smaller or slower endpoint takes a fraction of the
-    /// turns: a slow one that still answers would else be swamped before it is at its limit. A cold one has its
-    /// budget instead.
+    /// Adds to the turn credit, and takes a turn in the round robin if the credit is complete. A smaller or
+    /// slower endpoint takes a fraction of the turns; otherwise a slow one that still answers would be
+    /// overloaded before it reaches its in-flight limit. A cold endpoint is limited by its slow-start budget
+    /// instead.
     pub fn take_turn(&mut self, largest_capacity: f64, now: Time, settings: &Settings) -> bool {
         self.turn_credit += self.capacity / largest_capacity * self.slowness.max(1.0).powi(-2);
         let is_complete = self.turn_credit >= 1.0 - TURN_TOLERANCE;
@@ -89,7 +93,7 @@
         is_complete || !self.warm_up.is_warm(now, settings)
     }
 
-    /// Learns how long an attempt of a class took.
+    /// Updates the slowness with the latency of an attempt of a class.
     pub fn learn_slowness(&mut self, class: &LatencyStatistics, elapsed: Duration) {
         if class.is_trusted() {
             self.slowness +=
@@ -97,21 +101,22 @@
         }
     }
 
-    /// It has answered.
+    /// Records an answer.
     pub fn on_answer(&mut self, now: Time) {
         self.answered_at = now;
     }
 
-    /// Whether it has answered so lately that it must be alive.
+    /// Whether the endpoint answered so recently that it must be alive.
     pub fn is_alive(&self, now: Time) -> bool {
         now < self.answered_at.saturating_add(ALIVE_WINDOW)
     }
 
     // ---- Connections ----
 
-    /// Chooses the connection for a request, and gives how long it has been idle. Something between may have
-    /// dropped it unseen: where requests on such connections fail and others don't, the idle ones are closed and a
-    /// new one is opened. Guards against reapers of idle connections and restarts; costs a handshake.
+    /// Chooses the connection for a request, and returns how long it has been idle. A device on the path may
+    /// have dropped an idle connection silently: where requests on such connections fail and others don't,
+    /// the idle ones are closed and a new one is opened. Guards against reapers of idle connections and
+    /// restarts, at the cost of a handshake.
     pub fn choose_connection(
         &mut self,
         risk: &IdleRisk,
@@ -133,12 +138,13 @@
         IdleTimeBucket::default()
     }
 
-    /// Counts a connection for the request that was just sent.
+    /// Counts the connection of the request that was just sent.
     pub fn use_connection(&mut self) {
         self.open_connections = self.open_connections.max(self.connections_in_use());
     }
 
-    /// A connection is idle again. Those of a burst would stay for long, and keep those of other balancers out.
+    /// Records that a connection is idle again. Surplus ones are closed: the connections of a burst would
+    /// stay open for long and keep out those of other balancers.
     pub fn release_connection(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.idle_since = now;
         if self.open_connections > self.connections_in_use() + MAX_IDLE_CONNECTIONS {
@@ -152,15 +158,17 @@
         actions.push(Action::CloseIdle(self.id));
     }
 
-    /// It answers, but took no further connection: it is at its limit with those it let us have.
+    /// Sets the connection limit of an endpoint that answers but refused a further connection: those now in
+    /// use.
     pub fn learn_connection_limit(&mut self, now: Time) {
         let connections = self.connections_in_use();
         self.open_connections = connections;
         self.connection_limit = Some(ConnectionLimit { connections, learned_at: now });
     }
 
-    /// Whether a request would need a connection that the endpoint did not let us have lately. Guards against
-    /// endpoints that accept fewer than usual: each attempt costs the whole time of a failed connection.
+    /// Whether a request would need a connection beyond the learned limit. Guards against endpoints that
+    /// accept fewer connections than usual, where each attempt would take the whole time of a failed
+    /// connection.
     pub fn is_at_connection_limit(&self, now: Time) -> bool {
         let Some(limit) = self.connection_limit else { return false };
         self.has_no_idle_connection() && u64::from(self.connections_in_use()) >= limit.allowed(now)
--- a/src/decision/endpoint_pool.rs
+++ b/src/decision/endpoint_pool.rs
@@ -1,67 +1,68 @@
-//! The endpoints that a round robin goes through: those of a zone, or all.
+//! Pools of endpoints, over which the round robin goes: one for each zone, and one of all endpoints.
 
 use super::endpoint::Endpoint;
 use super::event::{Duration, SECOND, Time};
 use super::statistics::{DecayingRatio, LatencyStatistics, OUTCOME_GAIN};
 
-/// Time over which what is known of a zone fades: then it is tried again.
+/// Time constant at which the statistics of a zone decay, after which the zone is tried again.
 pub(crate) const ZONE_TIME_CONSTANT: Duration = 10 * SECOND;
-/// Weight of an attempt in the lateness of its zone: some ten of them, so that small balancers follow.
+/// Smoothing factor of the lateness of a zone: about ten attempts, so that small balancers follow a change.
 const LATENESS_GAIN: f64 = 0.1;
 
-/// A pool of endpoints that are in service.
+/// A pool of endpoints in service, and the statistics of their attempts.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointPool {
-    /// Positions of its endpoints in the table, in the order of the round robin.
+    /// Positions of the members in the endpoint table, in round-robin order.
     pub members: Vec<usize>,
-    /// Position among the members that was picked last.
+    /// Index into `members` of the endpoint picked last.
     pub cursor: usize,
-    /// Sum of the capacities.
+    /// Sum of the members' capacities.
     pub capacity: f64,
-    /// Members whose breaker is tripped.
+    /// Number of members whose breaker is tripped.
     pub tripped: usize,
     /// Requests in flight at the members.
     pub in_flight: u32,
+    /// Fraction of the attempts that failed.
     failure_ratio: DecayingRatio,
-    /// How long attempts take, as part of their objective, and when that was learned last.
+    /// Lateness: the latency of attempts divided by their latency objective.
     pub lateness: LatencyStatistics,
     lateness_updated_at: Time,
 }
 
 impl EndpointPool {
-    /// Part of the attempts that failed lately.
+    /// Fraction of the recent attempts that failed.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         self.failure_ratio.get(now, ZONE_TIME_CONSTANT)
     }
 
-    /// Learns whether an attempt failed.
+    /// Updates the failure ratio with the outcome of an attempt.
     pub fn learn_failure_ratio(&mut self, failed: bool, now: Time) {
         self.failure_ratio.learn(failed, now, OUTCOME_GAIN, ZONE_TIME_CONSTANT);
     }
 
-    /// Learns how long an attempt took, as part of its objective.
+    /// Updates the lateness with that of an attempt.
     pub fn learn_lateness(&mut self, lateness: f64, now: Time) {
         self.lateness.learn(lateness, LATENESS_GAIN);
         self.lateness_updated_at = now;
     }
 
-    /// Lateness that a request can expect; what is known of it fades towards what is calm.
+    /// Expected lateness of a request. Without new samples it decays from the mean to `baseline`.
     pub fn expected_lateness(&self, baseline: f64, now: Time) -> f64 {
         let age = now.saturating_sub(self.lateness_updated_at) as f64 / ZONE_TIME_CONSTANT as f64;
         baseline + (self.lateness.mean - baseline) * (-age).exp()
     }
 
-    /// Members whose breaker is closed.
+    /// Number of members whose breaker is closed.
     pub fn healthy_count(&self) -> usize {
         self.members.len().saturating_sub(self.tripped)
     }
 
-    /// Requests in flight for each unit of capacity.
+    /// Requests in flight per unit of capacity.
     pub fn load(&self) -> f64 {
         f64::from(self.in_flight) / self.capacity.max(f64::MIN_POSITIVE)
     }
 
-    /// Removes all members; what is known of the zone stays.
+    /// Removes all members, and keeps the statistics of the zone.
     pub fn clear(&mut self) {
         self.members.clear();
         self.capacity = 0.0;
@@ -78,7 +79,7 @@
     }
 }
 
-/// The pools that an endpoint of a zone is in: its zone's, and the last one, which has all endpoints.
+/// The pools of an endpoint in a zone: the zone's pool, and the last one, which has all endpoints.
 pub(crate) fn pools_of(pools: &mut [EndpointPool], zone: usize) -> impl Iterator<Item = &mut EndpointPool> {
     let all = pools.len() - 1;
     let covers_zone = move |position: usize| position == zone || position == all;
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Round robin over a pool of endpoints, past those that are ejected, rejecting, over-full or cold.
+//! Weighted round robin over a pool, skipping endpoints that are ejected, rejecting, at a limit, or cold.
 
 use super::endpoints::EndpointTable;
 use super::event::Time;
@@ -9,14 +9,15 @@
 use super::slow_start::{self, PoolCapacities, SlowStart};
 use super::statistics::TrafficStatistics;
 
-/// Proposals of one pick before the fallback, as in Ribbon's availability-filtering rule.
+/// Unavailable endpoints that one selection skips before the fallback, as in Ribbon's availability-filtering
+/// rule.
 const MAX_SKIPPED: u32 = 10;
-/// Rounds through a pool before the fallback, as smaller endpoints pass over some of their turns.
+/// Passes over a pool before the fallback, as endpoints of a smaller capacity skip some of their turns.
 const MAX_ROUNDS: usize = 3;
-/// An endpoint is over-full at this multiple of its calm share of requests in flight.
+/// An endpoint's in-flight limit is this multiple of its share of the baseline requests in flight.
 const IN_FLIGHT_LIMIT_MULTIPLE: f64 = 1.2;
 
-/// What selecting an endpoint reads and changes.
+/// The state that endpoint selection reads and changes.
 #[derive(Debug)]
 pub(crate) struct Selector<'a> {
     pub settings: &'a Settings,
@@ -28,8 +29,8 @@
 }
 
 impl Selector<'_> {
-    /// The next endpoint of a pool for a request. In the pool of all endpoints, one that is ejected or rejecting is
-    /// better than none.
+    /// Returns the position of the next endpoint of a pool for a request. In the pool of all endpoints, an
+    /// ejected or rejecting endpoint is better than none.
     pub fn pick(&mut self, pool: usize, request: &PendingRequest) -> Option<usize> {
         let count = self.endpoints.pools[pool].members.len();
         let start = self.endpoints.pools[pool].cursor;
@@ -60,20 +61,22 @@
                 break;
             }
         }
-        // The fallback only guarantees a quick return: better an over-full endpoint than a tripped or rejecting one,
-        // and better one of another zone than those. None of them may be behind with its requests.
+        // The fallback only guarantees a quick return: an endpoint at its in-flight limit is better than a
+        // tripped or rejecting one, and one of another zone is better than those. An endpoint that may be
+        // backlogged is never chosen.
         let allows_last_resort = pool == self.endpoints.all_zones();
         let fallback = if allows_last_resort { at_limit.or(last_resort)? } else { at_limit? };
         Some(self.advance_cursor(pool, fallback))
     }
 
+    /// Makes a member the last one picked, and returns its position in the endpoint table.
     fn advance_cursor(&mut self, pool: usize, member: usize) -> usize {
         let pool = &mut self.endpoints.pools[pool];
         pool.cursor = member;
         pool.members[member]
     }
 
-    /// Whether an endpoint may be sent to at all. Draining and removed ones are in no pool.
+    /// Whether the endpoint may be sent the request at all. Draining and removed endpoints are in no pool.
     fn is_candidate(&mut self, pool: usize, position: usize, request: &PendingRequest) -> bool {
         let was_tried_last = request.last_attempt.is_some_and(|last| last.endpoint == position);
         let has_others = self.endpoints.pools[pool].members.len() > 1;
@@ -82,7 +85,8 @@
             && self.slow_start_allows(pool, position, request.class)
     }
 
-    /// A request with an idempotency key that may have run stays with the endpoints that drop its repeats.
+    /// Whether the endpoint shares the idempotency keys of the first attempt: a keyed request that may have
+    /// run stays within the group that drops its repeats.
     fn is_in_deduplication_group(&self, position: usize, request: &PendingRequest) -> bool {
         let endpoint = &self.endpoints[position];
         let first_endpoint =
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Whether a cold endpoint's budget has room for a request of a class.
+    /// Whether the slow-start budget of a cold endpoint covers a request of a class.
     fn slow_start_allows(&mut self, pool: usize, position: usize, class: usize) -> bool {
         let capacity_fraction = self.endpoints[position].warm_up.capacity_fraction(self.now, self.settings);
         if capacity_fraction >= 1.0 {
@@ -114,7 +118,7 @@
         endpoint.warm_up.allows(self.now, growth_rate * endpoint.capacity, class_cost)
     }
 
-    /// Whether an endpoint has to be left alone until the next trial of its breaker.
+    /// Whether the endpoint may be backlogged, and gets no request before the next trial of its breaker.
     fn may_be_backlogged(&self, position: usize, class: usize) -> bool {
         self.endpoints[position].breaker.may_be_backlogged(self.now, self.settings.is_repeatable(class))
     }
@@ -130,13 +134,13 @@
             || endpoint.is_at_connection_limit(self.now)
     }
 
-    /// Requests in flight for each unit of capacity up to which an endpoint of a pool is not over-full.
+    /// In-flight limit of the endpoints of a pool, in requests per unit of capacity.
     fn in_flight_limit_per_capacity(&self, pool: usize) -> f64 {
         let capacity = self.endpoints.pools[pool].capacity.max(f64::MIN_POSITIVE);
         IN_FLIGHT_LIMIT_MULTIPLE * self.traffic.baseline_in_flight(self.now) / capacity
     }
 
-    /// Whether an endpoint is under its limit, and its breaker lets a request through.
+    /// Whether an endpoint is below its in-flight limit and its breaker admits a request of a class.
     fn is_available(&self, position: usize, class: usize, limit_per_capacity: f64) -> bool {
         let endpoint = &self.endpoints[position];
         let limit = (limit_per_capacity * endpoint.capacity).ceil().max(1.0);
--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: which endpoints there are, which are in service, and the pools they form.
+//! The endpoint table: the known endpoints, which of them are in service, and the pools they form.
 
 use super::action::Action;
 use super::endpoint::Endpoint;
@@ -7,22 +7,23 @@
 use super::settings::Settings;
 use std::collections::{HashMap, HashSet};
 
-/// Capacity of an endpoint whose listed one makes no sense.
+/// Capacity assumed for an endpoint whose listed capacity is not a positive number.
 const DEFAULT_CAPACITY: f64 = 1.0;
 
-/// All endpoints, by position; a position is given out anew once its endpoint is forgotten.
+/// All endpoints, by position. The position of a forgotten endpoint is reused.
 #[derive(Debug)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Endpoint>,
     positions: HashMap<EndpointId, usize>,
-    /// Positions that no endpoint has.
+    /// Unused positions.
     free_positions: Vec<usize>,
-    /// Endpoints that operators have taken offline, listed or not.
+    /// Endpoints that operators have taken offline, whether listed or not.
     offline: HashSet<EndpointId>,
-    /// One for each zone; the last has all endpoints.
+    /// One pool for each zone, and last the pool of all endpoints.
     pub pools: Vec<EndpointPool>,
-    /// The largest capacity of an endpoint in service.
+    /// Largest capacity of the endpoints in service.
     pub largest_capacity: f64,
+    /// Number of request classes.
     class_count: usize,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl EndpointTable {
-    /// A table without endpoints.
+    /// Creates a table without endpoints.
     pub fn new(settings: &Settings) -> Self {
         Self {
             endpoints: Vec::new(),
@@ -54,12 +55,12 @@
         }
     }
 
-    /// Position of the pool that has all endpoints; those before it are the zones'.
+    /// Position of the pool of all endpoints, which follows the pools of the zones.
     pub fn all_zones(&self) -> usize {
         self.pools.len() - 1
     }
 
-    /// Position of an endpoint.
+    /// Position of an endpoint in the table.
     pub fn position(&self, id: EndpointId) -> Option<usize> {
         self.positions.get(&id).copied()
     }
@@ -69,16 +70,16 @@
         &mut self.pools[self.endpoints[position].zone]
     }
 
-    /// How many listed endpoints get no requests now: offline, draining, or with a tripped breaker.
+    /// Number of listed endpoints that get no requests now: offline, draining, or with a tripped breaker.
     pub fn avoided(&self) -> usize {
         let listed = self.positions.values().map(|&position| &self.endpoints[position]);
         let listed = listed.filter(|endpoint| !endpoint.removed);
         listed.filter(|endpoint| !endpoint.in_service || endpoint.breaker.tripped).count()
     }
 
-    // ---- The list ----
+    // ---- Endpoint list ----
 
-    /// Counts all endpoints as removed, until a complete list names them again.
+    /// Marks all endpoints as removed, until a complete list names them again.
     pub fn mark_all_removed(&mut self) {
         for &position in self.positions.values() {
             self.endpoints[position].removed = true;
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes over an entry of a list. The pools have to be rebuilt after it. `least_cost` is what the lightest requests cost.
+    /// Applies an entry of the endpoint list. The pools must be rebuilt afterwards. `min_cost` is the cost of
+    /// a request of the lightest class.
     pub fn apply(&mut self, entry: &EndpointEntry, now: Time, min_cost: f64, rng: &mut fastrand::Rng) {
         let removed = entry.state == EndpointState::Removed;
         let position = match self.position(entry.endpoint) {
@@ -113,7 +115,8 @@
     }
 
     fn add(&mut self, id: EndpointId, rng: &mut fastrand::Rng) -> usize {
-        // Seeded, so that replicas that skip an endpoint don't all hit the same next one.
+        // The seed differs by replica, so that replicas that skip an endpoint don't all send to the same next
+        // one.
         let round_robin_order = rng.u64(..);
         let turn_credit = rng.f64();
         let endpoint = Endpoint::new(id, round_robin_order, turn_credit, self.class_count);
@@ -126,13 +129,13 @@
         position
     }
 
-    /// Whether there are removed endpoints that have not been forgotten.
+    /// Whether the table still has endpoints marked as removed.
     pub fn has_removed(&self) -> bool {
         self.endpoints.iter().any(|endpoint| endpoint.removed)
     }
 
-    /// Forgets the removed endpoints, but for those that are still referred to. Guards the memory, and the time for
-    /// each list, where endpoints are ever new.
+    /// Forgets the removed endpoints to which nothing refers. This bounds the memory, and the time to apply
+    /// each list, where endpoints are replaced continually.
     pub fn forget_removed(&mut self, referenced: &HashSet<usize>) {
         for (position, endpoint) in self.endpoints.iter_mut().enumerate() {
             if endpoint.removed && !referenced.contains(&position) {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Forms the pools anew from the endpoints in service.
+    /// Rebuilds the pools from the endpoints in service.
     pub fn rebuild_pools(&mut self) {
         let positions = 0..self.endpoints.len();
         let mut members: Vec<usize> =
@@ -158,7 +161,7 @@
         }
     }
 
-    /// When each endpoint of a pool is warm, and its capacity.
+    /// For each endpoint of a pool, the time at which it is warm and its capacity.
     pub fn warm_up_ends(&self, pool: usize, settings: &Settings) -> Vec<(Time, f64)> {
         let members = self.pools[pool].members.iter().map(|&position| &self.endpoints[position]);
         members.map(|endpoint| (endpoint.warm_up.warm_at(settings), endpoint.capacity)).collect()
@@ -166,8 +169,8 @@
 
     // ---- Operators ----
 
-    /// Taken offline, an endpoint is in no pool: nothing is sent, retried or queried there, whatever is listed. Gives
-    /// whether the pools have to be rebuilt.
+    /// Takes an endpoint offline: it leaves all pools, and gets no requests, retries or load queries,
+    /// whatever is listed. Returns whether the pools must be rebuilt.
     pub fn take_offline(&mut self, id: EndpointId, actions: &mut Vec<Action>) -> bool {
         self.offline.insert(id);
         let Some(position) = self.position(id) else { return false };
@@ -176,8 +179,8 @@
         true
     }
 
-    /// Brought back, an endpoint counts as just started: it was restarted meanwhile, and discovery may tell so late. Gives
-    /// whether the pools have to be rebuilt.
+    /// Brings an endpoint back online. It counts as just started, because it was restarted while offline and
+    /// discovery may report that late. Returns whether the pools must be rebuilt.
     pub fn bring_online(
         &mut self,
         id: EndpointId,
@@ -194,9 +197,9 @@
         true
     }
 
-    // ---- What the pools count ----
+    // ---- Pool counters ----
 
-    /// Trips or closes the breaker of an endpoint.
+    /// Trips or closes the breaker of an endpoint, and counts the change in its pools.
     pub fn set_tripped(&mut self, position: usize, tripped: bool) {
         let endpoint = &mut self.endpoints[position];
         if endpoint.breaker.tripped == tripped {
@@ -214,12 +217,12 @@
         }
     }
 
-    /// Counts a request that is in flight from now on.
+    /// Counts one more request in flight at an endpoint.
     pub fn add_in_flight(&mut self, position: usize) {
         self.change_in_flight(position, |count| *count += 1);
     }
 
-    /// Counts a request that is not in flight any more.
+    /// Counts one request fewer in flight at an endpoint.
     pub fn remove_in_flight(&mut self, position: usize) {
         self.change_in_flight(position, |count| *count = count.saturating_sub(1));
     }
