--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -1,32 +1,35 @@
-//! One circuit breaker for each endpoint: trip, open, half-open, close.
+//! The circuit breaker of an endpoint: closed, open or half-open.
 //!
-//! A breaker trips after a few failures in a row, fewer where failures are rare, stays open for a time that
-//! doubles, and closes by one trial request.
+//! A breaker trips after a few consecutive failures, fewer where failures are rare. It stays open for a time
+//! that doubles with each opening, and a successful trial request closes it.
 
 use super::backoff::Backoff;
 use super::event::{AttemptOutcome, Duration, SECOND, Time};
 
-/// How long a breaker stays open. The cap bounds how long a healed endpoint idles.
+/// How long a breaker stays open. The cap bounds how long a recovered endpoint is left unused.
 pub(crate) const OPEN_BACKOFF: Backoff = Backoff { first: SECOND, cap: 8 * SECOND };
-/// Chance that an endpoint no worse than the rest trips: sets how many failures in a row it takes ...
+/// Probability that the breaker of an endpoint no worse than the rest trips by chance; it determines the
+/// consecutive failures needed.
 const FALSE_TRIP_PROBABILITY: f64 = 0.01;
-/// ... within these bounds: one failure is no row, and a broken tier must still show its worst.
+/// Fewest consecutive failures that trip a breaker, as a single failure is no series.
 const MIN_FAILURES: f64 = 2.0;
+/// Most consecutive failures that trip a breaker, so that in a failing tier the worst endpoints still trip.
 const MAX_FAILURES: f64 = 6.0;
-/// The failing part of all attempts is taken to lie between these, whose logarithms are finite.
+/// Lower bound of the failure ratio of all attempts, so that its logarithm is finite.
 const MIN_FAILURE_RATIO: f64 = 0.001;
+/// Upper bound of the failure ratio of all attempts, so that its logarithm, a divisor, is not 0.
 const MAX_FAILURE_RATIO: f64 = 0.999;
-/// Successes in a row after which one failure no longer reopens.
+/// Consecutive successes after which a single failure no longer reopens the breaker.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Successes in a row after which the open time starts again from its first value.
+/// Consecutive successes after which the open time restarts at its first value.
 const RECOVERY_SUCCESSES: u32 = 10;
 
-/// How an attempt failed, as far as that tells what its endpoint is busy with.
+/// What a failed attempt implies for the work left at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// No answer came in time: the endpoint may still be at work on it.
+    /// No answer came in time: the endpoint may still be working on the request.
     Unanswered,
-    /// Any other: nothing of it is left at the endpoint.
+    /// Any other failure: no work of the request is left at the endpoint.
     Ended,
 }
 
@@ -37,28 +40,26 @@
     }
 }
 
-/// A circuit breaker.
+/// The circuit breaker of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreaker {
-    /// Failures in a row.
     consecutive_failures: u32,
-    /// Successes in a row.
     consecutive_successes: u32,
-    /// How often it opened lately.
+    /// Openings since the last recovery.
     pub recent_openings: u32,
-    /// It is open, or half-open.
+    /// Open or half-open.
     pub tripped: bool,
     opened_at: Time,
     open_until: Time,
-    /// A trial request is out.
+    /// A trial request is in flight.
     pub trial_in_flight: bool,
-    /// It opened last for an attempt without an answer: the endpoint may be behind with work that was given up.
+    /// The last opening was due to an unanswered attempt: the endpoint may still work on abandoned requests.
     opened_by_unanswered: bool,
 }
 
 impl CircuitBreaker {
-    /// Whether a request may be sent: the breaker is closed, or half-open with no trial out. A trial may be lost,
-    /// so it is left to requests that can be repeated, unless none came by for another open time.
+    /// Whether a request may be sent: the breaker is closed, or half-open without a trial in flight. A trial
+    /// may be lost, so it is left to repeatable requests, unless none arrives for another open time.
     pub fn admits(&self, now: Time, repeatable: bool) -> bool {
         if !self.tripped {
             return true;
@@ -67,15 +68,16 @@
         !self.trial_in_flight && now >= self.open_until.saturating_add(extra_wait)
     }
 
-    /// Whether the endpoint has to be left alone until its next trial. It goes on with requests that were given up, and
-    /// where all endpoints do, work that nobody waits for any more would keep them busy for ever.
+    /// Whether the endpoint may still be working on abandoned requests, and gets nothing before its next
+    /// trial. If all endpoints are in this state, further requests would keep them busy with abandoned work
+    /// forever.
     pub fn may_be_backlogged(&self, now: Time, repeatable: bool) -> bool {
         self.opened_by_unanswered && !self.admits(now, repeatable)
     }
 
-    /// Takes note of a failed attempt; `failing` is the part of all attempts that fails. Gives whether the breaker
-    /// opens. A failure of an attempt that was sent before it opened tells nothing that the breaker does not know:
-    /// one burst would open it many times over, up to the longest open time.
+    /// Records a failed attempt, and returns whether the breaker opens; `failure_ratio` is that of all
+    /// attempts. A failure of an attempt sent before the last opening is ignored, as it adds no information:
+    /// one burst would open the breaker repeatedly, up to the longest open time.
     pub fn on_failure(&mut self, now: Time, sent_at: Time, failure_ratio: f64, kind: FailureKind) -> bool {
         if sent_at < self.opened_at {
             return false;
@@ -94,7 +96,7 @@
         true
     }
 
-    /// Takes note of an answered attempt, which closes the breaker.
+    /// Records an answered attempt. The caller then closes the breaker.
     pub fn on_success(&mut self) {
         self.consecutive_failures = 0;
         self.consecutive_successes = self.consecutive_successes.saturating_add(1);
@@ -104,7 +106,8 @@
     }
 }
 
-/// Failures in a row that trip a breaker, where so large a part of all attempts fails.
+/// Consecutive failures that trip a breaker at a failure ratio of all attempts: so many in a row occur by
+/// chance with at most `FALSE_TRIP_PROBABILITY`, within the bounds.
 fn failures_to_trip(failure_ratio: f64) -> f64 {
     let failure_ratio = failure_ratio.clamp(MIN_FAILURE_RATIO, MAX_FAILURE_RATIO);
     (FALSE_TRIP_PROBABILITY.ln() / failure_ratio.ln()).ceil().clamp(MIN_FAILURES, MAX_FAILURES)
