--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,44 +1,46 @@
-//! Slow start: how much work may be sent to endpoints that have just started.
+//! Slow start: limits the work sent to endpoints that have just started.
 //!
-//! A cold endpoint has a budget that grows with the work that this balancer gets answered, by the endpoint's share and
-//! its warmth, and each request is charged its work. All amounts are in requests of typical work, so that a heavy request
-//! costs as much as many light ones. As all replicas of the balancer do likewise, the sum stays near what the endpoint can
-//! do.
+//! A cold endpoint has a budget, a token bucket that refills at the rate of the work this balancer gets
+//! answered, times the endpoint's share and its warm-up progress; each request is charged its work. Work is
+//! measured in requests of typical work, so a heavy request costs as much as many light ones. All replicas of
+//! the balancer do the same, so the sum stays near the endpoint's capacity.
 
 use super::event::{Duration, SECOND, Time};
 use super::settings::Settings;
 use super::statistics::{DecayingSum, RATE_WINDOW};
 use std::cmp::Reverse;
 
-/// Time over which the work of a typical request is averaged: heavy requests are rare at a small balancer.
+/// Time constant of the mean work of a request: long, as heavy requests are rare at a small balancer.
 const TYPICAL_WORK_TIME_CONSTANT: Duration = 30 * SECOND;
-/// Weight of an answer that shows a class to be lighter than thought.
+/// Smoothing factor of a class's estimated work where an answer shows it to be lighter.
 const WORK_DECREASE_GAIN: f64 = 0.05;
-/// Time over which a class comes to look heavier: in a jam all classes wait alike, and would look alike.
+/// Time constant at which a class's estimated work rises: long, as in congestion all classes wait alike and
+/// would look equally heavy.
 const WORK_INCREASE_TIME_CONSTANT: Duration = 300 * SECOND;
-/// Weight of an answer in the part of the requests that the own zone serves.
+/// Smoothing factor of the fraction of requests that the own zone serves.
 const OWN_ZONE_SHARE_GAIN: f64 = 0.05;
-/// Weight of a request in the mean work that is told of its class.
+/// Smoothing factor of the mean work that the requests of a class declare.
 const DECLARED_WORK_GAIN: f64 = 0.05;
 
-/// The warm-up of one endpoint.
+/// The warm-up state of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct WarmUp {
-    /// When its process started last, as far as that is known.
+    /// When the endpoint's process last started, if known.
     pub started: Option<Time>,
-    /// When an operator brought it back last.
+    /// When an operator last brought the endpoint back online.
     pub brought_online_at: Option<Time>,
-    /// What may still be sent to it while it is cold, in requests of typical work.
+    /// Work that may still be sent while the endpoint is cold, in requests of typical work.
     budget: f64,
     budget_started_at: Time,
     budget_updated_at: Time,
-    /// The least that is saved up before a request is sent: what the budget began below.
+    /// Lowest budget at which a request is sent; the initial budget was drawn below it.
     min_budget: f64,
 }
 
 impl WarmUp {
-    /// Begins anew with a budget whose first request comes at a random time: no sooner on average than later ones, and
-    /// not at once from all replicas. `draw` lies between 0 and 1; `least_cost` is what the lightest requests cost.
+    /// Restarts the budget at a random level, so that the first request is sent at a random time: on average
+    /// no sooner than later ones, and not from all replicas at once. `random_fraction` lies between 0 and 1;
+    /// `min_cost` is the cost of a request of the lightest class.
     pub fn restart(&mut self, now: Time, random_fraction: f64, min_cost: f64) {
         self.budget = random_fraction * min_cost;
         self.budget_started_at = now;
@@ -46,7 +48,8 @@
         self.min_budget = min_cost;
     }
 
-    /// Part of its capacity that the endpoint surely has by now: it may warm up faster, but never slower.
+    /// Fraction of its capacity that the endpoint has reached for certain, rising linearly over the warm-up
+    /// time: the endpoint may warm up faster, but never slower.
     pub fn capacity_fraction(&self, now: Time, settings: &Settings) -> f64 {
         let Some(started) = self.started.max(self.brought_online_at) else { return 1.0 };
         let age = now.saturating_sub(started) as f64 / settings.warm_up_time.max(1) as f64;
@@ -58,13 +61,14 @@
         self.capacity_fraction(now, settings) >= 1.0
     }
 
-    /// When the endpoint is warm for sure; 0 if it is.
+    /// Time at which the endpoint is warm for certain; 0 if no start is known.
     pub fn warm_at(&self, settings: &Settings) -> Time {
         let started = self.started.max(self.brought_online_at);
         started.map_or(0, |started| started.saturating_add(settings.warm_up_time))
     }
 
-    /// Whether a request of a class that costs so much may be sent, after the budget has grown by so much a second.
+    /// Whether a request may be sent whose class costs `class_cost`, once the budget has grown by
+    /// `refill_rate` per second since the last call.
     pub fn allows(&mut self, now: Time, refill_rate: f64, class_cost: f64) -> bool {
         let elapsed = now.saturating_sub(self.budget_updated_at) as f64 / SECOND as f64;
         self.budget = (self.budget + refill_rate * elapsed).min(class_cost.max(1.0));
@@ -72,12 +76,12 @@
         self.budget >= class_cost.max(self.min_budget)
     }
 
-    /// Charges a request that is sent.
+    /// Charges the cost of a request that is sent.
     pub fn charge(&mut self, cost: f64) {
         self.budget -= cost;
     }
 
-    /// Gives back what an attempt was charged that was never sent, unless the endpoint has been restarted since.
+    /// Refunds the charge of an attempt that was never sent, unless the endpoint has restarted since.
     pub fn refund(&mut self, charged_at: Time, cost: f64) {
         if charged_at >= self.budget_started_at {
             self.budget += cost;
@@ -85,16 +89,16 @@
     }
 }
 
-/// What the budgets of cold endpoints grow by, and what requests cost.
+/// The refill rate of the budgets of cold endpoints, and the cost of requests.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     work: AnsweredWork,
     own_zone_share: OwnZoneShare,
-    /// Until then, a balancer that has just started goes by what it admits.
+    /// Until this time, a balancer that has just started also counts the work it admits.
     startup_until: Time,
 }
 
-/// A pool as slow start sees it.
+/// Capacities that determine an endpoint's share of the work.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolCapacities {
     /// Capacity of the whole tier.
@@ -104,7 +108,7 @@
 }
 
 impl SlowStart {
-    /// Nothing is known yet.
+    /// Creates the state of a balancer that has handled no requests.
     pub fn new(settings: &Settings, now: Time) -> Self {
         Self {
             work: AnsweredWork::new(settings.classes.len(), now),
@@ -113,48 +117,50 @@
         }
     }
 
-    /// A request was admitted.
+    /// Records an admitted request.
     pub fn on_admitted(&mut self, now: Time, class: usize) {
         self.work.admitted.add(now, class);
     }
 
-    /// A request was answered. `mean` is the mean time that answers of its class take, in nanoseconds, and `told_work` the
-    /// work of the request itself where that is known.
+    /// Records an answered request. `mean` is the mean latency of its class in nanoseconds, and
+    /// `declared_work` the request's own work, if known.
     pub fn on_answered(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
         self.work.learn(now, class, mean, declared_work);
     }
 
-    /// A request was answered while requests stay in the own zone: by a warm endpoint of that zone, or by another one.
+    /// Updates the own zone's share with an answer, while requests stay in the own zone: one from a warm
+    /// endpoint of that zone, or from another endpoint.
     pub fn learn_own_zone_share(&mut self, now: Time, from_warm_own_zone: bool) {
         self.own_zone_share.learn(now, from_warm_own_zone);
     }
 
-    /// The endpoints of the own zone have changed: when each is warm, and its capacity.
+    /// Sets the endpoints of the own zone: the time at which each is warm, and its capacity.
     pub fn set_own_zone_endpoints(&mut self, endpoints: Vec<(Time, f64)>) {
         self.own_zone_share.set_endpoints(endpoints);
     }
 
-    /// What a request costs: by its own work where that is known, else what its class costs.
+    /// Cost of a request: by its own work if known, otherwise the mean cost of its class.
     pub fn cost(&self, class: usize, declared_work: Option<Duration>) -> f64 {
         self.work.cost(class, declared_work)
     }
 
-    /// What the requests of a class cost on average; one as long as that is not known.
+    /// Mean cost of the requests of a class; 1 while unknown.
     pub fn class_cost(&self, class: usize) -> f64 {
         self.work.class_cost(class)
     }
 
-    /// What the requests of the lightest class cost.
+    /// Cost of the requests of the lightest class, at most 1.
     pub fn min_cost(&self) -> f64 {
         self.work.min_cost()
     }
 
-    /// How fast the budget of a cold endpoint grows for each unit of its capacity, before its warmth, in requests of
-    /// typical work a second.
+    /// Refill rate of a cold endpoint's budget per unit of its capacity, before warm-up progress, in requests
+    /// of typical work per second.
     ///
-    /// To another zone only some requests cross, yet from every zone: by the capacity of that zone, all of them together
-    /// would send its cold endpoints many times their share. Of what is served at home, no more comes than the home
-    /// zone's endpoints can do, however few balancers send to it.
+    /// Only some requests cross to another zone, yet they come from every zone: with a rate based on the
+    /// capacity of that zone, the balancers together would send its cold endpoints many times their share.
+    /// The requests served in the own zone never exceed what its endpoints can do, however few balancers send
+    /// to it, so there its share of the requests applies as well.
     pub fn budget_growth_rate(&self, now: Time, pool: PoolCapacities) -> f64 {
         let work_rate = self.expected_work_rate(now);
         let tier_growth = work_rate / pool.tier_capacity.max(f64::MIN_POSITIVE);
@@ -164,9 +170,9 @@
         }
     }
 
-    /// Work a second that can be expected to be answered. A balancer that has just started has had nothing answered: where
-    /// all endpoints are cold as well, after a release, nothing would ever be. It goes by what it admits until it knows
-    /// better.
+    /// Work expected to be answered per second. A balancer that has just started has had nothing answered; if
+    /// all endpoints are cold too, after a release, nothing ever would be. It therefore also counts the work
+    /// it admits, until `startup_until`.
     fn expected_work_rate(&self, now: Time) -> f64 {
         let answered = self.work.answered_per_second(now);
         if now >= self.startup_until {
@@ -176,27 +182,28 @@
     }
 }
 
-/// How much faster the budget of cold endpoints grows. Where endpoints tell their load before they get a request, a
-/// busy cold one is seen: half the multiple that overloads it is safe, and its share alone would leave it idle.
+/// Multiple by which the budgets of cold endpoints grow faster. Where endpoints report their load before they
+/// get a request, a busy cold one is detected: half the multiple that overloads it is safe, while its share
+/// alone would leave it idle.
 pub(crate) fn budget_multiple(settings: &Settings, queries_load: bool) -> f64 {
     if queries_load { (settings.overload_multiple / 2.0).max(1.0) } else { 1.0 }
 }
 
-/// The work of a class of requests, judged by the time that its answers take in calm times.
+/// Work of a class of requests, estimated from the latency of its answers at low load.
 #[derive(Clone, Debug, Default)]
 struct ClassWork {
-    /// Nanoseconds.
+    /// Estimated work in nanoseconds.
     estimated_work: f64,
     answers: u32,
     answered_at: Time,
-    /// Requests answered, the older ones counting less.
+    /// Exponentially decaying number of answered requests.
     requests: f64,
-    /// Mean work of those whose work was told.
+    /// Mean work of the requests that declared it, in nanoseconds.
     mean_declared_work: f64,
 }
 
 impl ClassWork {
-    /// Takes in the mean time that answers of the class take by now.
+    /// Updates the estimate with the current mean latency of the class.
     fn learn(&mut self, now: Time, mean: f64, declared_work: Option<Duration>) {
         self.answers = self.answers.saturating_add(1);
         let elapsed = now.saturating_sub(self.answered_at) as f64;
@@ -211,8 +218,8 @@
     }
 }
 
-/// Requests of each class, the older ones counting less. What a class costs is weighed in when the rate is asked for:
-/// a balancer that has just started learns it with every answer.
+/// Exponentially decaying numbers of requests, by class. The cost of a class is applied when the rate is
+/// read, as a balancer that has just started learns that cost with every answer.
 #[derive(Debug)]
 struct ClassRates {
     started_at: Time,
@@ -239,11 +246,11 @@
     }
 }
 
-/// The work that a balancer gets answered, and what its classes of requests cost.
+/// The work that a balancer gets answered, and the cost of its request classes.
 #[derive(Debug)]
 struct AnsweredWork {
     classes: Vec<ClassWork>,
-    /// The work of a typical request, and when it was averaged last.
+    /// Mean work of a request over all classes in nanoseconds, and when it was last updated.
     typical_work: f64,
     averaged_at: Time,
     admitted: ClassRates,
@@ -298,14 +305,17 @@
     }
 }
 
-/// The part of a balancer's requests that a warm endpoint of its own zone serves, for each unit of its capacity.
+/// The fraction of a balancer's requests served by the warm endpoints of its own zone, per unit of their
+/// capacity.
 #[derive(Debug)]
 struct OwnZoneShare {
-    /// As long as nothing is known: with fewer balancers than zones, each also sends to zones that have none.
+    /// Fraction assumed without data: with fewer balancers than zones, each also sends to zones without a
+    /// balancer.
     expected_share: f64,
     share_per_capacity: Option<f64>,
-    /// Capacity of the zone's warm endpoints, and of those that are still cold: when each is warm, the last one first.
+    /// Capacity of the warm endpoints of the zone.
     warm_capacity: f64,
+    /// For each cold endpoint of the zone, the time at which it is warm and its capacity, latest first.
     cold_endpoints: Vec<(Time, f64)>,
 }
 
@@ -315,8 +325,8 @@
         Self { expected_share, share_per_capacity: None, warm_capacity: 0.0, cold_endpoints: Vec::new() }
     }
 
-    /// What an endpoint of the zone would serve for each unit of its capacity, where the zone has so much; no more than
-    /// an even part.
+    /// Fraction of the requests served per unit of capacity by an endpoint of a zone with this capacity; at
+    /// most the endpoint's proportional part.
     fn get(&self, zone_capacity: f64) -> f64 {
         let capacity = zone_capacity.max(f64::MIN_POSITIVE);
         self.share_per_capacity.map_or(self.expected_share / capacity, |share| share.min(1.0 / capacity))
@@ -328,7 +338,7 @@
         self.cold_endpoints = endpoints;
     }
 
-    /// Tells nothing while no endpoint of the zone is warm.
+    /// Updates the fraction with an answer, which is ignored while no endpoint of the zone is warm.
     fn learn(&mut self, now: Time, from_warm_own_zone: bool) {
         while let Some((_, capacity)) = self.cold_endpoints.pop_if(|(warm_at, _)| *warm_at <= now) {
             self.warm_capacity += capacity;
