--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -1,51 +1,55 @@
-//! Zone affinity and avoidance, after Ribbon's zone-aware rule; and the spill of surplus to other zones.
+//! Zone affinity and zone avoidance, after Ribbon's zone-aware rule, and spillover of surplus requests to
+//! other zones.
 //!
-//! A request stays in the balancer's own zone while that is healthy. A zone that is left is avoided: the worst zones are
-//! dropped, and one of the rest is drawn at random. docs/design.md has the source, and when each exception acts.
+//! A request stays in the balancer's own zone while that is healthy. Otherwise the worst zones are avoided,
+//! and one of the rest is drawn at random. docs/design.md names the source and when each exception applies.
 
 use super::endpoint_pool::EndpointPool;
 use super::endpoint_selection::Selector;
 use super::event::Time;
 
-/// A zone is overloaded at this multiple of its calm requests in flight ...
+/// Multiple of its baseline requests in flight above which a zone is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// ... and so many deviations of a chance count of them ...
+/// Standard deviations of a Poisson count of the baseline requests that are added to that multiple.
 const OVERLOAD_DEVIATIONS: f64 = 3.0;
-/// ... but never at fewer than these: a small balancer holds a multiple by chance alone.
+/// Lower bound of that limit, in requests, as a small balancer reaches the multiple by chance alone.
 const MIN_OVERLOAD_IN_FLIGHT: f64 = 4.0;
-/// Blackout threshold: with half its endpoints tripped, or requests failing, the rest would carry the whole zone.
+/// Blackout threshold: with this fraction of the endpoints tripped, or of the requests failing, the rest
+/// would carry the whole zone.
 const BLACKOUT_RATIO: f64 = 0.5;
-/// Failing part of its requests at which a zone is left, and the price of a crossing on top: a small balancer sees each
-/// endpoint too seldom to trip it, and what crosses should gain more than it costs.
+/// Failure ratio, on top of that elsewhere and of the price of a crossing, above which the own zone is
+/// avoided: a small balancer sends each endpoint too few requests to trip it, and a crossing should gain more
+/// than it costs.
 const TOLERATED_EXCESS_FAILURE_RATIO: f64 = 0.08;
-/// Surplus spill: part of the requests that cross for each unit by which their own zone is later (as part of the
-/// objective) than another one.
+/// Fraction of the requests that spill over per unit by which the own zone's lateness (latency divided by
+/// objective) exceeds another zone's.
 const SPILL_RATIO_PER_LATENESS: f64 = 3.0;
-/// What a crossing must gain: part of its price, as it also makes room for those that stay ...
+/// Part of the price of a crossing that it must gain: less than 1, as it also makes room for the requests
+/// that stay.
 const SPILL_PRICE_FACTOR: f64 = 0.5;
-/// ... and more than chance makes of a small balancer's few requests.
+/// Lateness that a crossing must gain on top, as the few requests of a small balancer vary by chance.
 const MIN_SPILL_GAIN: f64 = 0.05;
-/// Endpoints that must be healthy for the own zone to be used. One will do: small zones would always be left.
+/// Healthy endpoints needed to use the own zone: with more than one, small zones would always be avoided.
 const MIN_HEALTHY_ENDPOINTS: usize = 1;
 
-/// Which zone requests go to.
+/// Chooses the zone to which requests go.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneRouting {
-    /// Whether the own zone was left when last looked at.
+    /// Whether the last request avoided the own zone.
     own_zone_avoided: bool,
 }
 
-/// Where a request is to go first.
+/// The pool to pick from first.
 #[derive(Debug)]
 pub(crate) struct ZoneChoice {
     /// Position of the pool.
     pub pool: usize,
-    /// A line for the operators, if the own zone has just been left or is used again.
+    /// A log line, if the own zone has just been avoided or is used again.
     pub log: Option<String>,
 }
 
 impl ZoneRouting {
-    /// Chooses the pool for a request: that of a zone, or the one of all endpoints.
+    /// Chooses the pool for a request: that of a zone, or the pool of all endpoints.
     pub fn choose(&mut self, selector: &mut Selector<'_>) -> ZoneChoice {
         let own = usize::from(selector.settings.zone.0);
         let avoid_own_zone = !is_own_zone_usable(selector, own);
@@ -58,11 +62,12 @@
         ZoneChoice { pool, log }
     }
 
-    /// Whether requests go past the own zone.
+    /// Whether requests avoid the own zone.
     pub fn avoids_own_zone(&self) -> bool {
         self.own_zone_avoided
     }
 
+    /// Updates whether the own zone is avoided, and returns a log line if that has changed.
     fn update_avoidance(
         &mut self,
         avoid_own_zone: bool,
@@ -85,7 +90,8 @@
     }
 }
 
-/// The three tests of zone affinity, and for small balancers a fourth.
+/// Whether the own zone passes the three tests of zone affinity and, for small balancers, a fourth: its
+/// failure ratio.
 fn is_own_zone_usable(selector: &Selector<'_>, own: usize) -> bool {
     let zone = &selector.endpoints.pools[own];
     let is_blackout = zone.tripped as f64 >= BLACKOUT_RATIO * zone.members.len() as f64;
@@ -96,8 +102,8 @@
         && !is_overloaded(selector, zone, zone.capacity)
 }
 
-/// Whether requests fail so much more often in the own zone that a crossing is worth its price. Where they fail as often
-/// elsewhere, a crossing gains nothing.
+/// Whether requests fail so much more often in the own zone that a crossing is worth its price. Where they
+/// fail as often elsewhere, a crossing gains nothing.
 fn fails_too_often(selector: &Selector<'_>, own: usize) -> bool {
     let zones = selector.endpoints.all_zones();
     let others = selector.endpoints.pools[..zones].iter().enumerate();
@@ -108,11 +114,11 @@
     selector.endpoints.pools[own].failure_ratio(selector.now) > tolerated
 }
 
-/// Whether a zone has far more requests in flight than if it answered as fast as in calm times. A balancer with few
-/// requests would never reach a fixed threshold.
+/// Whether a zone has far more requests in flight than it would have at baseline latency. The limit is
+/// relative, as a balancer with few requests would never reach a fixed threshold.
 fn is_overloaded(selector: &Selector<'_>, zone: &EndpointPool, normal_capacity: f64) -> bool {
     if !selector.traffic.overall.is_trusted() {
-        return false; // at a cold start nothing is calm yet, and every zone would be left at once
+        return false; // after a cold start there is no baseline yet, and every zone would be avoided at once
     }
     let baseline_in_flight = selector.traffic.baseline_in_flight(selector.now);
     let baseline = baseline_in_flight * zone.capacity / normal_capacity.max(f64::MIN_POSITIVE);
@@ -125,9 +131,10 @@
     pool.healthy_count() >= MIN_HEALTHY_ENDPOINTS && pool.failure_ratio(now) < BLACKOUT_RATIO
 }
 
-/// Another zone for a request that the own zone, though healthy, has no room for: where it has more traffic than its
-/// endpoints can carry, requests get late at all of them, and a balancer with few requests has too few in flight to see
-/// it. Only the surplus crosses: as large a part of the requests as the own zone is later.
+/// Chooses another zone for a request that exceeds the capacity of a healthy own zone. With more traffic than
+/// its endpoints can carry, requests get late at all of them, and a balancer with few requests has too few in
+/// flight to detect an overload. Only the surplus crosses: a fraction of the requests in proportion to the
+/// excess lateness of the own zone.
 fn spill_zone(selector: &mut Selector<'_>, own: usize) -> Option<usize> {
     if !selector.endpoints.pools[own].lateness.is_trusted() {
         return None;
@@ -144,8 +151,9 @@
     should_spill.then_some(other)
 }
 
-/// Drops the fully tripped zones, those where half of the requests fail (a small balancer finds each endpoint by
-/// itself), and the worst overloaded one. If any was dropped: one of the rest, larger ones more often.
+/// Drops the fully tripped zones, those where half of the requests fail (a small balancer would have to
+/// detect each of their endpoints by itself), and the most overloaded one. If any was dropped, returns a
+/// random one of the rest, larger ones more often.
 fn zone_after_avoidance(selector: &mut Selector<'_>, own: usize) -> Option<usize> {
     let now = selector.now;
     let worst_zone = worst_overloaded_zone(selector, own);
@@ -157,6 +165,8 @@
     random_zone(selector, is_kept)
 }
 
+/// The zone with the highest load among the overloaded ones. The baseline requests in flight refer to the
+/// capacity of the own zone, or of all zones if the own zone has none.
 fn worst_overloaded_zone(selector: &Selector<'_>, own: usize) -> Option<usize> {
     let (all, zones) = selector.endpoints.pools.split_last()?;
     let normal_capacity = zones.get(own).filter(|zone| zone.capacity > 0.0).unwrap_or(all).capacity;
@@ -168,7 +178,7 @@
     (0..zones.len()).filter(is_overloaded_candidate).max_by(by_load)
 }
 
-/// A random one of the zones that will do, larger ones more often.
+/// A random zone among the usable ones, larger ones more often.
 fn random_zone(
     selector: &mut Selector<'_>,
     is_usable: impl Fn(usize, &EndpointPool) -> bool,
