--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -79,9 +79,9 @@
         }
         self.own_zone_avoided = avoid_own_zone;
         let zone = &selector.endpoints.pools[own];
-        let change = if avoid_own_zone { "left" } else { "used again" };
+        let change = if avoid_own_zone { "avoided" } else { "used again" };
         Some(format!(
-            "zone {change}: {} of {} endpoints healthy, {} requests in flight, {:.0}% failing",
+            "own zone {own} {change}: {} of {} endpoints healthy, {} requests in flight, {:.0}% failing",
             zone.healthy_count(),
             zone.members.len(),
             zone.in_flight,
