--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -51,13 +51,13 @@
 impl ZoneRouting {
     /// Chooses the pool for a request: that of a zone, or the pool of all endpoints.
     pub fn choose(&mut self, selector: &mut Selector<'_>) -> ZoneChoice {
-        let own = usize::from(selector.settings.zone.0);
-        let avoid_own_zone = !is_own_zone_usable(selector, own);
-        let log = self.update_avoidance(avoid_own_zone, selector, own);
+        let own_zone = usize::from(selector.settings.zone.0);
+        let avoid_own_zone = !is_own_zone_usable(selector, own_zone);
+        let log = self.update_avoidance(avoid_own_zone, selector, own_zone);
         let pool = if avoid_own_zone {
-            zone_after_avoidance(selector, own).unwrap_or(selector.endpoints.all_zones())
+            zone_after_avoidance(selector, own_zone).unwrap_or(selector.endpoints.all_zones())
         } else {
-            spill_zone(selector, own).unwrap_or(own)
+            spill_zone(selector, own_zone).unwrap_or(own_zone)
         };
         ZoneChoice { pool, log }
     }
@@ -72,16 +72,16 @@
         &mut self,
         avoid_own_zone: bool,
         selector: &Selector<'_>,
-        own: usize,
+        own_zone: usize,
     ) -> Option<String> {
         if avoid_own_zone == self.own_zone_avoided {
             return None;
         }
         self.own_zone_avoided = avoid_own_zone;
-        let zone = &selector.endpoints.pools[own];
+        let zone = &selector.endpoints.pools[own_zone];
         let change = if avoid_own_zone { "avoided" } else { "used again" };
         Some(format!(
-            "own zone {own} {change}: {} of {} endpoints healthy, {} requests in flight, {:.0}% failing",
+            "own zone {own_zone} {change}: {} of {} endpoints healthy, {} requests in flight, {:.0}% failing",
             zone.healthy_count(),
             zone.members.len(),
             zone.in_flight,
@@ -92,26 +92,27 @@
 
 /// Whether the own zone passes the three tests of zone affinity and, for small balancers, a fourth: its
 /// failure ratio.
-fn is_own_zone_usable(selector: &Selector<'_>, own: usize) -> bool {
-    let zone = &selector.endpoints.pools[own];
+fn is_own_zone_usable(selector: &Selector<'_>, own_zone: usize) -> bool {
+    let zone = &selector.endpoints.pools[own_zone];
     let is_blackout = zone.tripped as f64 >= BLACKOUT_RATIO * zone.members.len() as f64;
     let has_healthy = zone.healthy_count() >= MIN_HEALTHY_ENDPOINTS;
     has_healthy
         && !is_blackout
-        && !fails_too_often(selector, own)
+        && !fails_too_often(selector, own_zone)
         && !is_overloaded(selector, zone, zone.capacity)
 }
 
 /// Whether requests fail so much more often in the own zone that a crossing is worth its price. Where they
 /// fail as often elsewhere, a crossing gains nothing.
-fn fails_too_often(selector: &Selector<'_>, own: usize) -> bool {
+fn fails_too_often(selector: &Selector<'_>, own_zone: usize) -> bool {
     let zones = selector.endpoints.all_zones();
     let others = selector.endpoints.pools[..zones].iter().enumerate();
-    let others = others.filter(|(zone, pool)| *zone != own && pool.healthy_count() >= MIN_HEALTHY_ENDPOINTS);
+    let others =
+        others.filter(|(zone, pool)| *zone != own_zone && pool.healthy_count() >= MIN_HEALTHY_ENDPOINTS);
     let min_elsewhere = others.map(|(_, pool)| pool.failure_ratio(selector.now)).reduce(f64::min);
     let tolerated =
         TOLERATED_EXCESS_FAILURE_RATIO + selector.settings.cross_zone_price + min_elsewhere.unwrap_or(0.0);
-    selector.endpoints.pools[own].failure_ratio(selector.now) > tolerated
+    selector.endpoints.pools[own_zone].failure_ratio(selector.now) > tolerated
 }
 
 /// Whether a zone has far more requests in flight than it would have at baseline latency. The limit is
@@ -135,28 +136,28 @@
 /// its endpoints can carry, requests get late at all of them, and a balancer with few requests has too few in
 /// flight to detect an overload. Only the surplus crosses: a fraction of the requests in proportion to the
 /// excess lateness of the own zone.
-fn spill_zone(selector: &mut Selector<'_>, own: usize) -> Option<usize> {
-    if !selector.endpoints.pools[own].lateness.is_trusted() {
+fn spill_zone(selector: &mut Selector<'_>, own_zone: usize) -> Option<usize> {
+    if !selector.endpoints.pools[own_zone].lateness.is_trusted() {
         return None;
     }
     let now = selector.now;
-    let other = random_zone(selector, |zone, pool| zone != own && is_serving(pool, now))?;
+    let other_zone = random_zone(selector, |zone, pool| zone != own_zone && is_serving(pool, now))?;
     let pools = &selector.endpoints.pools;
-    let baseline = pools[own].lateness.baseline;
+    let baseline = pools[own_zone].lateness.baseline;
     let min_gain = SPILL_PRICE_FACTOR * selector.settings.cross_zone_price + MIN_SPILL_GAIN;
-    let gain = pools[own].expected_lateness(baseline, now)
-        - pools[other].expected_lateness(baseline, now)
+    let gain = pools[own_zone].expected_lateness(baseline, now)
+        - pools[other_zone].expected_lateness(baseline, now)
         - min_gain;
     let should_spill = selector.rng.f64() < SPILL_RATIO_PER_LATENESS * gain;
-    should_spill.then_some(other)
+    should_spill.then_some(other_zone)
 }
 
 /// Drops the fully tripped zones, those where half of the requests fail (a small balancer would have to
 /// detect each of their endpoints by itself), and the most overloaded one. If any was dropped, returns a
 /// random one of the rest, larger ones more often.
-fn zone_after_avoidance(selector: &mut Selector<'_>, own: usize) -> Option<usize> {
+fn zone_after_avoidance(selector: &mut Selector<'_>, own_zone: usize) -> Option<usize> {
     let now = selector.now;
-    let worst_zone = worst_overloaded_zone(selector, own);
+    let worst_zone = worst_overloaded_zone(selector, own_zone);
     let is_kept = |zone: usize, pool: &EndpointPool| is_serving(pool, now) && Some(zone) != worst_zone;
     let (_, zones) = selector.endpoints.pools.split_last()?;
     if zones.iter().enumerate().all(|(zone, pool)| is_kept(zone, pool) || pool.members.is_empty()) {
@@ -167,9 +168,9 @@
 
 /// The zone with the highest load among the overloaded ones. The baseline requests in flight refer to the
 /// capacity of the own zone, or of all zones if the own zone has none.
-fn worst_overloaded_zone(selector: &Selector<'_>, own: usize) -> Option<usize> {
+fn worst_overloaded_zone(selector: &Selector<'_>, own_zone: usize) -> Option<usize> {
     let (all, zones) = selector.endpoints.pools.split_last()?;
-    let normal_capacity = zones.get(own).filter(|zone| zone.capacity > 0.0).unwrap_or(all).capacity;
+    let normal_capacity = zones.get(own_zone).filter(|zone| zone.capacity > 0.0).unwrap_or(all).capacity;
     let is_overloaded_candidate = |zone: &usize| {
         let pool = &zones[*zone];
         pool.healthy_count() > 0 && is_overloaded(selector, pool, normal_capacity)
