--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: which endpoints there are, which are in service, and the pools they form.
+//! The endpoint table: the known endpoints, which of them are in service, and the pools they form.
 
 use super::action::Action;
 use super::endpoint::Endpoint;
@@ -7,23 +7,24 @@
 use super::settings::Settings;
 use std::collections::{HashMap, HashSet};
 
-/// Capacity of an endpoint whose listed one makes no sense.
+/// Capacity assumed for an endpoint whose listed capacity is not a positive number.
 const DEFAULT_CAPACITY: f64 = 1.0;
 
-/// All endpoints, by position; a position is given out anew once its endpoint is forgotten.
+/// All endpoints, by position. The position of a forgotten endpoint is reused.
 #[derive(Debug)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Endpoint>,
     positions: HashMap<EndpointId, usize>,
-    /// Positions that no endpoint has.
-    free: Vec<usize>,
-    /// Endpoints that operators have taken offline, listed or not.
+    /// Unused positions.
+    free_positions: Vec<usize>,
+    /// Endpoints that operators have taken offline, whether listed or not.
     offline: HashSet<EndpointId>,
-    /// One for each zone; the last has all endpoints.
+    /// One pool for each zone, and last the pool of all endpoints.
     pub pools: Vec<EndpointPool>,
-    /// The largest capacity of an endpoint in service.
+    /// Largest capacity of the endpoints in service.
     pub largest_capacity: f64,
-    classes: usize,
+    /// Number of request classes.
+    class_count: usize,
 }
 
 impl std::ops::Index<usize> for EndpointTable {
@@ -41,25 +42,25 @@
 }
 
 impl EndpointTable {
-    /// A table without endpoints.
+    /// Creates a table without endpoints.
     pub fn new(settings: &Settings) -> Self {
         Self {
             endpoints: Vec::new(),
             positions: HashMap::new(),
-            free: Vec::new(),
+            free_positions: Vec::new(),
             offline: HashSet::new(),
             pools: (0..=settings.zones).map(|_| EndpointPool::default()).collect(),
             largest_capacity: DEFAULT_CAPACITY,
-            classes: settings.classes.len(),
+            class_count: settings.classes.len(),
         }
     }
 
-    /// Position of the pool that has all endpoints; those before it are the zones'.
+    /// Position of the pool of all endpoints, which follows the pools of the zones.
     pub fn all_zones(&self) -> usize {
         self.pools.len() - 1
     }
 
-    /// Position of an endpoint.
+    /// Position of an endpoint in the table.
     pub fn position(&self, id: EndpointId) -> Option<usize> {
         self.positions.get(&id).copied()
     }
@@ -69,17 +70,17 @@
         &mut self.pools[self.endpoints[position].zone]
     }
 
-    /// How many listed endpoints get no requests now: offline, draining, or with a tripped breaker.
+    /// Number of listed endpoints that get no requests now: offline, draining, or with a tripped breaker.
     pub fn avoided(&self) -> usize {
         let listed = self.positions.values().map(|&position| &self.endpoints[position]);
         let listed = listed.filter(|endpoint| !endpoint.removed);
         listed.filter(|endpoint| !endpoint.in_service || endpoint.breaker.tripped).count()
     }
 
-    // ---- The list ----
+    // ---- Endpoint list ----
 
-    /// Counts all endpoints as removed, until a complete list names them again.
-    pub fn remove_all(&mut self) {
+    /// Marks all endpoints as removed, until a complete list names them again.
+    pub fn mark_all_removed(&mut self) {
         for &position in self.positions.values() {
             self.endpoints[position].removed = true;
         }
@@ -89,8 +90,9 @@
         }
     }
 
-    /// Takes over an entry of a list. The pools have to be rebuilt after it. `least_cost` is what the lightest requests cost.
-    pub fn apply(&mut self, entry: &EndpointEntry, now: Time, least_cost: f64, rng: &mut fastrand::Rng) {
+    /// Applies an entry of the endpoint list. The pools must be rebuilt afterwards. `min_cost` is the cost of
+    /// a request of the lightest class.
+    pub fn apply(&mut self, entry: &EndpointEntry, now: Time, min_cost: f64, rng: &mut fastrand::Rng) {
         let removed = entry.state == EndpointState::Removed;
         let position = match self.position(entry.endpoint) {
             Some(position) => position,
@@ -107,48 +109,49 @@
         endpoint.in_service = endpoint.listed_in_service && !offline;
         endpoint.capacity = valid_capacity(entry.capacity);
         if entry.started.is_some() && entry.started != endpoint.warm_up.started {
-            endpoint.on_restart(now, rng.f64(), least_cost);
+            endpoint.on_restart(now, rng.f64(), min_cost);
         }
         endpoint.warm_up.started = entry.started;
     }
 
     fn add(&mut self, id: EndpointId, rng: &mut fastrand::Rng) -> usize {
-        // Seeded, so that replicas that skip an endpoint don't all hit the same next one.
-        let order = rng.u64(..);
-        let turn = rng.f64();
-        let endpoint = Endpoint::new(id, order, turn, self.classes);
-        let position = self.free.pop().unwrap_or(self.endpoints.len());
+        // The seed differs by replica, so that replicas that skip an endpoint don't all send to the same next
+        // one.
+        let round_robin_order = rng.u64(..);
+        let turn_credit = rng.f64();
+        let endpoint = Endpoint::new(id, round_robin_order, turn_credit, self.class_count);
+        let position = self.free_positions.pop().unwrap_or(self.endpoints.len());
         match self.endpoints.get_mut(position) {
-            Some(place) => *place = endpoint,
+            Some(slot) => *slot = endpoint,
             None => self.endpoints.push(endpoint),
         }
         self.positions.insert(id, position);
         position
     }
 
-    /// Whether there are removed endpoints that have not been forgotten.
+    /// Whether the table still has endpoints marked as removed.
     pub fn has_removed(&self) -> bool {
         self.endpoints.iter().any(|endpoint| endpoint.removed)
     }
 
-    /// Forgets the removed endpoints, but for those that are still referred to. Guards the memory, and the time for
-    /// each list, where endpoints are ever new.
+    /// Forgets the removed endpoints to which nothing refers. This bounds the memory, and the time to apply
+    /// each list, where endpoints are replaced continually.
     pub fn forget_removed(&mut self, referenced: &HashSet<usize>) {
         for (position, endpoint) in self.endpoints.iter_mut().enumerate() {
             if endpoint.removed && !referenced.contains(&position) {
                 self.positions.remove(&endpoint.id);
                 *endpoint = Endpoint::default();
-                self.free.push(position);
+                self.free_positions.push(position);
             }
         }
     }
 
-    /// Forms the pools anew from the endpoints in service.
+    /// Rebuilds the pools from the endpoints in service.
     pub fn rebuild_pools(&mut self) {
         let positions = 0..self.endpoints.len();
         let mut members: Vec<usize> =
             positions.filter(|&position| self.endpoints[position].in_service).collect();
-        members.sort_by_key(|&position| self.endpoints[position].order);
+        members.sort_by_key(|&position| self.endpoints[position].round_robin_order);
         self.pools.iter_mut().for_each(EndpointPool::clear);
         self.largest_capacity = f64::MIN_POSITIVE;
         for position in members {
@@ -158,16 +161,16 @@
         }
     }
 
-    /// When each endpoint of a pool is warm, and its capacity.
-    pub fn warm_ups(&self, pool: usize, settings: &Settings) -> Vec<(Time, f64)> {
+    /// For each endpoint of a pool, the time at which it is warm and its capacity.
+    pub fn warm_up_ends(&self, pool: usize, settings: &Settings) -> Vec<(Time, f64)> {
         let members = self.pools[pool].members.iter().map(|&position| &self.endpoints[position]);
-        members.map(|endpoint| (endpoint.warm_up.warm_from(settings), endpoint.capacity)).collect()
+        members.map(|endpoint| (endpoint.warm_up.warm_at(settings), endpoint.capacity)).collect()
     }
 
     // ---- Operators ----
 
-    /// Taken offline, an endpoint is in no pool: nothing is sent, retried or queried there, whatever is listed. Gives
-    /// whether the pools have to be rebuilt.
+    /// Takes an endpoint offline: it leaves all pools, and gets no requests, retries or load queries,
+    /// whatever is listed. Returns whether the pools must be rebuilt.
     pub fn take_offline(&mut self, id: EndpointId, actions: &mut Vec<Action>) -> bool {
         self.offline.insert(id);
         let Some(position) = self.position(id) else { return false };
@@ -176,27 +179,27 @@
         true
     }
 
-    /// Brought back, an endpoint counts as just started: it was restarted meanwhile, and discovery may tell so late. Gives
-    /// whether the pools have to be rebuilt.
+    /// Brings an endpoint back online. It counts as just started, because it was restarted while offline and
+    /// discovery may report that late. Returns whether the pools must be rebuilt.
     pub fn bring_online(
         &mut self,
         id: EndpointId,
         now: Time,
-        least_cost: f64,
+        min_cost: f64,
         rng: &mut fastrand::Rng,
     ) -> bool {
         let was_offline = self.offline.remove(&id);
         let Some(position) = self.position(id).filter(|_| was_offline) else { return false };
         let endpoint = &mut self.endpoints[position];
-        endpoint.on_restart(now, rng.f64(), least_cost);
+        endpoint.on_restart(now, rng.f64(), min_cost);
         endpoint.in_service = endpoint.listed_in_service;
-        endpoint.warm_up.brought_back = Some(now);
+        endpoint.warm_up.brought_online_at = Some(now);
         true
     }
 
-    // ---- What the pools count ----
+    // ---- Pool counters ----
 
-    /// Trips or closes the breaker of an endpoint.
+    /// Trips or closes the breaker of an endpoint, and counts the change in its pools.
     pub fn set_tripped(&mut self, position: usize, tripped: bool) {
         let endpoint = &mut self.endpoints[position];
         if endpoint.breaker.tripped == tripped {
@@ -214,12 +217,12 @@
         }
     }
 
-    /// Counts a request that is in flight from now on.
+    /// Counts one more request in flight at an endpoint.
     pub fn add_in_flight(&mut self, position: usize) {
         self.change_in_flight(position, |count| *count += 1);
     }
 
-    /// Counts a request that is not in flight any more.
+    /// Counts one request fewer in flight at an endpoint.
     pub fn remove_in_flight(&mut self, position: usize) {
         self.change_in_flight(position, |count| *count = count.saturating_sub(1));
     }
