--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,19 +1,19 @@
-//! What the operators configure: request classes, tenants, zones, limits and prices.
+//! The settings: request classes, tenants, zones, limits and prices.
 //!
-//! The values come from the configuration file or from the simulator; this module only names them and
-//! checks that they make sense. All times are in nanoseconds.
+//! The values are read from the configuration file or from the simulator; this module defines and validates them.
+//! Error messages name the keys as written there. All times are in nanoseconds.
 
 use super::event::{Duration, ZoneId};
 use thiserror::Error;
 
-/// What repeating a request does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat, and to reject, at any time.
+    /// Safe to repeat and to reject at any time.
     Idempotent,
-    /// Carries an idempotency key: the endpoints of one group drop its repeats for this long.
+    /// Carries an idempotency key: the endpoints of the deduplication group drop repeats for this time.
     Keyed(DeduplicationGroup, Duration),
-    /// Must never run twice.
+    /// Must not run more than once.
     NonIdempotent,
 }
 
@@ -22,126 +22,126 @@
 pub enum DeduplicationGroup {
     /// All endpoints.
     All,
-    /// Those in the zone of the first endpoint that may have run the request.
+    /// The endpoints in the zone of the first one that may have run the request.
     Zone,
-    /// Those in the cell of the first endpoint that may have run the request.
+    /// The endpoints in the cell of the first one that may have run the request.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time earns the full weight.
+    /// A response within this time earns the full weight.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's own work.
+    /// The objective is extended by this multiple of the request's own work.
     pub objective_stretch: f64,
-    /// The longest that a client waits, over all its attempts.
+    /// The longest time that a client waits for the response, over all attempts.
     pub deadline: Duration,
-    /// What repeating does.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// Part of the weight that an answer after the objective still earns, from 0 to 1.
+    /// Fraction of the weight that a response after the objective still earns, from 0 to 1.
     pub late_weight: f64,
-    /// Weight of one request, or of a unit of its work if [`Settings::weight_by_work`].
+    /// Weight of one request, or of one unit of its work if [`Settings::weight_by_work`] is set.
     pub priority_weight: f64,
 }
 
 /// A tenant of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all balancers, that count in full.
+    /// Requests per second, summed over all balancers, that keep their full weight.
     pub quota_rps: f64,
 }
 
 /// The settings of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes; requests name them by position.
+    /// Request classes; requests refer to them by position.
     pub classes: Vec<RequestClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Part of its weight that a request beyond its tenant's quota keeps.
+    /// Fraction of its weight that a request over its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// The weight is that of a unit of work, not of a request.
+    /// Weights apply to a unit of work instead of a request.
     pub weight_by_work: bool,
     /// The zone of this balancer.
     pub zone: ZoneId,
     /// Number of zones.
     pub zones: usize,
-    /// Number of balancers that send to the same tier, this one included.
+    /// Number of balancers that send to the same tier, including this one.
     pub replicas: u32,
-    /// The tier that this balancer sends to; 0 serves the clients.
+    /// The tier that this balancer sends to; tier 0 serves the external clients.
     pub tier: u32,
-    /// A request to a deeper tier carries the time its client has left.
+    /// Requests to deeper tiers carry the time that their client has left.
     pub propagates_deadline: bool,
-    /// Discovery answers only when polled.
+    /// Discovery has to be polled; it pushes no changes.
     pub polls_discovery: bool,
-    /// Without a subscription, a balancer counts as notified of whatever was listed this long ago.
+    /// Where discovery is polled, a balancer is expected to know every change that was listed this long ago.
     pub poll_within: Duration,
-    /// Attempts may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// The longest `Retry-After` that clients follow.
+    /// The longest `Retry-After` that clients honour.
     pub max_retry_after: Duration,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
     /// Idle connections are closed after this time.
     pub idle_timeout: Duration,
-    /// A cold endpoint starts with this part of its capacity, from 0 to 1.
+    /// Fraction of its capacity that a cold endpoint starts with, from 0 to 1.
     pub initial_capacity: f64,
-    /// A cold endpoint that gets more than this multiple of what it can do is overloaded.
+    /// A cold endpoint that receives more than this multiple of its current capacity is overloaded.
     pub overload_multiple: f64,
-    /// A cold endpoint is warm after this time.
+    /// Time after which a cold endpoint is warm.
     pub warm_up_time: Duration,
-    /// Position of the in-flight figure in load reports, if they carry it.
+    /// Position of the number of requests in flight in load reports, if they contain it.
     pub reported_in_flight: Option<usize>,
-    /// Load reports come with load queries alone, and queries are allowed.
+    /// Endpoints report their load only in response to load queries, and load queries are allowed.
     pub load_on_request: bool,
-    /// What crossing zones for each request costs, as part of the weight of all requests.
+    /// Cost of sending every request to another zone, as a fraction of the weight of all requests.
     pub cross_zone_price: f64,
-    /// What a load query for each request costs, as part of the weight of all requests.
+    /// Cost of one load query for every request, as a fraction of the weight of all requests.
     pub load_query_price: f64,
 }
 
-/// What is wrong with settings; the message names the field.
+/// An invalid value in the settings. The message names the key as it is written there.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// There is no request class.
-    #[error("`classes` is empty")]
+    #[error("`Classes` is empty")]
     NoClasses,
     /// A number is negative, infinite or not a number.
-    #[error("`{field}` is {value}")]
+    #[error("`{key}` is {value}, not a finite number of 0 or more")]
     InvalidNumber {
-        /// Path of the field.
-        field: String,
+        /// Path of the key.
+        key: String,
         /// Its value.
         value: f64,
     },
-    /// A number has to be positive.
-    #[error("`{0}` is 0")]
+    /// A number that has to be positive is 0.
+    #[error("`{0}` is 0, not positive")]
     Zero(String),
-    /// The balancer's zone is none of the deployment's.
-    #[error("`zone` is {zone} of {zones} zones")]
+    /// The balancer's zone is not in the deployment's list of zones.
+    #[error("`Zone` is {zone}, out of range for the {zones} zones in `Zones`")]
     UnknownZone {
         /// Position of the balancer's zone.
         zone: u8,
         /// Number of zones.
         zones: usize,
     },
-    /// A part of a whole lies outside of it.
-    #[error("`{field}` is {value}, not between 0 and 1")]
+    /// A fraction is not between 0 and 1.
+    #[error("`{key}` is {value}, not between 0 and 1")]
     NotAFraction {
-        /// Path of the field.
-        field: &'static str,
+        /// Path of the key.
+        key: &'static str,
         /// Its value.
         value: f64,
     },
 }
 
 impl Settings {
-    /// Rejects settings that make no sense: what they would lead to is nobody's intent.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// The first field at fault.
+    /// Names the first key that has an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -150,22 +150,22 @@
             class.check(position)?;
         }
         for (position, tenant) in self.tenants.iter().enumerate() {
-            check_number(|| format!("tenants[{position}].quota_rps"), tenant.quota_rps)?;
+            check_non_negative(|| format!("Tenants[{position}].QuotaRps"), tenant.quota_rps)?;
         }
         if usize::from(self.zone.0) >= self.zones {
             return Err(SettingsError::UnknownZone { zone: self.zone.0, zones: self.zones });
         }
         if self.max_attempts == 0 {
-            return Err(SettingsError::Zero("max_attempts".into()));
+            return Err(SettingsError::Zero("Limits.TryLimit".into()));
         }
         if !(0.0..=1.0).contains(&self.initial_capacity) {
             let value = self.initial_capacity;
-            return Err(SettingsError::NotAFraction { field: "initial_capacity", value });
+            return Err(SettingsError::NotAFraction { key: "Safety.StartCapacity", value });
         }
-        check_number(|| "over_quota_weight".into(), self.over_quota_weight)?;
-        check_number(|| "load_query_price".into(), self.load_query_price)?;
-        check_number(|| "cross_zone_price".into(), self.cross_zone_price)?;
-        check_number(|| "overload_multiple".into(), self.overload_multiple)
+        check_non_negative(|| "OverShareWorth".into(), self.over_quota_weight)?;
+        check_non_negative(|| "Prices.Probe".into(), self.load_query_price)?;
+        check_non_negative(|| "Prices.CrossZone".into(), self.cross_zone_price)?;
+        check_non_negative(|| "Safety.TipMultiple".into(), self.overload_multiple)
     }
 
     /// Whether requests of a class may run more than once.
@@ -173,7 +173,7 @@
         self.classes[class].idempotency != Idempotency::NonIdempotent
     }
 
-    /// The longest that any request waits for its answer.
+    /// The longest time that the client of any request waits for the response.
     pub fn longest_wait(&self) -> Duration {
         self.classes.iter().map(RequestClass::longest_wait).max().unwrap_or(0)
     }
@@ -181,29 +181,29 @@
 
 impl RequestClass {
     fn check(&self, position: usize) -> Result<(), SettingsError> {
-        let field = |name: &str| format!("classes[{position}].{name}");
-        check_number(|| field("objective_stretch"), self.objective_stretch)?;
-        check_number(|| field("late_weight"), self.late_weight)?;
-        check_number(|| field("priority_weight"), self.priority_weight)?;
+        let key = |name: &str| format!("Classes[{position}].{name}");
+        check_non_negative(|| key("AimStretch"), self.objective_stretch)?;
+        check_non_negative(|| key("LateWorth"), self.late_weight)?;
+        check_non_negative(|| key("Value"), self.priority_weight)?;
         if self.latency_objective == 0 {
-            return Err(SettingsError::Zero(field("latency_objective")));
+            return Err(SettingsError::Zero(key("AimNs")));
         }
         if self.deadline == 0 {
-            return Err(SettingsError::Zero(field("deadline")));
+            return Err(SettingsError::Zero(key("DeadlineNs")));
         }
         Ok(())
     }
 
-    /// Where an answer after the objective is worth nothing, nobody waits for longer.
+    /// Where a response after the objective earns nothing, clients are not kept waiting beyond it.
     fn longest_wait(&self) -> Duration {
         let ends_at_objective = self.late_weight <= 0.0 && self.objective_stretch <= 0.0;
         if ends_at_objective { self.latency_objective.min(self.deadline) } else { self.deadline }
     }
 }
 
-fn check_number(field: impl FnOnce() -> String, value: f64) -> Result<(), SettingsError> {
+fn check_non_negative(key: impl FnOnce() -> String, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(SettingsError::InvalidNumber { field: field(), value })
+    Err(SettingsError::InvalidNumber { key: key(), value })
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -234,13 +234,16 @@
     let cases = [
         (("{", "["), "settings: "),
         (("\"Siblings\": 4", "\"Siblings\": \"four\""), "expected u32"),
-        (("\"Zone\": 1", "\"Zone\": 2"), "`zone` is 2 of 2 zones"),
-        (("\"TryLimit\": 4", "\"TryLimit\": 0"), "`max_attempts` is 0"),
-        (("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"), "`initial_capacity` is 1.5"),
-        (("\"Value\": 5.0", "\"Value\": -5.0"), "`classes[0].priority_weight` is -5"),
+        (("\"Zone\": 1", "\"Zone\": 2"), "`Zone` is 2, out of range for the 2 zones in `Zones`"),
+        (("\"TryLimit\": 4", "\"TryLimit\": 0"), "`Limits.TryLimit` is 0, not positive"),
+        (
+            ("\"StartCapacity\": 0.39", "\"StartCapacity\": 1.5"),
+            "`Safety.StartCapacity` is 1.5, not between 0 and 1",
+        ),
+        (("\"Value\": 5.0", "\"Value\": -5.0"), "`Classes[0].Value` is -5, not a finite number of 0 or more"),
         (("\"Value\": 5.0", "\"Value\": 1e999"), "number out of range"),
         (("\"Effect\": \"read_like\"", "\"Effect\": \"maybe\""), "maybe"),
-        (("\"AimNs\": 750000000", "\"AimNs\": 0"), "`classes[0].latency_objective` is 0"),
+        (("\"AimNs\": 750000000", "\"AimNs\": 0"), "`Classes[0].AimNs` is 0, not positive"),
     ];
     for ((from, to), expected) in cases {
         let fault = settings_fault(&SETTINGS.replacen(from, to, 1));
@@ -255,12 +258,24 @@
         change(&mut settings);
         balancer::decision::LoadBalancer::new(settings, 1, 0).map(|_| ()).unwrap_err().to_string()
     };
-    assert_eq!(check(|s| s.classes.clear()), "`classes` is empty");
-    assert_eq!(check(|s| s.zone = ZoneId(3)), "`zone` is 3 of 3 zones");
-    assert_eq!(check(|s| s.initial_capacity = f64::NAN), "`initial_capacity` is NaN, not between 0 and 1");
-    assert_eq!(check(|s| s.over_quota_weight = f64::INFINITY), "`over_quota_weight` is inf");
-    assert_eq!(check(|s| s.classes[2].late_weight = -1.0), "`classes[2].late_weight` is -1");
-    assert_eq!(check(|s| s.tenants = vec![Tenant { quota_rps: f64::NAN }]), "`tenants[0].quota_rps` is NaN");
+    assert_eq!(check(|s| s.classes.clear()), "`Classes` is empty");
+    assert_eq!(check(|s| s.zone = ZoneId(3)), "`Zone` is 3, out of range for the 3 zones in `Zones`");
+    assert_eq!(
+        check(|s| s.initial_capacity = f64::NAN),
+        "`Safety.StartCapacity` is NaN, not between 0 and 1"
+    );
+    assert_eq!(
+        check(|s| s.over_quota_weight = f64::INFINITY),
+        "`OverShareWorth` is inf, not a finite number of 0 or more"
+    );
+    assert_eq!(
+        check(|s| s.classes[2].late_weight = -1.0),
+        "`Classes[2].LateWorth` is -1, not a finite number of 0 or more"
+    );
+    assert_eq!(
+        check(|s| s.tenants = vec![Tenant { quota_rps: f64::NAN }]),
+        "`Tenants[0].QuotaRps` is NaN, not a finite number of 0 or more"
+    );
 }
 
 #[test]
