--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,50 +1,51 @@
-//! What the decision module wants done.
+//! The output of the decision module: actions for the surrounding program to carry out.
 
 use super::event::{Duration, EndpointId, RequestId, Time};
 
-/// What a balancer does.
+/// An output of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it is given up at `until`.
+    /// Send an attempt of a request to an endpoint.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint to send to.
         endpoint: EndpointId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         until: Time,
-        /// When it must have begun, or it is never sent: its endpoints may run a later repeat anew.
+        /// The latest time at which sending may begin, else the attempt is not sent: a repeat that arrives after the
+        /// idempotency window would run again.
         begin_by: Option<Time>,
     },
-    /// Final answer: rejected, and trying again is harmless.
+    /// Final response: the request is rejected and safe to repeat.
     Reject {
         /// The request.
         id: RequestId,
-        /// Advice on how long to stay away; 0 for none.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed, with no promise on its effect.
+    /// Final response: the request failed and may or may not have run.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Ask an endpoint for its load.
+    /// Query an endpoint for its load.
     QueryLoad(EndpointId),
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Ask for [`Event::Timer`](super::event::Event::Timer) after a while.
+    /// Set a timer that fires as [`Event::Timer`](super::event::Event::Timer).
     SetTimer {
-        /// From now.
+        /// Delay from now.
         after: Duration,
-        /// Comes back with the event.
+        /// Token to return with the event.
         token: u64,
     },
     /// Watch the endpoint list for changes.
     WatchEndpoints,
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log(String),
 }
--- a/src/decision/backoff.rs
+++ b/src/decision/backoff.rs
@@ -2,10 +2,10 @@
 
 use super::event::Duration;
 
-/// Doublings after which the delay grows no more, whatever the cap, so that it cannot overflow.
-const MOST_DOUBLINGS: u32 = 8;
+/// Number of doublings after which the delay stops growing, whatever the cap, so that the shift cannot overflow.
+const MAX_DOUBLINGS: u32 = 8;
 
-/// A delay that doubles with each failure in a row, up to a cap.
+/// A delay that doubles with each consecutive failure, up to a cap.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
     /// The delay after the first failure, in nanoseconds.
@@ -15,8 +15,8 @@
 }
 
 impl Backoff {
-    /// The delay after so many failures in a row.
+    /// The delay after this number of consecutive failures.
     pub fn delay(self, failures: u32) -> Duration {
-        (self.first << failures.saturating_sub(1).min(MOST_DOUBLINGS)).min(self.cap)
+        (self.first << failures.saturating_sub(1).min(MAX_DOUBLINGS)).min(self.cap)
     }
 }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,7 +1,6 @@
-//! What the decision module is told: events, and what they carry.
+//! The input of the decision module: events and the data they carry.
 //!
-//! Nothing here knows a wire format. All times are nanoseconds of one clock that only advances; where it
-//! starts does not matter.
+//! Nothing here depends on a wire format. All times are nanoseconds of one monotonic clock with an arbitrary origin.
 
 /// A point on the clock, in nanoseconds.
 pub type Time = u64;
@@ -11,11 +10,11 @@
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Duration = 1_000_000_000;
 
-/// A request, as the caller of the module numbers it. Ids are never reused.
+/// Identifies a request. The code that feeds events to the balancer assigns the ids and never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
 
-/// An upstream endpoint. The id says nothing of its zone, kind or age.
+/// Identifies an upstream endpoint. The id encodes neither its zone nor its kind nor its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointId(pub u32);
 
@@ -23,85 +22,85 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub u8);
 
-/// Where an endpoint stands in its life, as discovery lists it.
+/// Lifecycle state of an endpoint, as listed by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     InService,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes its requests in flight; no new request may be sent to it.
     Draining,
-    /// Removed.
+    /// No longer part of the deployment.
     Removed,
 }
 
-/// One endpoint as discovery lists it.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: ZoneId,
-    /// The cell it shares its seen idempotency keys with.
+    /// The cell whose endpoints share the idempotency keys they have seen.
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Its lifecycle state.
     pub state: EndpointState,
-    /// Its capacity, to be compared with that of others.
+    /// Its capacity, relative to that of the other endpoints.
     pub capacity: f32,
-    /// When its process started last; `None` if long past.
+    /// When its process last started; `None` if that was long ago.
     pub started: Option<Time>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// The endpoint responded.
     Success,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint responded with an error; the request may have run.
     Error,
-    /// The endpoint found fault with the request, and its answer is the final one: it tells nothing of the endpoint.
+    /// The endpoint found the request invalid. Its response is final and says nothing about the endpoint's health.
     InvalidRequest,
-    /// Rejected by the endpoint before it ran.
+    /// The endpoint rejected the request before it ran.
     Rejected,
-    /// No answer within the attempt's limit; it may have run.
+    /// No response within the attempt's time limit; the request may have run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be established; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the request did not run at the endpoint.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// An endpoint's own load figures, in the order of the deployment's report fields.
+/// The load that an endpoint reports, in the order of the deployment's report fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The figures; only the first `len` hold.
+    /// The reported values; only the first `len` are valid.
     pub figures: [f32; 4],
-    /// How many figures there are.
+    /// Number of valid values.
     pub len: usize,
 }
 
-/// What a request asks for.
+/// A request as received from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
     /// Position of its class in the settings.
     pub class: usize,
     /// Position of its tenant in the settings.
     pub tenant: usize,
-    /// How long its client waits from now on.
+    /// How much longer the client waits for the response.
     pub time_left: Duration,
-    /// Its work, roughly, where that is known.
+    /// An estimate of the work it causes, if known.
     pub work: Option<Duration>,
-    /// Its body is still being received: its time, and that of its attempts, runs from its last byte.
+    /// The body is still being received. The client's wait and the time limits of the attempts start at its last byte.
     pub streaming: bool,
 }
 
@@ -112,41 +111,41 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The request has its final answer.
+    /// The request already has its final response.
     pub request_closed: bool,
-    /// A part of the request's body is consumed: it cannot be sent again.
+    /// Part of the request body has been consumed, so the request cannot be sent again.
     pub body_consumed: bool,
-    /// The endpoint's own figures, if any came along.
+    /// The load report that came with the response, if any.
     pub load: Option<LoadReport>,
 }
 
-/// What a balancer is told.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
     /// Changed entries of the endpoint list.
     EndpointsChanged(&'a [EndpointEntry]),
-    /// The complete endpoint list; what is missing from it is removed.
+    /// The complete endpoint list; endpoints missing from it are removed.
     EndpointList(&'a [EndpointEntry]),
-    /// A call to discovery failed or the watch broke; the list stays as it was.
+    /// A call to discovery failed or the watch broke; the endpoint list is unchanged.
     DiscoveryFailed,
-    /// Discovery is another service from now on, and has not been called yet; the list stays as it was.
+    /// Discovery has moved to another service that has not been called yet; the endpoint list is unchanged.
     DiscoveryMoved,
-    /// A request to be answered once.
+    /// A client sent a request, which needs exactly one final response.
     Request(RequestId, IncomingRequest),
-    /// The response to a streaming request began at this attempt; no deadline runs any more.
+    /// The response to a streaming request started at this attempt, which ends all deadlines of the request.
     ResponseStarted(RequestId, u32),
     /// An attempt ended.
     AttemptEnded(RequestId, AttemptEnd),
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected and needs no response any more.
     ClientDisconnected(RequestId),
-    /// A load query ended, with the endpoint's own figures if any came along.
+    /// A load query ended, with the endpoint's load report if it sent one.
     LoadQueryEnded(EndpointId, AttemptOutcome, Option<LoadReport>),
-    /// An operator has taken an endpoint offline, listed or not; it stays so until brought back.
+    /// An operator took an endpoint offline, listed or not. It stays offline until brought back online.
     Offline(EndpointId),
-    /// An operator has brought an endpoint back.
+    /// An operator brought an endpoint back online.
     Online(EndpointId),
-    /// A timer that this balancer set.
+    /// A timer that this balancer set has fired.
     Timer(u64),
 }
--- a/src/decision/event_log.rs
+++ b/src/decision/event_log.rs
@@ -1,12 +1,12 @@
-//! Log lines for the operators, at most one of a kind in a while.
+//! Log lines for the operators, rate-limited for each topic.
 
 use super::action::Action;
 use super::event::{Duration, SECOND, Time};
 
-/// Least time between two log lines of a kind: in trouble, what they tell of happens many times a second.
+/// Minimum time between two log lines of a topic: in an outage, the logged changes happen many times a second.
 const LOG_INTERVAL: Duration = 5 * SECOND;
 
-/// What log lines tell of.
+/// Subject of a log line.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Topic {
     Discovery,
@@ -16,16 +16,16 @@
 }
 
 /// Number of topics.
-const TOPICS: usize = 4;
+const TOPIC_COUNT: usize = 4;
 
-/// When each topic may be logged again.
+/// Rate limiter for log lines: when each topic may be logged again.
 #[derive(Debug, Default)]
 pub(crate) struct EventLog {
-    not_before: [Time; TOPICS],
+    not_before: [Time; TOPIC_COUNT],
 }
 
 impl EventLog {
-    /// Writes a line, unless one of its topic was written just before.
+    /// Writes a line, or drops it if one of the same topic was written less than [`LOG_INTERVAL`] ago.
     pub fn write(&mut self, topic: Topic, now: Time, text: String, actions: &mut Vec<Action>) {
         let not_before = &mut self.not_before[topic as usize];
         if now < *not_before {
--- a/src/decision/rejections.rs
+++ b/src/decision/rejections.rs
@@ -1,60 +1,63 @@
-//! What an endpoint rejects, by class of requests.
+//! Rejections and errors of one endpoint, tracked for each request class.
 //!
-//! An endpoint may reject one class and serve all others: passing it over for those too would swamp the rest.
+//! An endpoint may reject one class and serve all others. Skipping it for every class would overload the other
+//! endpoints.
 
 use super::backoff::Backoff;
 use super::circuit_breaker;
 use super::event::{Duration, SECOND, Time};
 
-/// Longest time that an endpoint is passed over for rejecting requests, doubling up to it from the time that a
-/// request takes: what rejects a class for long would cost each of its requests an attempt.
-const LONGEST_REJECTING: Duration = 4 * SECOND;
-/// Errors in a row that a class may get from an endpoint before it is passed over for it: one is chance.
+/// Longest time that an endpoint is skipped for rejecting a class. The time starts at the duration of a request and
+/// doubles up to this cap: where an endpoint keeps rejecting a class, each request sent there wastes an attempt.
+const MAX_SKIP_TIME: Duration = 4 * SECOND;
+/// Consecutive errors of a class that are tolerated before the endpoint is skipped for the class: a single error may be
+/// chance.
 const TOLERATED_ERRORS: u32 = 1;
-/// Classes rejected at a time that make an endpoint full for all.
-const REJECTED_CLASSES: usize = 2;
+/// Number of classes rejected at the same time from which the endpoint is skipped for all classes.
+const REJECTED_CLASSES_LIMIT: usize = 2;
 
-/// Requests of one class that an endpoint rejected, or failed.
+/// The rejections and errors of one request class at one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassRejections {
-    /// It presumably goes on until then.
-    until: Time,
-    /// So many in a row.
+    /// The endpoint is skipped for the class until this time.
+    skipped_until: Time,
+    /// Number of consecutive rejections or errors.
     consecutive: u32,
 }
 
 impl ClassRejections {
-    /// The endpoint rejected a request. Answered at once, rejections never fill the limit in flight, and the only
-    /// endpoint that is not at its limit would get all turns: it is passed over until a request, which takes
-    /// `request_time`, has had the time to end.
+    /// Records that the endpoint rejected a request, and skips it for at least the duration of a request,
+    /// `request_time`, so that it can finish one. Rejections return at once and never fill the in-flight limit: without
+    /// the pause, a rejecting endpoint would be the only one below its limit and receive all requests.
     pub fn on_rejection(&mut self, now: Time, request_time: Duration) {
-        self.extend(now, request_time, 0);
+        self.record(now, request_time, 0);
     }
 
-    /// The endpoint answered with an error. Answers to other classes would keep its breaker closed.
+    /// Records that the endpoint responded with an error. The circuit breaker alone would stay closed, because
+    /// responses to other classes reset it.
     pub fn on_error(&mut self, now: Time) {
-        self.extend(now, circuit_breaker::OPEN.first, TOLERATED_ERRORS);
+        self.record(now, circuit_breaker::OPEN.first, TOLERATED_ERRORS);
     }
 
-    /// Passes the endpoint over, longer each time, once so many in a row were tolerated.
-    fn extend(&mut self, now: Time, first: Duration, tolerated: u32) {
+    /// Counts a failure and, beyond the tolerated number, skips the endpoint for a time that doubles with each one.
+    fn record(&mut self, now: Time, first: Duration, tolerated: u32) {
         self.consecutive += 1;
         if self.consecutive > tolerated {
-            let backoff = Backoff { first, cap: LONGEST_REJECTING };
-            self.until = now + backoff.delay(self.consecutive - tolerated);
+            let backoff = Backoff { first, cap: MAX_SKIP_TIME };
+            self.skipped_until = now + backoff.delay(self.consecutive - tolerated);
         }
     }
 
     fn is_active(&self, now: Time) -> bool {
-        now < self.until
+        now < self.skipped_until
     }
 }
 
-/// Whether an endpoint is taken to reject a class of requests.
+/// Whether an endpoint is expected to reject a request of this class.
 pub(crate) fn rejects(rejections: &[ClassRejections], class: usize, now: Time) -> bool {
     if rejections[class].is_active(now) {
         return true;
     }
     let active = rejections.iter().filter(|rejections| rejections.is_active(now));
-    active.count() >= REJECTED_CLASSES
+    active.count() >= REJECTED_CLASSES_LIMIT
 }
