--- a/src/decision/attempt_learning.rs
+++ b/src/decision/attempt_learning.rs
@@ -1,4 +1,5 @@
-//! What the end of an attempt teaches: of its endpoint, its zone, its class and its connection.
+//! Updates what the balancer has learned about an endpoint, a zone, a request class and a connection at the end of an
+//! attempt.
 
 use super::LoadBalancer;
 use super::circuit_breaker::FailureKind;
@@ -9,13 +10,14 @@
 use super::request_table::{Lateness, PendingRequest};
 use super::statistics::OUTCOME_GAIN;
 
-/// A time-out counts as a failure if it took longer than this multiple of the class's calm latency: a limit that is
-/// short even for a sound endpoint is the client's fault.
-const TIMEOUT_OF_CALM: f64 = 2.0;
+/// A timeout counts as a failure of the endpoint only if the attempt ran for at least this multiple of the class's calm
+/// latency: a time limit that is too short even for a healthy endpoint is set by the client.
+const MIN_TIMEOUT_OVER_CALM_LATENCY: f64 = 2.0;
 
 impl LoadBalancer {
-    pub(super) fn learn(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        // A request that was still being received held its attempt up.
+    /// Updates all statistics at the end of an attempt.
+    pub(super) fn learn_from_attempt(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
+        // The attempt of a request that was still being received was delayed by its client.
         let is_timed = !(request.streaming && request.response_started);
         if is_timed {
             self.learn_zone_lateness(request, position, end);
@@ -27,21 +29,24 @@
         }
     }
 
+    /// Learns how late attempts in the zone of the endpoint are. A rejection counts as at least as late as the
+    /// objective.
     fn learn_zone_lateness(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        let least = match end.outcome {
+        let min_lateness = match end.outcome {
             AttemptOutcome::Success | AttemptOutcome::Cancelled | AttemptOutcome::Timeout => 0.0,
             AttemptOutcome::Rejected => 1.0,
             _ => return,
         };
         let objective = self.settings.classes[request.class].latency_objective.max(1) as f64;
-        let lateness = (end.elapsed as f64 / objective).max(least);
+        let lateness = (end.elapsed as f64 / objective).max(min_lateness);
         self.endpoints.zone_pool(position).learn_lateness(lateness, self.now);
     }
 
+    /// Updates the circuit breaker, the rejections and the connection limit of the endpoint by the outcome.
     fn learn_outcome(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
         let now = self.now;
         let class = request.class;
-        let sent = now.saturating_sub(end.elapsed);
+        let sent_at = now.saturating_sub(end.elapsed);
         match end.outcome {
             AttemptOutcome::Success => self.on_success(request, position),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::InvalidRequest => {}
@@ -50,27 +55,29 @@
                 self.endpoints[position].rejections[class].on_rejection(now, request_time);
             }
             AttemptOutcome::Error => {
-                self.on_breaker_failure(position, sent, FailureKind::Ended);
+                self.on_breaker_failure(position, sent_at, FailureKind::Ended);
                 self.endpoints[position].rejections[class].on_error(now);
             }
             AttemptOutcome::ConnectFailed if self.endpoints[position].is_alive(now) => {
                 self.endpoints[position].learn_connection_limit(now);
             }
-            AttemptOutcome::ConnectFailed => self.on_breaker_failure(position, sent, FailureKind::Ended),
-            AttemptOutcome::Timeout if self.is_excused(request, end.elapsed) => {}
+            AttemptOutcome::ConnectFailed => self.on_breaker_failure(position, sent_at, FailureKind::Ended),
+            AttemptOutcome::Timeout if self.is_timeout_ignored(request, end.elapsed) => {}
             AttemptOutcome::Timeout | AttemptOutcome::Reset => {
-                self.on_failure(position, request.idle, sent, FailureKind::of(end.outcome));
+                self.on_missing_response(position, request.idle, sent_at, FailureKind::of(end.outcome));
             }
         }
     }
 
-    /// Whether a time-out says nothing of its endpoint: it has counted already, or its limit was too short. By the
-    /// mean latency instead of the calm one, the time-outs of a stuck endpoint would excuse themselves.
-    fn is_excused(&self, request: &PendingRequest, elapsed: Duration) -> bool {
+    /// Whether a timeout is not a failure of its endpoint: it has already been counted as overdue, or its time limit
+    /// was too short. The mean latency would be no measure of that, because the timeouts of a stuck endpoint raise it
+    /// and would then be ignored.
+    fn is_timeout_ignored(&self, request: &PendingRequest, elapsed: Duration) -> bool {
         let calm = self.traffic.classes[request.class].calm;
-        request.lateness == Lateness::Overdue || (elapsed as f64) < TIMEOUT_OF_CALM * calm
+        request.lateness == Lateness::Overdue || (elapsed as f64) < MIN_TIMEOUT_OVER_CALM_LATENCY * calm
     }
 
+    /// Updates the endpoint and its connection after a response.
     fn on_success(&mut self, request: &PendingRequest, position: usize) {
         self.traffic.count_answered(self.now);
         self.learn_home_share(position);
@@ -81,7 +88,7 @@
         self.on_breaker_success(position);
     }
 
-    /// Learns which part of the requests the warm endpoints of the own zone serve, while that is used.
+    /// Learns which fraction of the requests is served by warm endpoints of the own zone, while requests stay in it.
     fn learn_home_share(&mut self, position: usize) {
         if self.zone_routing.has_left_own_zone() {
             return;
@@ -92,46 +99,56 @@
         self.slow_start.learn_home_share(self.now, is_home && is_warm);
     }
 
+    /// Learns the latency of the endpoint, of the class and for each request in flight at the endpoint.
     fn learn_latency(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        let took = end.elapsed as f64;
+        let latency_ns = end.elapsed as f64;
         let latency = &self.traffic.classes[request.class];
         self.endpoints[position].learn_slowness(latency, end.elapsed);
-        self.traffic.learn_latency(request.class, took);
+        self.traffic.learn_latency(request.class, latency_ns);
         if end.outcome == AttemptOutcome::Success {
             let mean = self.traffic.classes[request.class].mean;
             self.slow_start.on_answered(self.now, request.class, mean, request.work);
         }
         if request.reported_in_flight > 0.0 {
-            self.traffic.per_in_flight.learn(took / request.reported_in_flight, OUTCOME_GAIN);
+            self.traffic.per_in_flight.learn(latency_ns / request.reported_in_flight, OUTCOME_GAIN);
         }
     }
 
-    /// An attempt without an answer tells of its endpoint, or of its connection where idle ones fail.
-    pub(super) fn on_failure(&mut self, position: usize, idle: IdleStep, sent: Time, kind: FailureKind) {
+    /// Handles an attempt that got no response. The failure is attributed to the connection if idle connections fail
+    /// often, else to the endpoint.
+    pub(super) fn on_missing_response(
+        &mut self,
+        position: usize,
+        idle: IdleStep,
+        sent_at: Time,
+        kind: FailureKind,
+    ) {
         self.idle_risk.learn(idle, true, self.now);
         if idle.was_idle() {
-            self.endpoints[position].close_idle(&mut self.actions); // the next failure is not for this reason
+            self.endpoints[position].close_idle(&mut self.actions); // else the next attempt may fail the same way
         }
         if !self.idle_risk.explains_failure(idle, self.now) {
-            self.on_breaker_failure(position, sent, kind);
+            self.on_breaker_failure(position, sent_at, kind);
         }
     }
 
-    pub(super) fn on_breaker_failure(&mut self, position: usize, sent: Time, kind: FailureKind) {
-        let failing = self.traffic.learn_failure();
+    /// Counts a failure of an endpoint, and logs if that opens its circuit breaker.
+    pub(super) fn on_breaker_failure(&mut self, position: usize, sent_at: Time, kind: FailureKind) {
+        let failure_rate = self.traffic.learn_failure();
         self.endpoints.zone_pool(position).learn_failing(true, self.now);
         let endpoint = &mut self.endpoints[position];
-        if !endpoint.breaker.on_failure(self.now, sent, failing, kind) {
+        if !endpoint.breaker.on_failure(self.now, sent_at, failure_rate, kind) {
             return;
         }
         let text = format!(
-            "circuit breaker of endpoint {} opened, {} times lately",
+            "circuit breaker of endpoint {} opened, {} times since it last recovered",
             endpoint.id.0, endpoint.breaker.recent_openings
         );
         self.endpoints.set_tripped(position, true);
         self.log(Topic::CircuitBreaker, text);
     }
 
+    /// Counts a success of an endpoint, which closes its circuit breaker.
     fn on_breaker_success(&mut self, position: usize) {
         self.traffic.learn_success();
         self.endpoints.zone_pool(position).learn_failing(false, self.now);
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -1,54 +1,58 @@
-//! Load shedding: which new requests are rejected at once, by their value and their tenant's quota.
+//! Load shedding: rejects new requests in an overload, by their value and their tenant's quota.
 
 use super::event::{Duration, SECOND, Time};
 use super::settings::Settings;
 use super::statistics::{DecayingSum, LatencyStatistics, RATE_WINDOW, TRUSTED_SAMPLES, TrafficStatistics};
 
-/// Expected time to an answer, as part of the objective, from which load is shed, and at which all is: above them the
-/// tail of the answers misses it, and below them what is slow by nature would be rejected on a calm day.
-const SHED_FROM: f64 = 0.5;
-const SHED_ALL_FROM: f64 = 0.65;
-/// Most of the load that is ever shed: some requests must show when the overload is over.
-const SHED_MOST: f64 = 0.9;
-/// Time over which answers are counted to tell how fast they come, and where that is too short for a balancer with
-/// few requests, at most so many of the longest objective: a jam comes and goes within some.
-const ANSWER_WINDOW: Duration = SECOND;
-const ANSWER_WINDOW_OBJECTIVES: u64 = 2;
-
-/// Whether load shedding has just begun or ended.
+/// Expected response time, as a multiple of the latency objective, from which load is shed. If this and
+/// [`SHED_ALL_LATENESS`] were higher, the slowest responses would miss the objective; if they were lower, requests that
+/// are slow by nature would be rejected without an overload.
+const SHED_START_LATENESS: f64 = 0.5;
+/// Expected response time, as a multiple of the latency objective, from which the maximum fraction of the load is shed.
+const SHED_ALL_LATENESS: f64 = 0.65;
+/// Maximum fraction of the load that is shed: the remaining requests show when the overload ends.
+const MAX_SHED_FRACTION: f64 = 0.9;
+/// Minimum window over which responses are counted to measure their rate.
+const MIN_RESPONSE_WINDOW: Duration = SECOND;
+/// Maximum length of the window at a balancer with few requests, as a multiple of the longest latency objective: an
+/// overload builds up and ends within a few objectives.
+const MAX_RESPONSE_WINDOW_OBJECTIVES: u64 = 2;
+
+/// The start or end of load shedding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SheddingChange {
-    /// It has begun.
+    /// Load shedding has started.
     pub active: bool,
-    /// Expected time to an answer, as part of the objective.
+    /// Expected response time, as a multiple of the latency objective.
     pub lateness: f64,
 }
 
-/// What becomes of a new request.
+/// The decision on a new request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Admission {
     pub admitted: bool,
-    /// What is worth a log line.
+    /// The start or end of load shedding, to be logged.
     pub change: Option<SheddingChange>,
 }
 
-/// What load shedding goes by.
+/// State of load shedding: the load, the response rate and the requested work.
 #[derive(Debug)]
 pub(crate) struct LoadShedding {
-    /// Requests in hand, each counted as one over its objective.
-    waiting: f64,
-    /// The same summed over time.
-    in_hand: DecayingSum,
-    answers: DecayingSum,
-    /// Work asked for, for each class within and beyond the tenant's quota.
+    /// Sum over the open requests of the reciprocal of their latency objective, in 1/ns.
+    load: f64,
+    /// Integral of the load over time.
+    accumulated_load: DecayingSum,
+    /// Number of requests that ended after an endpoint had processed them.
+    responses: DecayingSum,
+    /// Work requested of each class, within and over the quotas of the tenants, by [`Bucket`].
     demand: Vec<DecayingSum>,
-    /// Requests of each tenant.
-    tenants: Vec<DecayingSum>,
-    /// Whether load was shed when last looked at.
+    /// Number of requests of each tenant.
+    tenant_requests: Vec<DecayingSum>,
+    /// Whether load was shed at the last request.
     active: bool,
 }
 
-/// A class of requests, within or beyond the quota of their tenant.
+/// The requests of one class that are within, or over, the quota of their tenant.
 #[derive(Clone, Copy)]
 struct Bucket(usize);
 
@@ -65,29 +69,29 @@
         self.0 % 2 == 1
     }
 
-    /// Weight for each unit of work.
+    /// Weight per unit of work.
     fn value(self, settings: &Settings, classes: &[LatencyStatistics]) -> f64 {
         let work = if settings.weight_by_work { 1.0 } else { classes[self.class()].mean.max(1.0) };
-        let part = if self.is_over_quota() { settings.over_quota_weight } else { 1.0 };
-        settings.classes[self.class()].priority_weight * part / work
+        let quota_factor = if self.is_over_quota() { settings.over_quota_weight } else { 1.0 };
+        settings.classes[self.class()].priority_weight * quota_factor / work
     }
 }
 
 impl LoadShedding {
-    /// Nothing is in hand.
+    /// Creates the state of a balancer without open requests.
     pub fn new(settings: &Settings) -> Self {
         Self {
-            waiting: 0.0,
-            in_hand: DecayingSum::default(),
-            answers: DecayingSum::default(),
+            load: 0.0,
+            accumulated_load: DecayingSum::default(),
+            responses: DecayingSum::default(),
             demand: vec![DecayingSum::default(); 2 * settings.classes.len()],
-            tenants: vec![DecayingSum::default(); settings.tenants.len()],
+            tenant_requests: vec![DecayingSum::default(); settings.tenants.len()],
             active: false,
         }
     }
 
-    /// Whether a new request is admitted. The lowest value is shed first, as much of the work as the shed level
-    /// says. Deeper tiers finish what was begun.
+    /// Decides whether a new request is admitted. The shed level determines the fraction of the requested work that is
+    /// shed, lowest value first. Deeper tiers admit everything, because other tiers have already worked on it.
     pub fn admit(
         &mut self,
         class: usize,
@@ -102,18 +106,19 @@
         }
         let bucket = Bucket::new(class, self.is_over_quota(tenant, now, settings, rng));
         self.demand[bucket.0].add(now, traffic.classes[class].mean.max(1.0), RATE_WINDOW);
-        let demand = self.demand_around(bucket, now, settings, &traffic.classes);
-        let window = answer_window(now, settings, traffic);
-        self.change_in_hand(0.0, now, window);
+        let demand = self.demand_relative_to(bucket, now, settings, &traffic.classes);
+        let window = response_window(now, settings, traffic);
+        self.update_load(0.0, now, window);
         let lateness = self.expected_lateness(now, window);
-        let level = (lateness - SHED_FROM) / (SHED_ALL_FROM - SHED_FROM);
-        let change = self.note_level(level, lateness);
-        let shed_work = level.clamp(0.0, SHED_MOST) * demand.total - demand.lower;
-        let is_shed = rng.f64() * demand.equal < shed_work;
+        let level = (lateness - SHED_START_LATENESS) / (SHED_ALL_LATENESS - SHED_START_LATENESS);
+        let change = self.update_active(level, lateness);
+        let shed_work = level.clamp(0.0, MAX_SHED_FRACTION) * demand.total - demand.lower_value;
+        let is_shed = rng.f64() * demand.equal_value < shed_work;
         Admission { admitted: !is_shed, change }
     }
 
-    fn note_level(&mut self, level: f64, lateness: f64) -> Option<SheddingChange> {
+    /// Updates whether load is being shed, and returns the change if there is one.
+    fn update_active(&mut self, level: f64, lateness: f64) -> Option<SheddingChange> {
         let active = level > 0.0;
         if active == self.active {
             return None;
@@ -122,49 +127,45 @@
         Some(SheddingChange { active, lateness })
     }
 
-    /// A request is in hand from now on, or is of another weight.
-    pub fn change_weight(
-        &mut self,
-        change: f64,
-        now: Time,
-        settings: &Settings,
-        traffic: &TrafficStatistics,
-    ) {
-        self.change_in_hand(change, now, answer_window(now, settings, traffic));
+    /// Adds the load of a new request, or changes that of an open one.
+    pub fn change_load(&mut self, change: f64, now: Time, settings: &Settings, traffic: &TrafficStatistics) {
+        self.update_load(change, now, response_window(now, settings, traffic));
     }
 
-    /// A request is over. Failed answers count like others: they hold nothing up. What no endpoint has worked on does
-    /// not: quick rejections would pass for quick answers.
-    pub fn on_answered(
+    /// Removes the load of a request that ended, and counts it as a response if an endpoint has processed it. Failures
+    /// count too, because they no longer occupy an endpoint. Other requests do not: quick rejections would look like
+    /// quick responses.
+    pub fn on_request_ended(
         &mut self,
-        weight: f64,
-        worked_on: bool,
+        load_weight: f64,
+        was_processed: bool,
         now: Time,
         settings: &Settings,
         traffic: &TrafficStatistics,
     ) {
-        let window = answer_window(now, settings, traffic);
-        self.change_in_hand(-weight, now, window);
-        self.answers.add(now, if worked_on { 1.0 } else { 0.0 }, window);
+        let window = response_window(now, settings, traffic);
+        self.update_load(-load_weight, now, window);
+        self.responses.add(now, if was_processed { 1.0 } else { 0.0 }, window);
     }
 
-    /// Changes what is in hand, and sums what was in hand until now.
-    fn change_in_hand(&mut self, change: f64, now: Time, window: Duration) {
-        let passed = now.saturating_sub(self.in_hand.updated) as f64 / window as f64;
-        let held = self.waiting * window as f64 * (1.0 - (-passed).exp());
-        self.in_hand.add(now, held, window);
-        self.waiting = (self.waiting + change).max(0.0);
+    /// Integrates the load until now, and then changes it.
+    fn update_load(&mut self, change: f64, now: Time, window: Duration) {
+        let elapsed_windows = now.saturating_sub(self.accumulated_load.updated) as f64 / window as f64;
+        let accumulated = self.load * window as f64 * (1.0 - (-elapsed_windows).exp());
+        self.accumulated_load.add(now, accumulated, window);
+        self.load = (self.load + change).max(0.0);
     }
 
-    /// Time to an answer, as part of the objective, that a new request can expect: the requests in hand over the
-    /// answers a second. Unlike the latency of answers, it shows a jam while that builds up. In a full jam no answers
-    /// come, so fewer than tell more than chance are taken for that many.
+    /// Response time that a new request can expect, as a multiple of the latency objective: the load divided by the
+    /// response rate (Little's law). Unlike the measured latency, it shows an overload while that builds up. Where all
+    /// endpoints are stuck there are no responses, so the number of responses counts as at least [`TRUSTED_SAMPLES`].
     fn expected_lateness(&self, now: Time, window: Duration) -> f64 {
-        let answers = self.answers.get(now, window);
-        self.in_hand.get(now, window) / answers.max(f64::from(TRUSTED_SAMPLES))
+        let responses = self.responses.get(now, window);
+        self.accumulated_load.get(now, window) / responses.max(f64::from(TRUSTED_SAMPLES))
     }
 
-    /// Whether a request is beyond its tenant's quota, if all replicas get as many of them.
+    /// Whether a request is over its tenant's quota, assuming that all replicas receive requests of the tenant at this
+    /// rate.
     fn is_over_quota(
         &mut self,
         tenant: usize,
@@ -172,14 +173,14 @@
         settings: &Settings,
         rng: &mut fastrand::Rng,
     ) -> bool {
-        let Some(recent) = self.tenants.get_mut(tenant) else { return false };
+        let Some(recent) = self.tenant_requests.get_mut(tenant) else { return false };
         recent.add(now, 1.0, RATE_WINDOW);
         let rate = recent.sum * SECOND as f64 / RATE_WINDOW as f64;
         rng.f64() * rate * f64::from(settings.replicas) > settings.tenants[tenant].quota_rps
     }
 
-    /// The work asked for lately, compared with that of a bucket by its value.
-    fn demand_around(
+    /// The work requested recently, split by its value relative to that of a bucket.
+    fn demand_relative_to(
         &self,
         bucket: Bucket,
         now: Time,
@@ -190,30 +191,30 @@
         let mut demand = Demand::default();
         for (position, recent) in self.demand.iter().enumerate() {
             let work = recent.get(now, RATE_WINDOW);
-            let other = Bucket(position).value(settings, classes);
+            let other_value = Bucket(position).value(settings, classes);
             demand.total += work;
-            demand.lower += if other < value { work } else { 0.0 };
-            demand.equal += if other == value { work } else { 0.0 };
+            demand.lower_value += if other_value < value { work } else { 0.0 };
+            demand.equal_value += if other_value == value { work } else { 0.0 };
         }
         demand
     }
 }
 
-/// Work asked for lately: all of it, and that of lower and of equal value to some request's.
+/// Work requested recently: in total, and of lower and equal value than a given bucket.
 #[derive(Default)]
 struct Demand {
     total: f64,
-    lower: f64,
-    equal: f64,
+    lower_value: f64,
+    equal_value: f64,
 }
 
-/// Time over which answers are counted. A balancer with few requests needs longer to see enough answers, or a jam
-/// looks like chance to it.
-fn answer_window(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
+/// Window over which responses are counted. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
+/// responses, because it could not tell an overload from chance otherwise.
+fn response_window(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
-    let longest = objectives.max().unwrap_or(0).saturating_mul(ANSWER_WINDOW_OBJECTIVES);
-    let most = longest.clamp(ANSWER_WINDOW, RATE_WINDOW);
+    let longest = objectives.max().unwrap_or(0).saturating_mul(MAX_RESPONSE_WINDOW_OBJECTIVES);
+    let max_window = longest.clamp(MIN_RESPONSE_WINDOW, RATE_WINDOW);
     let rate = traffic.answer_rate(now).max(1.0);
-    let needed = (f64::from(TRUSTED_SAMPLES) / rate * SECOND as f64) as Duration;
-    needed.clamp(ANSWER_WINDOW, most)
+    let needed_window = (f64::from(TRUSTED_SAMPLES) / rate * SECOND as f64) as Duration;
+    needed_window.clamp(MIN_RESPONSE_WINDOW, max_window)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,8 +1,10 @@
-//! The decisions of the balancer, without sockets, clocks, files or tasks: events in, actions out.
+//! The decision module of the balancer: it receives events and returns actions, and uses no sockets, clocks, files or
+//! tasks.
 //!
-//! The ordinary path is Ribbon's zone-aware rule: stay in the own zone while it is healthy, else avoid the worst zone,
-//! and go round robin past ejected and over-full endpoints. docs/design.md has the source, and the condition under
-//! which each exception acts. Each module here owns the state of one concern; [`LoadBalancer`] puts them together.
+//! Routing follows Ribbon's zone-aware rule: requests stay in the balancer's own zone while that is healthy, and
+//! otherwise avoid the worst zone. Within a zone, endpoints are picked round robin, skipping those that are ejected or
+//! overloaded. docs/design.md names the source of the rule and the condition for each exception to it. Each submodule
+//! owns the state of one concern; [`LoadBalancer`] combines them.
 
 mod action;
 mod attempt_learning;
@@ -47,13 +49,13 @@
 use std::collections::HashSet;
 use zone_routing::ZoneRouting;
 
-/// One balancer: all that it knows, and what it does about each event.
+/// The state of one balancer, which handles events and returns actions.
 #[derive(Debug)]
 pub struct LoadBalancer {
     settings: Settings,
     rng: fastrand::Rng,
     now: Time,
-    /// What is to be done about the event being handled.
+    /// Actions collected for the event being handled.
     actions: Vec<Action>,
     endpoints: EndpointTable,
     list_watch: EndpointListWatch,
@@ -69,11 +71,11 @@
 }
 
 impl LoadBalancer {
-    /// A balancer that has seen nothing yet. Its random numbers come from `seed` alone.
+    /// Creates a balancer with an empty endpoint list. All its random numbers derive from `seed`.
     ///
     /// # Errors
     ///
-    /// The first field of the settings that makes no sense.
+    /// Names the first setting that has an invalid value.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -95,13 +97,13 @@
         })
     }
 
-    /// Takes one event and appends to `actions` what is to be done about it. A `now` before that of the event before
-    /// counts as that.
+    /// Handles one event and appends the resulting actions to `actions`. If `now` is earlier than at the previous
+    /// event, the time of the previous event is used instead.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::EndpointsChanged(entries) => self.on_endpoints(entries),
-            Event::EndpointList(entries) => self.on_complete_list(entries),
+            Event::EndpointsChanged(entries) => self.on_endpoints_changed(entries),
+            Event::EndpointList(entries) => self.on_endpoint_list(entries),
             Event::DiscoveryFailed => self.on_discovery_failed(),
             Event::DiscoveryMoved => self.list_watch.on_moved(&mut self.rng, &mut self.actions),
             Event::Request(id, incoming) => self.on_request(id, incoming),
@@ -118,7 +120,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// How many listed endpoints get no requests now: offline, draining, or with a tripped breaker.
+    /// Number of listed endpoints that receive no requests because they are offline, draining or have a tripped
+    /// circuit breaker.
     pub fn avoided(&self) -> usize {
         self.endpoints.avoided()
     }
@@ -126,19 +129,19 @@
     fn on_timer(&mut self, token: u64) {
         if token == WATCH_TOKEN {
             self.actions.push(Action::WatchEndpoints);
-        } else if let Some(id) = load_query::request_of(token) {
-            self.on_load_known(id);
+        } else if let Some(id) = load_query::request_of_timer(token) {
+            self.finish_load_query(id);
         } else {
             self.on_lateness_timer(token);
         }
     }
 
-    fn on_complete_list(&mut self, entries: &[EndpointEntry]) {
+    fn on_endpoint_list(&mut self, entries: &[EndpointEntry]) {
         self.endpoints.remove_all();
-        self.on_endpoints(entries);
+        self.on_endpoints_changed(entries);
     }
 
-    fn on_endpoints(&mut self, entries: &[EndpointEntry]) {
+    fn on_endpoints_changed(&mut self, entries: &[EndpointEntry]) {
         let least_cost = self.slow_start.least_cost();
         for entry in entries {
             self.endpoints.apply(entry, self.now, least_cost, &mut self.rng);
@@ -148,15 +151,15 @@
         self.list_watch.on_list(&self.settings, &mut self.rng, &mut self.actions);
     }
 
-    /// Forgets the removed endpoints, unless an attempt is in flight at them, or they stand for the group of a request
-    /// with an idempotency key.
+    /// Deletes the removed endpoints from the table, except those that a request still refers to: an attempt is in
+    /// flight there, a load query is pending, or the endpoint determines the deduplication group of an idempotency key.
     fn forget_removed(&mut self) {
         if !self.endpoints.has_removed() {
             return;
         }
-        let by_requests = self.requests.values().flat_map(PendingRequest::referenced_endpoints);
+        let used_by_requests = self.requests.values().flat_map(PendingRequest::referenced_endpoints);
         let referenced: HashSet<usize> =
-            by_requests.chain(self.load_queries.referenced_endpoints()).collect();
+            used_by_requests.chain(self.load_queries.referenced_endpoints()).collect();
         self.endpoints.forget_removed(&referenced);
     }
 
@@ -181,7 +184,7 @@
 
     fn on_discovery_failed(&mut self) {
         let failures = self.list_watch.on_failure(&mut self.rng, &mut self.actions);
-        let text = format!("discovery failed {failures} times in a row; the endpoint list may be old");
+        let text = format!("discovery failed {failures} times in a row; the endpoint list may be outdated");
         self.log(Topic::Discovery, text);
     }
 
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request: from its arrival over its attempts to its final answer.
+//! The lifecycle of a request: its arrival, its attempts and its final response.
 
 use super::LoadBalancer;
 use super::action::Action;
@@ -8,27 +8,32 @@
     AttemptEnd, AttemptOutcome, Duration, EndpointId, IncomingRequest, LoadReport, RequestId, Time,
 };
 use super::event_log::Topic;
-use super::load_query::{self, Candidate, LoadQuery, QUERIED_ENDPOINTS, QUERY_WAIT};
+use super::load_query::{self, Candidate, LoadQuery, MAX_QUERIED_ENDPOINTS, QUERY_TIMEOUT};
 use super::load_shedding::SheddingChange;
 use super::request_table::{Lateness, PendingRequest, SentAttempt};
 use super::settings::{Idempotency, RequestClass};
 use super::statistics::LatencyStatistics;
 use super::zone_routing::ZoneRouting;
 
-/// Mean deviations above the mean at which an attempt is late: it tells of its endpoint, not of all ...
+/// Number of mean deviations above the mean latency from which an attempt is late: it then counts as slowness of its
+/// endpoint and no longer as load.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// ... and at which it is overdue, a failure: hardly any attempt at a sound endpoint is.
+/// Number of mean deviations above the mean latency from which an attempt is overdue and counts as a failure: hardly
+/// any attempt at a healthy endpoint takes as long.
 const OVERDUE_DEVIATIONS: f64 = 20.0;
 
-/// An endpoint, and the pool it was picked from.
-struct Selected {
+/// An endpoint selected for a request, and the pool that it was picked from.
+struct SelectedEndpoint {
+    /// Position of the pool.
     pool: usize,
+    /// Position in the endpoint table.
     endpoint: usize,
 }
 
 impl LoadBalancer {
     // ---- Arrival ----
 
+    /// Admits a new request and starts its first attempt, or rejects it.
     pub(super) fn on_request(&mut self, id: RequestId, incoming: IncomingRequest) {
         let Some(class) = self.settings.classes.get(incoming.class) else {
             return self.actions.push(Action::Reject { id, retry_after: 0 });
@@ -36,24 +41,25 @@
         let objective = class.latency_objective.max(1) as f64;
         let request = PendingRequest {
             class: incoming.class,
-            // What is still being received holds nothing up yet, however long that takes.
-            weight: if incoming.streaming { 0.0 } else { 1.0 / objective },
+            // A request that is still being received does not occupy its endpoint yet, however long that takes.
+            load_weight: if incoming.streaming { 0.0 } else { 1.0 / objective },
             streaming: incoming.streaming,
             work: incoming.work,
-            deadline: self.now.saturating_add(self.useful_time(class, &incoming)),
+            deadline: self.now.saturating_add(self.max_wait(class, &incoming)),
             ..PendingRequest::default()
         };
         self.retries.on_request();
-        if self.admits(&incoming) {
-            self.change_weight(request.weight);
+        if self.check_admission(&incoming) {
+            self.change_load(request.load_weight);
             self.slow_start.on_admitted(self.now, request.class);
-            self.attempt(id, request);
+            self.start_attempt(id, request);
         } else {
             self.reject_or_fail(id, &request);
         }
     }
 
-    fn admits(&mut self, incoming: &IncomingRequest) -> bool {
+    /// Whether load shedding admits the request. Logs when load shedding starts or ends.
+    fn check_admission(&mut self, incoming: &IncomingRequest) -> bool {
         let admission = self.shedding.admit(
             incoming.class,
             incoming.tenant,
@@ -63,21 +69,23 @@
             &mut self.rng,
         );
         if let Some(SheddingChange { active, lateness }) = admission.change {
-            let change = if active { "began" } else { "ended" };
-            let text = format!("load shedding {change}: answers take {lateness:.2} of their objective");
+            let change = if active { "started" } else { "ended" };
+            let text = format!(
+                "load shedding {change}: the expected response time is {lateness:.2} times the latency objective"
+            );
             self.log(Topic::LoadShedding, text);
         }
         admission.admitted
     }
 
-    /// How long an answer is worth waiting for.
-    fn useful_time(&self, class: &RequestClass, incoming: &IncomingRequest) -> Duration {
+    /// The longest time that the client is kept waiting for a response.
+    fn max_wait(&self, class: &RequestClass, incoming: &IncomingRequest) -> Duration {
         let stretch = class.objective_stretch * incoming.work.unwrap_or(0) as f64;
         let objective = class.latency_objective.saturating_add(stretch as Duration).min(class.deadline);
-        // Where an answer after the objective is worth nothing, waiting on only blocks a slot. A deeper tier that
-        // is told no deadline must not work on for a client that is long gone.
-        let is_guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
-        if class.late_weight <= 0.0 || is_guessed {
+        // Where a response after the objective earns nothing, waiting longer only occupies an endpoint. A deeper tier
+        // that receives no deadline must not keep working for a client that has long disconnected.
+        let is_deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if class.late_weight <= 0.0 || is_deadline_unknown {
             incoming.time_left.min(objective)
         } else {
             incoming.time_left
@@ -86,10 +94,11 @@
 
     // ---- Attempts ----
 
-    fn attempt(&mut self, id: RequestId, request: PendingRequest) {
+    /// Starts an attempt: selects an endpoint, queries its load if load queries are enabled, and sends the request.
+    fn start_attempt(&mut self, id: RequestId, request: PendingRequest) {
         let Some(selected) = self.select(&request) else { return self.give_up(id, &request) };
-        // With hardly any time left, an answer would be owed before the endpoints have told.
-        let in_time = self.now.saturating_add(2 * QUERY_WAIT) < request.deadline;
+        // Close to the deadline there is no time to wait for load reports.
+        let in_time = self.now.saturating_add(2 * QUERY_TIMEOUT) < request.deadline;
         if in_time && load_query::is_enabled(&self.settings) {
             self.query_load(id, request, selected);
         } else {
@@ -97,7 +106,7 @@
         }
     }
 
-    /// What selecting an endpoint works on, beside the zone routing that it begins with.
+    /// The zone routing, which chooses the pool, and a selector for picking an endpoint from it.
     fn selector(&mut self) -> (&mut ZoneRouting, Selector<'_>) {
         let selector = Selector {
             settings: &self.settings,
@@ -110,8 +119,8 @@
         (&mut self.zone_routing, selector)
     }
 
-    /// Selects an endpoint from the zone that is to be used, or else from all.
-    fn select(&mut self, request: &PendingRequest) -> Option<Selected> {
+    /// Selects an endpoint from the pool that zone routing chooses, or from all zones if that pool has none available.
+    fn select(&mut self, request: &PendingRequest) -> Option<SelectedEndpoint> {
         let (zone_routing, mut selector) = self.selector();
         let choice = zone_routing.choose(&mut selector);
         let all = selector.endpoints.all_zones();
@@ -122,25 +131,26 @@
         if let Some(text) = choice.log {
             self.log(Topic::ZoneRouting, text);
         }
-        selected.map(|(pool, endpoint)| Selected { pool, endpoint })
+        selected.map(|(pool, endpoint)| SelectedEndpoint { pool, endpoint })
     }
 
-    /// Asks the next endpoints in turn for their load before the request is sent.
-    fn query_load(&mut self, id: RequestId, request: PendingRequest, first: Selected) {
+    /// Queries the load of the next endpoints in the round robin before the request is sent to one of them.
+    fn query_load(&mut self, id: RequestId, request: PendingRequest, first: SelectedEndpoint) {
         let candidates = self.query_candidates(&request, &first);
         if candidates.len() == 1 {
             return self.send(id, request, first.endpoint);
         }
         let queries = candidates.iter().map(|&position| Action::QueryLoad(self.endpoints[position].id));
         self.actions.extend(queries);
-        self.actions.push(Action::SetTimer { after: QUERY_WAIT, token: load_query::token(id) });
+        self.actions.push(Action::SetTimer { after: QUERY_TIMEOUT, token: load_query::timer_token(id) });
         self.load_queries.insert(id, request, candidates);
     }
 
-    fn query_candidates(&mut self, request: &PendingRequest, first: &Selected) -> Vec<usize> {
+    /// The endpoints to query: the first one selected, and the next ones of the same pool.
+    fn query_candidates(&mut self, request: &PendingRequest, first: &SelectedEndpoint) -> Vec<usize> {
         let mut candidates = vec![first.endpoint];
         let (_, mut selector) = self.selector();
-        for _ in 1..QUERIED_ENDPOINTS {
+        for _ in 1..MAX_QUERIED_ENDPOINTS {
             match selector.pick(first.pool, request) {
                 Some(endpoint) if !candidates.contains(&endpoint) => candidates.push(endpoint),
                 _ => break,
@@ -149,6 +159,7 @@
         candidates
     }
 
+    /// Records a load report, and sends the requests for which all queried endpoints have reported.
     pub(super) fn on_load_query_ended(
         &mut self,
         id: EndpointId,
@@ -159,26 +170,30 @@
         let Some(in_flight) = load_query::reported_in_flight(load, &self.settings) else { return };
         let Some(position) = self.endpoints.position(id) else { return };
         for request in self.load_queries.on_report(position, in_flight) {
-            self.on_load_known(request);
+            self.finish_load_query(request);
         }
     }
 
-    /// Sends to the first of the candidates that has the fewest requests in flight, or to the first if none has told.
-    pub(super) fn on_load_known(&mut self, id: RequestId) {
+    /// Ends the load query of a request and sends the request to the candidate with the fewest requests in flight for
+    /// its capacity, or to the first candidate if none has reported.
+    pub(super) fn finish_load_query(&mut self, id: RequestId) {
         let Some(LoadQuery { request, candidates }) = self.load_queries.remove(id) else { return };
-        // Since they were asked, an endpoint may be draining, or the window of an idempotency key have passed.
+        // Since the query, an endpoint may have begun to drain, or the window of an idempotency key may have ended.
         if !request.is_safe_to_send(&self.settings, self.now) {
             return self.give_up(id, &request);
         }
         let Some(best) = self.least_loaded(candidates) else { return self.give_up(id, &request) };
         let in_flight = best.in_flight.map_or(0.0, |in_flight| in_flight + 1.0);
-        let is_known = best.in_flight.is_some();
-        if is_known && load_query::is_hopeless(&request, in_flight, self.now, &self.settings, &self.traffic) {
+        let is_reported = best.in_flight.is_some();
+        if is_reported
+            && load_query::would_miss_deadline(&request, in_flight, self.now, &self.settings, &self.traffic)
+        {
             return self.give_up(id, &request);
         }
         self.send(id, PendingRequest { reported_in_flight: in_flight, ..request }, best.endpoint);
     }
 
+    /// The candidate in service with the fewest requests in flight for its capacity.
     fn least_loaded(&self, candidates: Vec<Candidate>) -> Option<Candidate> {
         let load = |candidate: &Candidate| {
             let in_flight = candidate.in_flight.unwrap_or(f64::INFINITY);
@@ -189,8 +204,9 @@
         in_service.min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
+    /// Sends an attempt to the endpoint at a position of the endpoint table.
     fn send(&mut self, id: RequestId, mut request: PendingRequest, position: usize) {
-        let until = self.attempt_limit(&request);
+        let until = self.attempt_deadline(&request);
         let begin_by = request.window_end(&self.settings);
         let latency = &self.traffic.classes[request.class];
         if latency.is_trusted() && !request.streaming {
@@ -211,34 +227,36 @@
         request.is_trial = endpoint.breaker.tripped;
         endpoint.breaker.trial_in_flight |= request.is_trial;
         self.actions.push(Action::Send { id, endpoint: endpoint.id, until, begin_by });
-        request.last_attempt = Some(SentAttempt { endpoint: position, sent: self.now });
+        request.last_attempt = Some(SentAttempt { endpoint: position, sent_at: self.now });
         request.attempts += 1;
         request.lateness = if request.streaming { Lateness::Overdue } else { Lateness::OnTime };
         self.requests.insert(id, request);
     }
 
-    /// When an attempt is given up. Work that must not run twice, or has no time to, may still finish.
-    fn attempt_limit(&self, request: &PendingRequest) -> Time {
-        let left = request.deadline.saturating_sub(self.now);
+    /// When the next attempt of a request times out. An attempt times out before the deadline only if the request may
+    /// be retried and enough time is left for a retry.
+    fn attempt_deadline(&self, request: &PendingRequest) -> Time {
+        let time_left = request.deadline.saturating_sub(self.now);
         let latency = &self.traffic.classes[request.class];
         let overdue = latency.above(OVERDUE_DEVIATIONS);
         let attempts_left = request.attempts + 1 < self.settings.max_attempts;
         let may_retry = attempts_left && self.settings.is_repeatable(request.class);
-        let is_cut = may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= left;
-        if is_cut { self.now + overdue } else { request.deadline }
+        let times_out_early =
+            may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= time_left;
+        if times_out_early { self.now + overdue } else { request.deadline }
     }
 
     // ---- The end of an attempt ----
 
-    /// A response has begun: its endpoint's work is done, and the request is over. How long the rest takes, its length
-    /// and its client say: it tells nothing of the endpoint, unless it breaks off.
+    /// Counts the request as answered once its response starts. How long the rest of the response takes depends on its
+    /// length and on the client, so it counts against the endpoint only if it breaks off.
     pub(super) fn on_response_started(&mut self, id: RequestId, attempt: u32) {
         let is_current = |request: &PendingRequest| request.attempts == attempt + 1 && !request.closed;
         if !self.requests.get(&id).is_some_and(is_current) {
             return;
         }
         let Some(mut request) = self.requests.remove(&id) else { return };
-        let Some(SentAttempt { endpoint: position, sent }) = request.last_attempt else { return };
+        let Some(SentAttempt { endpoint: position, sent_at }) = request.last_attempt else { return };
         request.closed = true;
         request.response_started = true;
         self.endpoints.remove_in_flight(position);
@@ -248,93 +266,97 @@
         let end = AttemptEnd {
             attempt,
             outcome: AttemptOutcome::Success,
-            elapsed: self.now - sent,
+            elapsed: self.now - sent_at,
             request_closed: true,
             body_consumed: true,
             load: None,
         };
-        self.learn(&request, position, &end);
-        self.on_answered(request.weight, true);
+        self.learn_from_attempt(&request, position, &end);
+        self.on_request_ended(request.load_weight, true);
         self.requests.insert(id, request);
     }
 
-    /// An endpoint that slows down or hangs shows by attempts that don't end, long before they time out.
+    /// Marks an attempt that has not ended as late or overdue: an endpoint that slows down or hangs is detected by its
+    /// pending attempts, long before they time out.
     pub(super) fn on_lateness_timer(&mut self, token: u64) {
-        let (id, attempt) = late_attempt(token);
+        let (id, attempt) = attempt_of_timer(token);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(SentAttempt { endpoint, sent }) = request.last_attempt else { return };
+        let Some(SentAttempt { endpoint, sent_at }) = request.last_attempt else { return };
         if request.closed || u64::from(request.attempts) != u64::from(attempt) + 1 {
             return;
         }
         match request.lateness {
-            Lateness::OnTime => self.on_late(id, token),
+            Lateness::OnTime => self.on_attempt_late(id, token),
             Lateness::Late => {
                 request.lateness = Lateness::Overdue;
                 let idle = request.idle;
-                self.on_failure(endpoint, idle, sent, FailureKind::Unanswered);
+                self.on_missing_response(endpoint, idle, sent_at, FailureKind::Unanswered);
             }
             Lateness::Overdue => {}
         }
     }
 
-    /// The attempt is stuck at its endpoint: other requests must not be shed for it.
-    fn on_late(&mut self, id: RequestId, token: u64) {
+    /// Handles an attempt that has become late. It is stuck at its endpoint, so it no longer counts as load: other
+    /// requests must not be shed because of it.
+    fn on_attempt_late(&mut self, id: RequestId, token: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(SentAttempt { endpoint, sent }) = request.last_attempt else { return };
+        let Some(SentAttempt { endpoint, sent_at }) = request.last_attempt else { return };
         request.lateness = Lateness::Late;
         let class = request.class;
-        let weight = std::mem::take(&mut request.weight);
-        self.change_weight(-weight);
+        let load_weight = std::mem::take(&mut request.load_weight);
+        self.change_load(-load_weight);
         let latency: &LatencyStatistics = &self.traffic.classes[class];
-        self.endpoints[endpoint].learn_slowness(latency, self.now - sent);
+        self.endpoints[endpoint].learn_slowness(latency, self.now - sent_at);
         let after = latency.above(OVERDUE_DEVIATIONS - LATE_DEVIATIONS);
         self.actions.push(Action::SetTimer { after, token });
     }
 
+    /// Learns from an attempt that ended, and retries or finishes its request.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, end: AttemptEnd) {
         let is_current = |request: &PendingRequest| request.attempts == end.attempt + 1;
         if !self.requests.get(&id).is_some_and(is_current) {
             return;
         }
         let Some(mut request) = self.requests.remove(&id) else { return };
-        let Some(SentAttempt { endpoint: position, sent }) = request.last_attempt else { return };
+        let Some(SentAttempt { endpoint: position, sent_at }) = request.last_attempt else { return };
         if request.response_started {
-            return self.on_response_ended(position, sent, end.outcome);
+            return self.on_response_ended(position, sent_at, end.outcome);
         }
         self.endpoints.remove_in_flight(position);
         let endpoint = &mut self.endpoints[position];
         endpoint.release_connection(self.now, &mut self.actions);
         endpoint.breaker.trial_in_flight &= !request.is_trial;
         if end.outcome == AttemptOutcome::NotSent {
-            endpoint.warm_up.give_back(sent, request.warm_up_cost);
+            endpoint.warm_up.give_back(sent_at, request.warm_up_cost);
         }
-        self.learn(&request, position, &end);
+        self.learn_from_attempt(&request, position, &end);
         if request.closed {
             return;
         }
         if end.request_closed {
-            return self.on_answered(request.weight, true);
+            return self.on_request_ended(request.load_weight, true);
         }
         if !end.outcome.never_ran() {
             request.may_have_run = request.may_have_run.or(request.last_attempt);
         }
         if !end.body_consumed && self.may_retry(&request) {
-            self.attempt(id, request);
+            self.start_attempt(id, request);
         } else {
             self.give_up(id, &request);
         }
     }
 
-    /// A response that had begun has ended, or broken off.
-    fn on_response_ended(&mut self, position: usize, sent: Time, outcome: AttemptOutcome) {
+    /// Handles the end of a response that had started, complete or broken off.
+    fn on_response_ended(&mut self, position: usize, sent_at: Time, outcome: AttemptOutcome) {
         let endpoint = &mut self.endpoints[position];
         endpoint.streaming_responses -= 1;
         endpoint.release_connection(self.now, &mut self.actions);
         if matches!(outcome, AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset) {
-            self.on_breaker_failure(position, sent, FailureKind::of(outcome));
+            self.on_breaker_failure(position, sent_at, FailureKind::of(outcome));
         }
     }
 
+    /// Whether the retry policy allows another attempt; if so, takes it from the retry budget.
     fn may_retry(&mut self, request: &PendingRequest) -> bool {
         let latency = &self.traffic.classes[request.class];
         self.retries.try_retry(request, latency, self.now, &self.settings)
@@ -342,47 +364,56 @@
 
     // ---- The end of a request ----
 
+    /// Closes the request of a client that disconnected, and cancels its attempt where that is allowed.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(query) = self.load_queries.remove(id) {
-            return self.on_answered(query.request.weight, false);
+            return self.on_request_ended(query.request.load_weight, false);
         }
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else { return };
         request.closed = true;
-        let weight = request.weight;
+        let load_weight = request.load_weight;
         if self.settings.may_cancel {
             self.actions.push(Action::Cancel { id, attempt: request.attempts - 1 });
         }
-        self.on_answered(weight, true);
+        self.on_request_ended(load_weight, true);
     }
 
+    /// Ends a request that gets no response from an endpoint.
     fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
-        self.on_answered(request.weight, request.may_have_run.is_some());
+        self.on_request_ended(request.load_weight, request.may_have_run.is_some());
         self.reject_or_fail(id, request);
     }
 
+    /// Sends the final response: rejected if the client may safely repeat the request, else failed. The advised delay
+    /// is random, so that clients do not return all at once.
     fn reject_or_fail(&mut self, id: RequestId, request: &PendingRequest) {
         let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
-        let most = self.settings.max_retry_after;
-        let retry_after = most / 2 + self.rng.u64(..=most / 2);
-        let is_harmless = is_idempotent || request.may_have_run.is_none();
-        self.actions.push(if is_harmless { Action::Reject { id, retry_after } } else { Action::Fail(id) });
+        let max_retry_after = self.settings.max_retry_after;
+        let retry_after = max_retry_after / 2 + self.rng.u64(..=max_retry_after / 2);
+        let is_safe_to_repeat = is_idempotent || request.may_have_run.is_none();
+        self.actions.push(if is_safe_to_repeat {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail(id)
+        });
     }
 
-    fn change_weight(&mut self, change: f64) {
-        self.shedding.change_weight(change, self.now, &self.settings, &self.traffic);
+    fn change_load(&mut self, change: f64) {
+        self.shedding.change_load(change, self.now, &self.settings, &self.traffic);
     }
 
-    fn on_answered(&mut self, weight: f64, worked_on: bool) {
-        self.shedding.on_answered(weight, worked_on, self.now, &self.settings, &self.traffic);
+    fn on_request_ended(&mut self, load_weight: f64, was_processed: bool) {
+        self.shedding.on_request_ended(load_weight, was_processed, self.now, &self.settings, &self.traffic);
     }
 }
 
-/// The token of the timer after which an attempt is late: its number above the id of its request.
+/// Token of the timer after which an attempt is late or overdue: the attempt number in the upper half, the request id
+/// in the lower half.
 fn lateness_token(id: RequestId, attempt: u32) -> u64 {
     u64::from(attempt) << u32::BITS | u64::from(id.0)
 }
 
-/// The attempt that a timer's token names.
-fn late_attempt(token: u64) -> (RequestId, u32) {
+/// The attempt that a lateness timer belongs to, decoded from its token.
+fn attempt_of_timer(token: u64) -> (RequestId, u32) {
     (RequestId(token as u32), (token >> u32::BITS) as u32)
 }
--- a/src/decision/request_table.rs
+++ b/src/decision/request_table.rs
@@ -1,82 +1,84 @@
-//! The requests that are not answered yet, or have an attempt in flight.
+//! The table of requests that await their final response or have an attempt in flight.
 
 use super::event::{Duration, RequestId, Time};
 use super::idle_connections::IdleStep;
 use super::settings::{Idempotency, Settings};
 use std::collections::HashMap;
 
-/// The requests with an attempt in flight.
+/// The requests with an attempt in flight, by id.
 pub(crate) type RequestTable = HashMap<RequestId, PendingRequest>;
 
-/// An attempt: where it was sent, and when.
+/// An attempt that was sent to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
-    /// Position of the endpoint in the table.
+    /// Position of the endpoint in the endpoint table.
     pub endpoint: usize,
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
-/// What has been seen of an attempt that does not end.
+/// How far an attempt in flight has exceeded the usual latency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Lateness {
-    /// Nothing yet.
+    /// Its first timer has not fired.
     #[default]
     OnTime,
-    /// It takes far longer than usual.
+    /// It takes far longer than usual for its class.
     Late,
-    /// It counts as a failure, or cannot be told to be late.
+    /// It already counts as a failure, or its lateness is not monitored.
     Overdue,
 }
 
-/// A request that is not answered yet, or has an attempt in flight.
+/// A request that awaits its final response or has an attempt in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequest {
     pub class: usize,
-    /// What it adds to the load: one over its latency objective, in 1/ns.
-    pub weight: f64,
+    /// Its contribution to the load: the reciprocal of its latency objective, in 1/ns.
+    pub load_weight: f64,
     pub deadline: Time,
-    /// Its work in nanoseconds, where that is known.
+    /// An estimate of the work it causes, in nanoseconds, if known.
     pub work: Option<Duration>,
-    /// Attempts made so far.
+    /// Number of attempts sent so far.
     pub attempts: u32,
     /// The last attempt.
     pub last_attempt: Option<SentAttempt>,
-    /// Of the attempt in flight.
+    /// Lateness of the attempt in flight.
     pub lateness: Lateness,
-    /// Requests that the endpoint of the attempt in flight held, this one included, if it was asked.
+    /// Requests in flight at the endpoint of the current attempt, including this one, as reported to a load query; 0 if
+    /// the endpoint was not queried or did not respond.
     pub reported_in_flight: f64,
-    /// What the budget of a cold endpoint was charged for the attempt in flight.
+    /// Cost that the attempt in flight was charged to the warm-up budget of a cold endpoint; 0 for a warm one.
     pub warm_up_cost: f64,
-    /// The attempt in flight is the trial of a breaker.
+    /// The attempt in flight is the trial request of a half-open circuit breaker.
     pub is_trial: bool,
-    /// How long the connection of the attempt in flight had been idle.
+    /// How long the connection of the attempt in flight had been idle before.
     pub idle: IdleStep,
     /// The first attempt that may have run.
     pub may_have_run: Option<SentAttempt>,
-    /// It has its final answer, or is owed none.
+    /// The client has received the final response or needs none.
     pub closed: bool,
-    /// Its body was still being received when it was sent: how long that took says nothing of its endpoint.
+    /// The body was still being received when the first attempt was sent, so the duration of an attempt says nothing
+    /// about its endpoint.
     pub streaming: bool,
-    /// The response to the attempt in flight has begun.
+    /// The response to the attempt in flight has started.
     pub response_started: bool,
 }
 
 impl PendingRequest {
-    /// Until when its endpoints drop repeats, if it has an idempotency key and may have run.
+    /// End of the time in which endpoints drop repeats, if the request has an idempotency key and may have run.
     pub fn window_end(&self, settings: &Settings) -> Option<Time> {
         match (settings.classes[self.class].idempotency, self.may_have_run) {
-            (Idempotency::Keyed(_, window), Some(first)) => Some(first.sent.saturating_add(window)),
+            (Idempotency::Keyed(_, window), Some(first)) => Some(first.sent_at.saturating_add(window)),
             _ => None,
         }
     }
 
-    /// Whether one more attempt can do no harm, at an endpoint of the group that drops its repeats.
+    /// Whether another attempt is safe, provided that it goes to an endpoint of the deduplication group.
     pub fn is_safe_to_send(&self, settings: &Settings, now: Time) -> bool {
         let may_repeat = settings.is_repeatable(self.class) || self.may_have_run.is_none();
         may_repeat && self.window_end(settings).is_none_or(|end| now < end)
     }
 
-    /// The endpoints that it refers to.
+    /// Positions of the endpoints that the request refers to.
     pub fn referenced_endpoints(&self) -> impl Iterator<Item = usize> {
         let attempts = [self.last_attempt, self.may_have_run];
         attempts.into_iter().flatten().map(|attempt| attempt.endpoint)
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,44 +1,46 @@
-//! Retries: their budget, and their end where they are futile.
+//! The retry policy: a retry budget, and no retries for classes whose retries keep failing.
 //!
-//! Retries multiply from tier to tier, so a balancer also goes by whether its retries help. docs/design.md has the
-//! sources and what was measured.
+//! Retries multiply from tier to tier, so the balancer also tracks whether its retries succeed. docs/design.md has the
+//! sources and the measurements.
 
 use super::event::{AttemptOutcome, Duration, SECOND, Time};
 use super::request_table::PendingRequest;
 use super::settings::Settings;
 use super::statistics::{DecayingSum, LatencyStatistics};
 
-/// What each request earns of a retry.
-const EARNED_PER_REQUEST: f64 = 0.2;
-/// Most retries that are saved up.
-const LARGEST_BUDGET: f64 = 10.0;
-/// Time over which futile retries are forgotten. As retries multiply from tier to tier, a class gets none after as
-/// many as one request may make: a balancer with few requests gets few answers to make them good.
-const FUTILE_FADE: Duration = 30 * SECOND;
-/// Least number of futile retries that end the retries of a class; under one, as fading never ends.
-const LEAST_FUTILE: f64 = 0.5;
+/// Retries that each request adds to the budget.
+const BUDGET_PER_REQUEST: f64 = 0.2;
+/// Maximum number of retries in the budget.
+const MAX_BUDGET: f64 = 10.0;
+/// Decay time of the number of futile retries. A class is not retried any more after as many futile retries as a single
+/// request may make, because retries multiply from tier to tier. The number decays because a balancer with few requests
+/// sees too few successes to offset it.
+const FUTILE_RETRY_DECAY: Duration = 30 * SECOND;
+/// Lower bound of the tolerated number of futile retries. It is above 0 because a decaying number never reaches 0, and
+/// below 1 so that a single futile retry exceeds it.
+const MIN_TOLERATED_FUTILE: f64 = 0.5;
 
-/// Which failed attempts are made again.
+/// Decides which failed attempts are retried.
 #[derive(Debug)]
 pub(crate) struct RetryPolicy {
-    /// Retries that may be made now.
+    /// Number of retries that may be sent now.
     budget: f64,
-    /// Retries of failed work that failed again, less what answers made good, for each class.
-    futile: Vec<DecayingSum>,
+    /// For each class, retries of failed requests that failed again, minus the credit for successes.
+    futile_retries: Vec<DecayingSum>,
 }
 
 impl RetryPolicy {
-    /// A full budget, and no futile retry.
+    /// Creates a policy with a full budget and no futile retries.
     pub fn new(settings: &Settings) -> Self {
-        Self { budget: LARGEST_BUDGET, futile: vec![DecayingSum::default(); settings.classes.len()] }
+        Self { budget: MAX_BUDGET, futile_retries: vec![DecayingSum::default(); settings.classes.len()] }
     }
 
-    /// A request earns a part of a retry.
+    /// Adds the share of a new request to the budget.
     pub fn on_request(&mut self) {
-        self.budget = (self.budget + EARNED_PER_REQUEST).min(LARGEST_BUDGET);
+        self.budget = (self.budget + BUDGET_PER_REQUEST).min(MAX_BUDGET);
     }
 
-    /// Learns from the end of an attempt whether retries help.
+    /// Updates the number of futile retries at the end of an attempt.
     pub fn on_attempt_end(
         &mut self,
         request: &PendingRequest,
@@ -48,38 +50,41 @@
     ) {
         let was_retry = request.may_have_run.is_some();
         let change = match outcome {
-            AttemptOutcome::Success if was_retry => -1.0, // it helped
-            AttemptOutcome::Success => -EARNED_PER_REQUEST,
+            AttemptOutcome::Success if was_retry => -1.0, // the retry succeeded
+            AttemptOutcome::Success => -BUDGET_PER_REQUEST,
             AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset if was_retry => 1.0,
             _ => 0.0,
         };
-        let most = f64::from(settings.max_attempts - 1);
-        self.futile[request.class].add_up_to(most, now, change, FUTILE_FADE);
+        let max_futile_retries = f64::from(settings.max_attempts - 1);
+        self.futile_retries[request.class].add_up_to(max_futile_retries, now, change, FUTILE_RETRY_DECAY);
     }
 
-    /// Whether a request is sent again; takes the retry out of the budget.
+    /// Whether a request may be retried. If so, takes one retry from the budget.
     pub fn try_retry(
         &mut self,
         request: &PendingRequest,
-        class: &LatencyStatistics,
+        latency: &LatencyStatistics,
         now: Time,
         settings: &Settings,
     ) -> bool {
-        let in_time = request.deadline.saturating_sub(now) as f64 > class.mean / 2.0;
-        // What never ran is bounded too: where nothing can be reached, each request would make all its attempts.
+        let in_time = request.deadline.saturating_sub(now) as f64 > latency.mean / 2.0;
+        // The budget also covers requests that never ran: where no endpoint can be reached, each request would
+        // otherwise make all its attempts.
         let attempts_left = request.attempts < settings.max_attempts;
-        // Where nothing ran, nothing multiplies: an endpoint that restarts says nothing of the next one.
-        let hopeful = request.may_have_run.is_none() || !self.is_futile(request.class, now, settings);
-        let safe = request.is_safe_to_send(settings, now);
-        if !(safe && in_time && attempts_left && hopeful && self.budget >= 1.0) {
+        // A request that never ran causes no work at deeper tiers that could multiply, and a failure to reach an
+        // endpoint that restarts says nothing about the next endpoint.
+        let may_help =
+            request.may_have_run.is_none() || !self.has_futile_retries(request.class, now, settings);
+        let is_safe = request.is_safe_to_send(settings, now);
+        if !(is_safe && in_time && attempts_left && may_help && self.budget >= 1.0) {
             return false;
         }
         self.budget -= 1.0;
         true
     }
 
-    fn is_futile(&self, class: usize, now: Time, settings: &Settings) -> bool {
-        let tolerated = (f64::from(settings.max_attempts) - 2.0).max(LEAST_FUTILE);
-        self.futile[class].get(now, FUTILE_FADE) > tolerated
+    fn has_futile_retries(&self, class: usize, now: Time, settings: &Settings) -> bool {
+        let tolerated = (f64::from(settings.max_attempts) - 2.0).max(MIN_TOLERATED_FUTILE);
+        self.futile_retries[class].get(now, FUTILE_RETRY_DECAY) > tolerated
     }
 }
