--- a/src/decision/load_query.rs
+++ b/src/decision/load_query.rs
@@ -106,7 +106,7 @@
 /// Whether the response would miss the deadline of the request behind this number of requests in flight. Work that
 /// cannot be stopped would then delay the next requests for nothing. Deeper tiers never drop a request for this reason,
 /// because other tiers have already worked on it.
-pub(crate) fn would_miss_deadline(
+pub(crate) fn is_too_late(
     request: &PendingRequest,
     in_flight: f64,
     now: Time,
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -15,18 +15,14 @@
 use super::statistics::LatencyStatistics;
 use super::zone_routing::ZoneRouting;
 
-/// Number of mean deviations above the mean latency from which an attempt is late: it then counts as slowness of its
-/// endpoint and no longer as load.
+/// Mean deviations above the mean latency from which an attempt is late, which counts against its endpoint alone.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Number of mean deviations above the mean latency from which an attempt is overdue and counts as a failure: hardly
-/// any attempt at a healthy endpoint takes as long.
+/// Mean deviations above the mean latency from which an attempt counts as failed: hardly any at a healthy endpoint does.
 const OVERDUE_DEVIATIONS: f64 = 20.0;
 
-/// An endpoint selected for a request, and the pool that it was picked from.
+/// Positions of an endpoint selected for a request and of the pool that it was picked from.
 struct SelectedEndpoint {
-    /// Position of the pool.
     pool: usize,
-    /// Position in the endpoint table.
     endpoint: usize,
 }
 
@@ -58,7 +54,6 @@
         }
     }
 
-    /// Whether load shedding admits the request. Logs when load shedding starts or ends.
     fn check_admission(&mut self, incoming: &IncomingRequest) -> bool {
         let admission = self.shedding.admit(
             incoming.class,
@@ -69,10 +64,8 @@
             &mut self.rng,
         );
         if let Some(SheddingChange { active, lateness }) = admission.change {
-            let change = if active { "started" } else { "ended" };
-            let text = format!(
-                "load shedding {change}: the expected response time is {lateness:.2} times the latency objective"
-            );
+            let change = if active { "began" } else { "ended" };
+            let text = format!("load shedding {change}: expected latency is {lateness:.2} of the objective");
             self.log(Topic::LoadShedding, text);
         }
         admission.admitted
@@ -146,7 +139,6 @@
         self.load_queries.insert(id, request, candidates);
     }
 
-    /// The endpoints to query: the first one selected, and the next ones of the same pool.
     fn query_candidates(&mut self, request: &PendingRequest, first: &SelectedEndpoint) -> Vec<usize> {
         let mut candidates = vec![first.endpoint];
         let (_, mut selector) = self.selector();
@@ -184,16 +176,13 @@
         }
         let Some(best) = self.least_loaded(candidates) else { return self.give_up(id, &request) };
         let in_flight = best.in_flight.map_or(0.0, |in_flight| in_flight + 1.0);
-        let is_reported = best.in_flight.is_some();
-        if is_reported
-            && load_query::would_miss_deadline(&request, in_flight, self.now, &self.settings, &self.traffic)
-        {
+        let reported = best.in_flight.is_some();
+        if reported && load_query::is_too_late(&request, in_flight, self.now, &self.settings, &self.traffic) {
             return self.give_up(id, &request);
         }
         self.send(id, PendingRequest { reported_in_flight: in_flight, ..request }, best.endpoint);
     }
 
-    /// The candidate in service with the fewest requests in flight for its capacity.
     fn least_loaded(&self, candidates: Vec<Candidate>) -> Option<Candidate> {
         let load = |candidate: &Candidate| {
             let in_flight = candidate.in_flight.unwrap_or(f64::INFINITY);
@@ -204,7 +193,6 @@
         in_service.min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// Sends an attempt to the endpoint at a position of the endpoint table.
     fn send(&mut self, id: RequestId, mut request: PendingRequest, position: usize) {
         let until = self.attempt_deadline(&request);
         let begin_by = request.window_end(&self.settings);
@@ -241,9 +229,8 @@
         let overdue = latency.above(OVERDUE_DEVIATIONS);
         let attempts_left = request.attempts + 1 < self.settings.max_attempts;
         let may_retry = attempts_left && self.settings.is_repeatable(request.class);
-        let times_out_early =
-            may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= time_left;
-        if times_out_early { self.now + overdue } else { request.deadline }
+        let is_limited = may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= time_left;
+        if is_limited { self.now + overdue } else { request.deadline }
     }
 
     // ---- The end of an attempt ----
@@ -276,8 +263,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Marks an attempt that has not ended as late or overdue: an endpoint that slows down or hangs is detected by its
-    /// pending attempts, long before they time out.
+    /// Marks a pending attempt as late or overdue: this detects a slow or stuck endpoint long before attempts time out.
     pub(super) fn on_lateness_timer(&mut self, token: u64) {
         let (id, attempt) = attempt_of_timer(token);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -296,8 +282,7 @@
         }
     }
 
-    /// Handles an attempt that has become late. It is stuck at its endpoint, so it no longer counts as load: other
-    /// requests must not be shed because of it.
+    /// A late attempt is stuck at its endpoint and no longer counts as load, so that no other request is shed for it.
     fn on_attempt_late(&mut self, id: RequestId, token: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(SentAttempt { endpoint, sent_at }) = request.last_attempt else { return };
@@ -378,24 +363,18 @@
         self.on_request_ended(load_weight, true);
     }
 
-    /// Ends a request that gets no response from an endpoint.
     fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
         self.on_request_ended(request.load_weight, request.may_have_run.is_some());
         self.reject_or_fail(id, request);
     }
 
-    /// Sends the final response: rejected if the client may safely repeat the request, else failed. The advised delay
-    /// is random, so that clients do not return all at once.
+    /// Rejects the request, with a random advised delay, if the client may safely repeat it, else fails it.
     fn reject_or_fail(&mut self, id: RequestId, request: &PendingRequest) {
         let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         let max_retry_after = self.settings.max_retry_after;
         let retry_after = max_retry_after / 2 + self.rng.u64(..=max_retry_after / 2);
-        let is_safe_to_repeat = is_idempotent || request.may_have_run.is_none();
-        self.actions.push(if is_safe_to_repeat {
-            Action::Reject { id, retry_after }
-        } else {
-            Action::Fail(id)
-        });
+        let may_repeat = is_idempotent || request.may_have_run.is_none();
+        self.actions.push(if may_repeat { Action::Reject { id, retry_after } } else { Action::Fail(id) });
     }
 
     fn change_load(&mut self, change: f64) {
@@ -407,8 +386,7 @@
     }
 }
 
-/// Token of the timer after which an attempt is late or overdue: the attempt number in the upper half, the request id
-/// in the lower half.
+/// Token of the timer after which an attempt is late or overdue: the attempt number above the request id.
 fn lateness_token(id: RequestId, attempt: u32) -> u64 {
     u64::from(attempt) << u32::BITS | u64::from(id.0)
 }
