--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -148,7 +148,7 @@
         self.responses.add(now, if was_processed { 1.0 } else { 0.0 }, window);
     }
 
-    /// Integrates the load until now, and then changes it.
+    /// Integrates the load up to now and then changes the load.
     fn update_load(&mut self, change: f64, now: Time, window: Duration) {
         let elapsed_windows = now.saturating_sub(self.accumulated_load.updated) as f64 / window as f64;
         let accumulated = self.load * window as f64 * (1.0 - (-elapsed_windows).exp());
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -17,7 +17,7 @@
 
 /// Mean deviations above the mean latency from which an attempt is late, which counts against its endpoint alone.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Mean deviations above the mean latency from which an attempt counts as failed: hardly any at a healthy endpoint does.
+/// Mean deviations above the mean latency from which an attempt counts as failed; rare at a healthy endpoint.
 const OVERDUE_DEVIATIONS: f64 = 20.0;
 
 /// Positions of an endpoint selected for a request and of the pool that it was picked from.
