--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -2,7 +2,7 @@
 //! keep an operator waiting. It decides nothing and holds nothing: it reads figures and asks the driver.
 
 use super::metrics::Counters;
-use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
+use super::orders::{Order, OrderClaim, OrderOutcome, OrderRequest};
 use crate::config::ADMIN_CONNECTIONS;
 use crate::proxy::messages::DispatcherMessage;
 use crate::transient_errors::{Backoff, retry, retry_blocking};
@@ -142,19 +142,25 @@
 async fn order_about(id: &str, offline: bool, door: &AdminContext) -> AdminResponse {
     let order = Order { uid: id.to_owned(), offline };
     match verdict_on(order, door).await {
-        Some(Verdict::Done) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
-        Some(Verdict::Unknown) => text(StatusCode::NOT_FOUND, "no such upstream was ever listed\n"),
-        Some(Verdict::NotKept) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
+        Some(OrderOutcome::Applied) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
+        Some(OrderOutcome::UnknownEndpoint) => {
+            text(StatusCode::NOT_FOUND, "no such upstream was ever listed\n")
+        }
+        Some(OrderOutcome::NotStored) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
         None => text(StatusCode::SERVICE_UNAVAILABLE, "not in force\n"),
     }
 }
 
 /// What becomes of an order; `None` if that takes too long, and then it never comes into force.
-async fn verdict_on(order: Order, door: &AdminContext) -> Option<Verdict> {
+async fn verdict_on(order: Order, door: &AdminContext) -> Option<OrderOutcome> {
     let claim = OrderClaim::default();
     let (answer, mut answered) = oneshot::channel();
     door.dispatcher
-        .send(DispatcherMessage::OperatorOrder(OrderRequest { order, claim: claim.clone(), answer }))
+        .send(DispatcherMessage::OperatorOrder(OrderRequest {
+            order,
+            claim: claim.clone(),
+            outcome_sender: answer,
+        }))
         .ok();
     if let Ok(verdict) = timeout(ORDER_PATIENCE, &mut answered).await {
         return verdict.ok();
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -11,7 +11,7 @@
 impl Dispatcher {
     pub(super) fn on_endpoint_list(&mut self, listing: Listing, origin: ListOrigin) {
         let reading = self.clock.read();
-        self.start_times.learn_clocks(reading);
+        self.start_times.record_clock_reading(reading);
         let entry = |target| self.entry(target, origin, reading);
         let entries: Vec<EndpointEntry> = listing.targets.iter().map(entry).collect();
         if listing.all {
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -1,7 +1,7 @@
 //! Orders of operators, and the folder that is shared with another process.
 
 use super::Dispatcher;
-use crate::proxy::orders::{OfflineList, Order, OrderRequest, Verdict};
+use crate::proxy::orders::{OfflineList, Order, OrderOutcome, OrderRequest};
 use crate::proxy::shared_folder::{FolderEvent, FolderState, SharedFolder};
 use balancer::decision::{EndpointId, Event};
 
@@ -15,10 +15,10 @@
             FolderEvent::Kept(request, offline) => {
                 self.enforce(offline);
                 self.on_kept(&request.order);
-                request.answer.send(Verdict::Done).ok(); // one that left has its order all the same
+                request.outcome_sender.send(OrderOutcome::Applied).ok(); // one that left has its order all the same
             }
             FolderEvent::NotKept(request) => {
-                request.answer.send(Verdict::NotKept).ok();
+                request.outcome_sender.send(OrderOutcome::NotStored).ok();
             }
         }
     }
@@ -45,12 +45,12 @@
     }
 
     pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
-        let verdict = match &self.shared {
-            _ if !self.was_listed(&request.order.uid) => Verdict::Unknown,
+        let outcome = match &self.shared {
+            _ if !self.was_listed(&request.order.uid) => OrderOutcome::UnknownEndpoint,
             Some(shared) => return shared.keep(request),
-            None => Verdict::NotKept,
+            None => OrderOutcome::NotStored,
         };
-        request.answer.send(verdict).ok();
+        request.outcome_sender.send(outcome).ok();
     }
 
     /// Whether an upstream is or was listed, here or in a process before.
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -19,7 +19,7 @@
                 Timer::Module(token) => self.tell(Event::Timer(token)),
                 Timer::Sweep => {
                     self.idle.sweep();
-                    self.start_times.learn_clocks(self.clock.read());
+                    self.start_times.record_clock_reading(self.clock.read());
                     self.set_timer(SWEEP_EVERY, Timer::Sweep);
                 }
                 Timer::Follow => {
--- a/src/proxy/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -136,7 +136,7 @@
         };
         let _locked = durable_file::lock(&folder.join(LOCK), Instant::now() + LOCK_PATIENCE)?;
         let before = self.committed(&folder)?;
-        if order.holds_in(&before) {
+        if order.is_satisfied_by(&before) {
             commit(claim)?;
             self.current = before;
             return Ok(self.current.clone());
--- a/src/proxy/orders.rs
+++ b/src/proxy/orders.rs
@@ -1,4 +1,4 @@
-//! What operators order about an endpoint, and what becomes of it.
+//! Orders of operators that take an endpoint offline or bring it back online, and their outcome.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -6,10 +6,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::oneshot;
 
-/// The uids of the endpoints that operators have taken out.
+/// The uids of the endpoints that operators have taken offline.
 pub type OfflineList = BTreeSet<String>;
 
-/// Takes an endpoint out, or puts it back.
+/// An order to take an endpoint offline or to bring it back online. Serialized as the pending order in the shared
+/// folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     pub uid: String,
@@ -17,12 +18,12 @@
 }
 
 impl Order {
-    /// Whether a list is already as the order wants it.
-    pub fn holds_in(&self, list: &OfflineList) -> bool {
+    /// Whether the list already has the state that the order asks for.
+    pub fn is_satisfied_by(&self, list: &OfflineList) -> bool {
         list.contains(&self.uid) == self.offline
     }
 
-    /// The list with the order carried out.
+    /// Returns a copy of the list with the order applied.
     pub fn applied_to(&self, list: &OfflineList) -> OfflineList {
         let mut list = list.clone();
         if self.offline {
@@ -33,42 +34,43 @@
         list
     }
 
-    /// The order that takes this one back.
+    /// The order that reverts this one.
     pub fn inverse(&self) -> Self {
         Self { uid: self.uid.clone(), offline: !self.offline }
     }
 }
 
-/// What is made of an order.
+/// The outcome of an order, which the admin interface reports to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is in force.
-    Done,
-    /// No upstream of that name was ever listed.
-    Unknown,
-    /// It could not be kept for the process that comes after this one.
-    NotKept,
+pub enum OrderOutcome {
+    /// The order is in force.
+    Applied,
+    /// No endpoint with this uid was ever listed.
+    UnknownEndpoint,
+    /// The order could not be stored for the processes that start after this one, and is not in force.
+    NotStored,
 }
 
-/// Decides between the one who carries an order out and the one who gives up waiting for it: whoever claims first.
-/// So an order that was answered with no for taking too long never comes into force.
+/// Settles the race between the thread that commits an order and the admin request that stops waiting for it:
+/// whichever claims first wins. An order whose request has timed out therefore never comes into force.
 #[derive(Clone, Debug, Default)]
 pub struct OrderClaim(Arc<AtomicBool>);
 
 impl OrderClaim {
-    /// Whether the caller is the first to claim.
+    /// Claims the order. Returns whether this call was the first to claim it.
     pub fn claim(&self) -> bool {
         !self.0.swap(true, Ordering::AcqRel)
     }
 
+    /// Whether the order has been claimed.
     pub fn is_claimed(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// An order on its way, and where its verdict goes.
+/// An order that waits to be applied, with the channel that receives its outcome.
 pub struct OrderRequest {
     pub order: Order,
     pub claim: OrderClaim,
-    pub answer: oneshot::Sender<Verdict>,
+    pub outcome_sender: oneshot::Sender<OrderOutcome>,
 }
--- a/src/proxy/start_times.rs
+++ b/src/proxy/start_times.rs
@@ -35,7 +35,7 @@
 impl StartTimes {
     /// Learns what both clocks show now, which has to be done before a list is gone through, and often, so that a
     /// step of the wall clock is known by its time.
-    pub fn learn_clocks(&mut self, reading: ClockReading) {
+    pub fn record_clock_reading(&mut self, reading: ClockReading) {
         self.offsets.learn(reading);
     }
 
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -62,7 +62,7 @@
 
     fn read(&mut self) {
         let wall = WallTime::from_unix_millis(self.wall());
-        self.starts.learn_clocks(ClockReading { monotonic: Self::monotonic(self.now), wall });
+        self.starts.record_clock_reading(ClockReading { monotonic: Self::monotonic(self.now), wall });
     }
 
     /// A list that shows the upstream comes now; when that started, in milliseconds since the start of the process.
