--- a/src/proxy/clock_offsets.rs
+++ b/src/proxy/clock_offsets.rs
@@ -1,81 +1,98 @@
-//! How far the wall clock stood ahead of the monotonic clock, and when: steps of the wall clock are seen here.
+//! The offsets between the wall clock and the monotonic clock over time. They show steps of the wall clock, and convert
+//! wall times to monotonic time across such steps.
 
 use super::clock::{ClockReading, WallTime};
 use balancer::decision::Time;
 use std::collections::VecDeque;
 
-/// An offset that changes by less since the last reading was slewed, or the process was held up while it read.
-const LEAST_STEP: u128 = 200_000_000;
-/// Steps that are remembered: a start is told within seconds.
-const MOST_OFFSETS: usize = 8;
+/// The smallest change of the offset between two readings that counts as a step, in nanoseconds. Smaller changes come
+/// from slewing, or from a delay of the process between reading the two clocks.
+const MIN_STEP: u128 = 200_000_000;
+/// Number of offsets that are kept. Discovery reports a start within seconds, so older offsets are not needed.
+const MAX_OFFSETS: usize = 8;
 
-/// The offset of the wall clock between two steps.
+/// The offset of the wall clock from the monotonic clock between two steps.
 #[derive(Clone, Copy, Debug)]
 struct Offset {
-    /// Nanoseconds by which the wall clock is ahead.
-    ahead: i128,
-    /// The last reading before the step to it; `None` if it held before the first reading.
-    earliest: Option<Time>,
-    /// The last reading that showed it.
-    seen: Time,
-    /// The first reading after the step that ended it; `None` if it still holds.
-    latest: Option<Time>,
+    /// Wall time minus monotonic time, in nanoseconds.
+    wall_minus_monotonic: i128,
+    /// The last reading before the step that led to this offset; `None` for the offset of the first reading.
+    earliest_start: Option<Time>,
+    /// The last reading with this offset.
+    last_seen: Time,
+    /// The first reading after the step that ended this offset; `None` for the current offset.
+    latest_end: Option<Time>,
 }
 
 impl Offset {
-    /// When the wall clock would have shown this time.
+    /// The monotonic time at which the wall clock shows `wall` under this offset; may be negative.
     fn monotonic(&self, wall: WallTime) -> i128 {
-        wall.unix_nanos() - self.ahead
+        wall.unix_nanos() - self.wall_minus_monotonic
     }
 
-    /// The same, if the offset may have held at that moment.
-    fn possible(&self, wall: WallTime, now: Time) -> Option<Time> {
-        let at = self.monotonic(wall);
-        let is_early_enough = at <= i128::from(self.latest.unwrap_or(now));
-        let is_late_enough = self.earliest.is_none_or(|earliest| at >= i128::from(earliest));
-        (is_early_enough && is_late_enough).then(|| saturate(at))
+    /// Like [`monotonic`](Self::monotonic), but `None` if this offset did not apply at that time.
+    fn possible_monotonic(&self, wall: WallTime, now: Time) -> Option<Time> {
+        let monotonic = self.monotonic(wall);
+        let is_early_enough = monotonic <= i128::from(self.latest_end.unwrap_or(now));
+        let is_late_enough =
+            self.earliest_start.is_none_or(|earliest_start| monotonic >= i128::from(earliest_start));
+        (is_early_enough && is_late_enough).then(|| saturate(monotonic))
     }
 }
 
-/// The latest offsets, the present one last.
+/// The most recent offsets, the current one last.
 #[derive(Debug, Default)]
 pub struct ClockOffsets {
     offsets: VecDeque<Offset>,
 }
 
 impl ClockOffsets {
-    /// Learns what both clocks show now.
-    pub fn learn(&mut self, reading: ClockReading) {
+    /// Records a reading of both clocks.
+    pub fn record(&mut self, reading: ClockReading) {
         let now = reading.monotonic;
-        let ahead = reading.wall.unix_nanos() - i128::from(now);
-        let Some(present) = self.offsets.back_mut() else {
-            return self.offsets.push_back(Offset { ahead, earliest: None, seen: now, latest: None });
+        let wall_minus_monotonic = reading.wall.unix_nanos() - i128::from(now);
+        let Some(current) = self.offsets.back_mut() else {
+            return self.offsets.push_back(Offset {
+                wall_minus_monotonic,
+                earliest_start: None,
+                last_seen: now,
+                latest_end: None,
+            });
         };
-        if present.ahead.abs_diff(ahead) < LEAST_STEP {
-            present.ahead = ahead;
-            present.seen = now;
+        if current.wall_minus_monotonic.abs_diff(wall_minus_monotonic) < MIN_STEP {
+            current.wall_minus_monotonic = wall_minus_monotonic;
+            current.last_seen = now;
             return;
         }
-        present.latest = Some(now);
-        let earliest = Some(present.seen);
-        self.offsets.push_back(Offset { ahead, earliest, seen: now, latest: None });
-        if self.offsets.len() > MOST_OFFSETS {
+        current.latest_end = Some(now);
+        let earliest_start = Some(current.last_seen);
+        self.offsets.push_back(Offset {
+            wall_minus_monotonic,
+            earliest_start,
+            last_seen: now,
+            latest_end: None,
+        });
+        if self.offsets.len() > MAX_OFFSETS {
             self.offsets.pop_front();
         }
     }
 
-    /// When the wall clock showed this time. It may have shown it twice, or before and after a step by turns: the
-    /// latest of these moments counts. A time that it did not show by now counts as now.
+    /// Converts a wall time to monotonic time. If steps made the wall clock show the time more than once, the latest of
+    /// these moments is returned. A time that no recorded offset has shown is clamped to the span of the current
+    /// offset: a wall time in the future becomes `now`.
     pub fn monotonic(&self, wall: WallTime, now: Time) -> Time {
-        let possible = self.offsets.iter().filter_map(|offset| offset.possible(wall, now)).max();
-        possible.unwrap_or_else(|| match self.offsets.back() {
-            Some(present) => saturate(present.monotonic(wall)).clamp(present.earliest.unwrap_or(0), now),
+        let latest_possible =
+            self.offsets.iter().filter_map(|offset| offset.possible_monotonic(wall, now)).max();
+        latest_possible.unwrap_or_else(|| match self.offsets.back() {
+            Some(current) => {
+                saturate(current.monotonic(wall)).clamp(current.earliest_start.unwrap_or(0), now)
+            }
             None => now,
         })
     }
 }
 
-/// Times before the clock's zero are long past.
-fn saturate(at: i128) -> Time {
-    Time::try_from(at.max(0)).unwrap_or(Time::MAX)
+/// Converts to [`Time`]; negative values become 0.
+fn saturate(monotonic: i128) -> Time {
+    Time::try_from(monotonic.max(0)).unwrap_or(Time::MAX)
 }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -16,33 +16,33 @@
 
 /// A message from another task to the dispatcher.
 pub enum DispatcherMessage {
-    /// A client's request, received whole or up to the size that is buffered.
+    /// A client's request, received completely or up to the size that is buffered.
     Request(Box<ClientRequest>),
-    /// The rest of a streamed request was received; the time is the client's deadline.
+    /// The remainder of a streamed request was received. The instant is the client's deadline.
     RequestReceived(RequestId, Instant),
     /// The client of a request has closed its connection.
     ClientDisconnected(RequestId),
-    /// The response to an attempt has started.
+    /// The response to the attempt with this number has started.
     ResponseStarted(RequestId, u32, Box<StartedResponse>),
-    /// An attempt ended.
+    /// The attempt with this number ended.
     AttemptEnded(RequestId, u32, AttemptResult),
     /// A load query to an endpoint ended.
     LoadQueryEnded(EndpointId, AttemptResult),
-    /// No file descriptors are left to accept clients with.
+    /// A client could not be accepted because the process has no file descriptor left.
     DescriptorShortage,
-    /// Discovery returned a list or a change of it.
+    /// Discovery returned a complete endpoint list or a change to it.
     EndpointList(Listing),
-    /// A watch on discovery failed.
+    /// A request to discovery failed or its watch broke.
     DiscoveryFailed,
-    /// Discovery has moved to another address.
+    /// Discovery has moved to another address, which has not been queried yet.
     DiscoveryMoved,
     /// An operator takes an endpoint offline or brings it back online.
     OperatorOrder(OrderRequest),
-    /// The folder shared with other processes was checked, or an order was carried out there.
+    /// The folder shared with other processes was checked, or an operator's order was processed there.
     SharedFolder(FolderEvent),
 }
 
-/// A client's request.
+/// A client's request, with the channel that receives its final response.
 pub struct ClientRequest {
     pub id: RequestId,
     pub request: Request<RequestBody>,
@@ -51,8 +51,8 @@
     pub tenant: usize,
     /// The expected work in nanoseconds, if the client states it.
     pub work: Option<u64>,
-    /// When the client stops waiting. For a request that is still being received: the deadline if its last byte
-    /// arrived now.
+    /// When the client stops waiting. While the body is still being received: the deadline counted from the end of its
+    /// buffered part.
     pub deadline: Instant,
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
--- a/src/proxy/start_times.rs
+++ b/src/proxy/start_times.rs
@@ -1,31 +1,32 @@
-//! When endpoints started, on the monotonic clock. Discovery tells it in wall time, which is converted once, when a
-//! list first tells of a start: no later step of the wall clock makes an endpoint older or younger.
+//! When endpoints started, on the monotonic clock. Discovery reports start times as wall time. Each is converted once,
+//! when a list first reports it, so that a later step of the wall clock does not change the age of an endpoint.
 
 use super::clock::{ClockReading, WallTime};
 use super::clock_offsets::ClockOffsets;
 use balancer::decision::Time;
 use std::collections::HashMap;
 
-/// Where a list comes from.
+/// The origin of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// Stored by an earlier process, nobody knows when.
+    /// The configuration: the list was stored at an unknown time.
     Configuration,
-    /// Told by discovery just now.
+    /// Discovery, which has just returned the list.
     Discovery,
 }
 
-/// The last start of an endpoint that was told.
+/// The latest reported start of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As it was told, in milliseconds of Unix time; 0 if none was.
+    /// The start as reported, in milliseconds of Unix time; 0 if no start was reported.
     boot_ms: u64,
-    at: Time,
-    /// When discovery last told that no later start was known.
-    confirmed: Option<Time>,
+    /// The start on the monotonic clock.
+    started_at: Time,
+    /// When discovery last returned a list that reported no later start.
+    confirmed_at: Option<Time>,
 }
 
-/// The starts of all endpoints, listed or lately listed, by name.
+/// The latest starts of the endpoints that are or recently were listed, by uid.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     offsets: ClockOffsets,
@@ -33,38 +34,42 @@
 }
 
 impl StartTimes {
-    /// Learns what both clocks show now, which has to be done before a list is gone through, and often, so that a
-    /// step of the wall clock is known by its time.
+    /// Records a reading of both clocks. Must be called before a list is processed, and at short intervals in
+    /// between, so that the time of each step of the wall clock is known closely.
     pub fn record_clock_reading(&mut self, reading: ClockReading) {
-        self.offsets.learn(reading);
+        self.offsets.record(reading);
     }
 
-    /// When an endpoint started, by the `boot_ms` that a list tells now: milliseconds of Unix time, 0 for long ago
-    /// (`None`). A start that is told again stays where it was. A new one is later than the one before,
-    /// and than the last list that showed that, and not in the future.
+    /// Returns when an endpoint started, given the `boot_ms` of a list: milliseconds of Unix time, or 0 for long ago,
+    /// which returns `None`. A start that was reported before keeps its time. A new start is not in the future, and is
+    /// placed after the previous one and after the last list that still had the previous one.
     pub fn started(&mut self, uid: &str, boot_ms: u64, origin: ListOrigin, now: Time) -> Option<Time> {
-        let known = match self.starts.get_mut(uid) {
-            Some(known) => known,
-            None => self.starts.entry(uid.to_owned()).or_insert(Start { boot_ms: 0, at: 0, confirmed: None }),
+        let start = match self.starts.get_mut(uid) {
+            Some(start) => start,
+            None => self.starts.entry(uid.to_owned()).or_insert(Start {
+                boot_ms: 0,
+                started_at: 0,
+                confirmed_at: None,
+            }),
         };
-        if boot_ms != 0 && boot_ms != known.boot_ms {
-            let told = self.offsets.monotonic(WallTime::from_unix_millis(boot_ms), now);
-            let former_until = known.at.max(known.confirmed.unwrap_or(0));
-            known.boot_ms = boot_ms;
-            known.at = told.max(former_until.saturating_add(1)); // so that no two starts look like one
+        if boot_ms != 0 && boot_ms != start.boot_ms {
+            let reported = self.offsets.monotonic(WallTime::from_unix_millis(boot_ms), now);
+            let previous_until = start.started_at.max(start.confirmed_at.unwrap_or(0));
+            start.boot_ms = boot_ms;
+            start.started_at = reported.max(previous_until.saturating_add(1)); // two starts never have the same time
         }
         if origin == ListOrigin::Discovery {
-            known.confirmed = Some(now);
+            start.confirmed_at = Some(now);
         }
-        (boot_ms != 0).then_some(known.at)
+        (boot_ms != 0).then_some(start.started_at)
     }
 
-    /// How many endpoints are remembered.
+    /// The number of endpoints with a recorded start.
     pub fn len(&self) -> usize {
         self.starts.len()
     }
 
-    /// Forgets the endpoints whose names are not to be kept.
+    /// Removes the endpoints whose uids `is_kept` does not select.
     pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.starts.retain(|uid, _| is_kept(uid));
     }
