--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told, and what it wants done.
+//! Passes events to the decision module and carries out its actions.
 
 use super::{Dispatcher, Timer};
 use crate::proxy::messages::FinalResponse;
@@ -6,40 +6,47 @@
 use std::time::Duration;
 
 impl Dispatcher {
-    /// Tells the module of an event, does what it says, and tells it of what came of that at once.
-    pub(super) fn tell(&mut self, event: Event<'_>) {
-        self.handle(event);
-        while let Some((id, end)) = self.pending.pop_front() {
-            self.handle(Event::AttemptEnded(id, end));
+    /// Passes an event to the decision module and carries out its actions, then does the same for the ends of the
+    /// attempts that could not be sent.
+    pub(super) fn handle_event(&mut self, event: Event<'_>) {
+        self.apply_event(event);
+        while let Some((id, end)) = self.queued_attempt_ends.pop_front() {
+            self.apply_event(Event::AttemptEnded(id, end));
         }
     }
 
-    pub(super) fn handle(&mut self, event: Event<'_>) {
+    /// Passes a single event to the decision module and carries out its actions.
+    pub(super) fn apply_event(&mut self, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.clock.now(), event, &mut actions);
-        actions.drain(..).for_each(|action| self.act(action));
+        actions.drain(..).for_each(|action| self.perform_action(action));
         self.actions = actions;
     }
 
-    pub(super) fn act(&mut self, action: Action) {
+    /// Carries out an action of the decision module.
+    pub(super) fn perform_action(&mut self, action: Action) {
         match action {
-            Action::Send { id, endpoint, until, begin_by } => self.send(id, endpoint, until, begin_by),
+            Action::Send { id, endpoint, until, begin_by } => {
+                self.send_attempt(id, endpoint, until, begin_by)
+            }
             Action::Reject { id, retry_after } => {
-                self.answer(id, FinalResponse::Rejected(Duration::from_nanos(retry_after)));
+                self.respond(id, FinalResponse::Rejected(Duration::from_nanos(retry_after)));
             }
-            Action::Fail(id) => self.answer(id, FinalResponse::Failed),
-            Action::Cancel { id, attempt } => {
-                let out = self.requests.get_mut(&id).map(|open| &mut open.attempts_in_flight);
-                let out = out.and_then(|out| out.iter_mut().find(|out| out.number == attempt));
-                if let Some(out) = out {
-                    out.cancel = None;
+            Action::Fail(id) => self.respond(id, FinalResponse::Failed),
+            Action::Cancel { id, attempt: number } => {
+                let attempts =
+                    self.requests.get_mut(&id).map(|pending_request| &mut pending_request.attempts_in_flight);
+                let attempt = attempts
+                    .and_then(|attempts| attempts.iter_mut().find(|attempt| attempt.number == number));
+                if let Some(attempt) = attempt {
+                    attempt.cancel = None;
                 }
             }
             Action::QueryLoad(endpoint) => self.query_load(endpoint),
-            Action::CloseIdle(endpoint) => self.idle.close(endpoint),
-            Action::SetTimer { after, token } => self.set_timer(after, Timer::Module(token)),
+            Action::CloseIdle(endpoint) => self.idle_pool.close(endpoint),
+            Action::SetTimer { after, token } => self.set_timer(after, Timer::Decision(token)),
             Action::WatchEndpoints => {
-                self.subscribe.send(()).ok(); // discovery ends only with the program
+                self.subscribe.send(()).ok(); // fails only while the process exits
             }
             Action::Log(text) => crate::proxy::logging::log(format_args!("{text}")),
         }
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their start, their response and their end.
+//! Attempts to serve a request: their start, their response and their end.
 
 use super::{AttemptInFlight, Dispatcher};
 use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
@@ -24,81 +24,106 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Dispatcher {
-    pub(super) fn send(&mut self, id: RequestId, endpoint: EndpointId, until: Time, begin_by: Option<Time>) {
+    /// Starts an attempt, or queues its end as not sent where it is too late or impossible to send it.
+    pub(super) fn send_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: EndpointId,
+        until: Time,
+        begin_by: Option<Time>,
+    ) {
         let now = self.clock.now();
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let (number, until) = (open.attempts, open.deadline.map_or(until, |deadline| until.min(deadline)));
-        open.attempts += 1;
+        let Some(pending_request) = self.requests.get_mut(&id) else { return };
+        let (number, until) = (
+            pending_request.attempts,
+            pending_request.deadline.map_or(until, |deadline| until.min(deadline)),
+        );
+        pending_request.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
-        let client_deadline = open.client_deadline;
-        let has_time = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
-        let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
-        let allowed = in_time && number < self.config.settings.max_attempts;
-        let possible = open.response_sender.is_some() && allowed && !open.request.body().is_consumed();
-        let target = upstream.filter(|_| possible).and_then(|upstream| Some((upstream, upstream.address?)));
-        let Some((upstream, address)) = target else { return self.not_sent(id, number) };
-        let Some(connection_source) = self.idle.acquire(endpoint) else { return self.not_sent(id, number) };
-        let request = forwarded(&open.request, address);
+        let client_deadline = pending_request.client_deadline;
+        let has_budget = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
+        let in_time = has_budget && now < until && begin_by.is_none_or(|begin_by| now < begin_by);
+        let is_allowed = in_time && number < self.config.settings.max_attempts;
+        let can_send = pending_request.response_sender.is_some()
+            && is_allowed
+            && !pending_request.request.body().is_consumed();
+        let target = upstream.filter(|_| can_send).and_then(|upstream| Some((upstream, upstream.address?)));
+        let Some((upstream, address)) = target else { return self.queue_not_sent(id, number) };
+        let Some(connection_source) = self.idle_pool.acquire(endpoint) else {
+            return self.queue_not_sent(id, number);
+        };
+        let request = upstream_request(&pending_request.request, address);
         let (cancel, cancelled) = oneshot::channel::<()>();
         let write_started = Arc::new(AtomicBool::new(false));
-        let mark = write_started.clone();
-        open.attempts_in_flight.push(AttemptInFlight {
+        let write_started_flag = write_started.clone();
+        pending_request.attempts_in_flight.push(AttemptInFlight {
             number,
             endpoint,
             upstream,
-            sent: now,
-            begun: None,
+            sent_at: now,
+            started_response: None,
             write_started,
             cancel: Some(cancel),
         });
-        let remainder = open.request.body().remainder.clone().filter(|_| open.deadline.is_none());
-        let expiry =
-            expiry(self.clock.instant(until), remainder.map(|remainder| (open.whole.subscribe(), remainder)));
-        let (messages, client) = (self.messages.clone(), Some(open.client.clone()));
-        let attempt_counter = Some(self.counters.attempts());
-        let begin_by = begin_by.map(|end| self.clock.instant(end));
-        let deadline = open.deadline.map(|deadline| self.clock.instant(deadline));
-        let means = self.means(connection_source, address, self.clock.instant(until), attempt_counter);
-        let local_failure = means.local_failure.clone();
+        let remainder =
+            pending_request.request.body().remainder.clone().filter(|_| pending_request.deadline.is_none());
+        let expiry = wait_for_expiry(
+            self.clock.instant(until),
+            remainder.map(|remainder| (pending_request.received_at.subscribe(), remainder)),
+        );
+        let (messages, client) = (self.messages.clone(), Some(pending_request.client.clone()));
+        let attempt_counter = Some(self.counters.attempt_counter());
+        let begin_by = begin_by.map(|begin_by| self.clock.instant(begin_by));
+        let deadline = pending_request.deadline.map(|deadline| self.clock.instant(deadline));
+        let context =
+            self.exchange_context(connection_source, address, self.clock.instant(until), attempt_counter);
+        let local_failure = context.local_failure.clone();
         let client_deadline = Some(self.clock.instant(client_deadline));
-        let means = ExchangeContext {
-            write_started: mark.clone(),
+        let context = ExchangeContext {
+            write_started: write_started_flag.clone(),
             deadline,
             begin_by,
             client,
             client_deadline,
-            ..means
+            ..context
         };
-        let exchange = exchange(request, means);
+        let exchange = exchange(request, context);
         let expiry = async move {
             expiry.await;
+            // An attempt that was delayed by local connection errors may use the rest of its request's time.
             if let Some(deadline) = deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
                 sleep_until(deadline).await;
             }
         };
         tokio::spawn(async move {
-            let unless_sent = |outcome, unsent| if mark.load(Ordering::Relaxed) { outcome } else { unsent };
-            let exchanged = tokio::select! {
-                biased; // nobody wants the answer to what is withdrawn, while one that comes just in time counts
-                _ = cancelled => unless_sent(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
-                exchanged = exchange => exchanged,
-                () = expiry => unless_sent(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
+            let choose_outcome = |if_written, if_unwritten| {
+                if write_started_flag.load(Ordering::Relaxed) { if_written } else { if_unwritten }
+            };
+            // Cancellation is checked first, as the response is not needed then. A response that has arrived by the
+            // expiry counts.
+            let exchange_outcome = tokio::select! {
+                biased;
+                _ = cancelled => choose_outcome(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
+                exchange_outcome = exchange => exchange_outcome,
+                () = expiry => choose_outcome(AttemptOutcome::Timeout, AttemptOutcome::ConnectFailed).into(),
             };
-            let message = match exchanged {
-                ExchangeOutcome::Ended(finished) => DispatcherMessage::AttemptEnded(id, number, finished),
-                ExchangeOutcome::ClientDisconnected(finished) => {
-                    messages.send(DispatcherMessage::ClientDisconnected(id)).ok(); // first, or the request would be sent again
-                    DispatcherMessage::AttemptEnded(id, number, finished)
+            let message = match exchange_outcome {
+                ExchangeOutcome::Ended(result) => DispatcherMessage::AttemptEnded(id, number, result),
+                ExchangeOutcome::ClientDisconnected(result) => {
+                    // Sent before the attempt's end, which could cause a retry otherwise.
+                    messages.send(DispatcherMessage::ClientDisconnected(id)).ok();
+                    DispatcherMessage::AttemptEnded(id, number, result)
                 }
-                ExchangeOutcome::ResponseStarted(begun) => {
-                    DispatcherMessage::ResponseStarted(id, number, begun)
+                ExchangeOutcome::ResponseStarted(started) => {
+                    DispatcherMessage::ResponseStarted(id, number, started)
                 }
             };
             messages.send(message).ok();
         });
     }
 
-    pub(super) fn means(
+    /// The context of an exchange, without the fields that only a client's request has.
+    pub(super) fn exchange_context(
         &self,
         connection_source: ConnectionSource,
         address: SocketAddr,
@@ -121,118 +146,135 @@
         }
     }
 
-    /// The module hears of it once it is done with what it is at.
-    pub(super) fn not_sent(&mut self, id: RequestId, attempt: u32) {
-        let open = self.requests.get(&id);
-        let closed = open.is_none_or(|open| open.response_sender.is_none());
-        let spent = open.is_some_and(|open| open.request.body().is_consumed());
+    /// Queues the end of an attempt that is not sent. The decision module is notified after the current event.
+    pub(super) fn queue_not_sent(&mut self, id: RequestId, number: u32) {
+        let pending_request = self.requests.get(&id);
+        let request_closed =
+            pending_request.is_none_or(|pending_request| pending_request.response_sender.is_none());
+        let body_consumed =
+            pending_request.is_some_and(|pending_request| pending_request.request.body().is_consumed());
         let end = AttemptEnd {
-            attempt,
+            attempt: number,
             outcome: AttemptOutcome::NotSent,
             elapsed: 0,
-            request_closed: closed,
-            body_consumed: spent,
+            request_closed,
+            body_consumed,
             load: None,
         };
-        self.pending.push_back((id, end));
+        self.queued_attempt_ends.push_back((id, end));
     }
 
-    /// The answer is passed on as it comes: past its request's time, for as long as it goes on.
-    pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, begun: StartedResponse) {
-        let deadline = self.requests.get(&id).and_then(|open| open.deadline);
+    /// Streams a response to the client while it is received, even past the request's deadline as long as its rate
+    /// suffices.
+    pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, started: StartedResponse) {
+        let deadline = self.requests.get(&id).and_then(|pending_request| pending_request.deadline);
         let deadline = deadline.map(|deadline| self.clock.instant(deadline));
-        let Some((sender, _)) = self.take_answer(id) else {
+        let Some((sender, _)) = self.take_response_sender(id) else {
             return self.on_attempt_ended(id, number, AttemptOutcome::Cancelled.into());
         };
-        let load = self.load_report(&begun.head);
-        let open = self.requests.get_mut(&id);
-        let out = open.and_then(|open| open.attempts_in_flight.iter_mut().find(|out| out.number == number));
+        let load = self.response_load_report(&started.head);
+        let pending_request = self.requests.get_mut(&id);
+        let attempt = pending_request.and_then(|pending_request| {
+            pending_request.attempts_in_flight.iter_mut().find(|attempt| attempt.number == number)
+        });
         let messages = self.messages.clone();
-        let report = Box::new(move |finished| {
-            messages.send(DispatcherMessage::AttemptEnded(id, number, finished)).ok();
+        let on_end = Box::new(move |result| {
+            messages.send(DispatcherMessage::AttemptEnded(id, number, result)).ok();
         });
-        let StartedResponse { head, body, connection, memory_permit } = begun;
-        let passing = |kept| ResponseBody::streamed(kept, body, connection, memory_permit, deadline, report);
-        let answer = FinalResponse::Served(head.map(passing));
-        if let Some(out) = out {
-            out.begun = Some((answer.outcome(), load));
+        let StartedResponse { head, body, connection, memory_permit } = started;
+        let streamed =
+            |buffered| ResponseBody::streamed(buffered, body, connection, memory_permit, deadline, on_end);
+        let response = FinalResponse::Served(head.map(streamed));
+        if let Some(attempt) = attempt {
+            attempt.started_response = Some((response.outcome(), load));
         }
-        self.tell(Event::ResponseStarted(id, number));
-        sender.send(answer).ok(); // dropped by a caller that has gone, it ends the attempt
+        self.handle_event(Event::ResponseStarted(id, number));
+        // If the client has disconnected, the response is dropped, which ends the attempt.
+        sender.send(response).ok();
     }
 
-    pub(super) fn on_attempt_ended(&mut self, id: RequestId, attempt: u32, finished: AttemptResult) {
+    /// Handles the end of an attempt: keeps its connection, responds to the client if the response is final, and
+    /// notifies the decision module.
+    pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, result: AttemptResult) {
         let now = self.clock.now();
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(at) = open.attempts_in_flight.iter().position(|out| out.number == attempt) else { return };
-        let out = open.attempts_in_flight.swap_remove(at);
-        let (class, spent) = (open.class, open.request.body().is_consumed());
-        // A request that was still coming held up its attempt.
-        let whole = open.whole.borrow().map_or(0, |whole| self.clock.time(whole));
-        let elapsed = now.saturating_sub(out.sent.max(whole));
-        // One to a process that has drained, gone or been replaced since is of no use.
-        let current = out.upstream.in_service && self.endpoints.get(&out.endpoint) == Some(&out.upstream);
-        if let Some(connection) = finished.connection.filter(|_| current) {
-            self.idle.put(out.endpoint, connection);
+        let Some(pending_request) = self.requests.get_mut(&id) else { return };
+        let Some(position) =
+            pending_request.attempts_in_flight.iter().position(|attempt| attempt.number == number)
+        else {
+            return;
+        };
+        let attempt = pending_request.attempts_in_flight.swap_remove(position);
+        let (class, body_consumed) = (pending_request.class, pending_request.request.body().is_consumed());
+        // The time in which the request itself was still being received does not count for the attempt.
+        let received_at =
+            pending_request.received_at.borrow().map_or(0, |received_at| self.clock.time(received_at));
+        let elapsed = now.saturating_sub(attempt.sent_at.max(received_at));
+        // The connection is kept only if the endpoint is still in service with the same process.
+        let is_reusable =
+            attempt.upstream.in_service && self.endpoints.get(&attempt.endpoint) == Some(&attempt.upstream);
+        if let Some(connection) = result.connection.filter(|_| is_reusable) {
+            self.idle_pool.put(attempt.endpoint, connection);
         }
-        let mut load = finished.response.as_ref().and_then(|response| self.load_report(response));
-        if let Some((end, figures)) = out.begun {
-            load = figures;
-            match finished.outcome {
-                AttemptOutcome::Success => self.counters.count(class, end),
-                AttemptOutcome::Cancelled => {} // its caller left
+        let mut load = result.response.as_ref().and_then(|response| self.response_load_report(response));
+        if let Some((request_outcome, started_load)) = attempt.started_response {
+            load = started_load;
+            match result.outcome {
+                AttemptOutcome::Success => self.counters.count(class, request_outcome),
+                AttemptOutcome::Cancelled => {} // the client disconnected
                 _ => self.counters.count(class, metrics::RequestOutcome::Failure),
             }
         }
-        let closing = matches!(finished.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
-        if let Some(response) = finished.response.filter(|_| closing) {
-            self.answer(id, FinalResponse::Served(response.map(ResponseBody::from)));
+        let is_final = matches!(result.outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
+        if let Some(response) = result.response.filter(|_| is_final) {
+            self.respond(id, FinalResponse::Served(response.map(ResponseBody::from)));
         }
-        let closed = self.requests.get(&id).is_none_or(|open| open.response_sender.is_none());
+        let request_closed =
+            self.requests.get(&id).is_none_or(|pending_request| pending_request.response_sender.is_none());
         let end = AttemptEnd {
-            attempt,
-            outcome: finished.outcome,
+            attempt: number,
+            outcome: result.outcome,
             elapsed,
-            request_closed: closed,
-            body_consumed: spent,
+            request_closed,
+            body_consumed,
             load,
         };
-        self.tell(Event::AttemptEnded(id, end));
-        self.forget_if_done(id);
+        self.handle_event(Event::AttemptEnded(id, end));
+        self.remove_if_finished(id);
     }
 
-    /// The load figures that came with an answer.
-    pub(super) fn load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
+    /// The load report in a response's head, if it has a valid one.
+    pub(super) fn response_load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
         let report = response.headers().get("x-load-report")?;
-        load_report(report.as_bytes(), &self.config.names.report_fields)
+        parse_load_report(report.as_bytes(), &self.config.names.report_fields)
     }
 }
 
-/// Waits until an attempt is given up: at a time, or as much after its request has come whole, or when that
-/// gets no further.
-pub(super) async fn expiry(
+/// Completes when an attempt must be given up. That is at `until`; but for a request that is still being received, the
+/// time from now to `until` is counted from its last byte, and the attempt is also given up when no part of the request
+/// has arrived for [`IDLE_TIMEOUT`].
+pub(super) async fn wait_for_expiry(
     until: Instant,
-    coming: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
+    receiving: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
 ) {
-    let Some((mut whole, remainder)) = coming else { return sleep_until(until).await };
-    let limit = until.saturating_duration_since(Instant::now());
-    let (mut left, mut moved) = (remainder.remaining(), Instant::now());
+    let Some((mut received_at, remainder)) = receiving else { return sleep_until(until).await };
+    let time_limit = until.saturating_duration_since(Instant::now());
+    let (mut last_remaining, mut last_progress) = (remainder.remaining(), Instant::now());
     loop {
-        let came = timeout(IDLE_TIMEOUT / 10, whole.wait_for(Option::is_some)).await;
-        match came.map(|came| came.ok().and_then(|came| *came)) {
-            Ok(Some(came)) => return sleep_until(came + limit).await,
-            Ok(None) => return pending().await, // nobody waits for its end any more
-            Err(_) if remainder.remaining() != left => {
-                (left, moved) = (remainder.remaining(), Instant::now())
+        let received = timeout(IDLE_TIMEOUT / 10, received_at.wait_for(Option::is_some)).await;
+        match received.map(|received| received.ok().and_then(|received| *received)) {
+            Ok(Some(received)) => return sleep_until(received + time_limit).await,
+            Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt
+            Err(_) if remainder.remaining() != last_remaining => {
+                (last_remaining, last_progress) = (remainder.remaining(), Instant::now())
             }
-            Err(_) if moved.elapsed() > IDLE_TIMEOUT => return,
+            Err(_) if last_progress.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
         }
     }
 }
 
-/// The request as an upstream gets it: as it came, in the form for an origin.
-pub(super) fn forwarded(request: &Request<RequestBody>, address: SocketAddr) -> Request<RequestBody> {
+/// The client's request as it is sent upstream: with HTTP/1.1, a target in origin form and a Host header.
+pub(super) fn upstream_request(request: &Request<RequestBody>, address: SocketAddr) -> Request<RequestBody> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
     if let Some(path) = request.uri().path_and_query().filter(|_| request.uri().authority().is_some()) {
@@ -246,8 +288,9 @@
     request
 }
 
-/// The load figures in a report, in the order of the settings.
-pub(super) fn load_report(text: &[u8], fields: &[String]) -> Option<LoadReport> {
+/// Parses a load report and returns its figures in the order of `fields`, or `None` if it is malformed or a field is
+/// missing.
+pub(super) fn parse_load_report(text: &[u8], fields: &[String]) -> Option<LoadReport> {
     let values: HashMap<String, f32> = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
     for (figure, field) in report.figures.iter_mut().zip(fields) {
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: what is told of it, and what is forgotten.
+//! Updates of the endpoint list, and the removal of endpoints that are no longer listed.
 
-use super::{AttemptInFlight, Dispatcher, MOST_FORMER, Upstream};
+use super::{AttemptInFlight, Dispatcher, MAX_REMOVED_UIDS, Upstream};
 use crate::config::endpoint_listing::{ListedEndpoint, ListedState, Listing};
 use crate::proxy::clock::ClockReading;
 use crate::proxy::start_times::ListOrigin;
@@ -9,94 +9,104 @@
 use std::net::SocketAddr;
 
 impl Dispatcher {
+    /// Applies a list from the configuration or from discovery: a complete one or the changed endpoints.
     pub(super) fn on_endpoint_list(&mut self, listing: Listing, origin: ListOrigin) {
         let reading = self.clock.read();
         self.start_times.record_clock_reading(reading);
-        let entry = |target| self.entry(target, origin, reading);
+        let entry = |target| self.endpoint_entry(target, origin, reading);
         let entries: Vec<EndpointEntry> = listing.targets.iter().map(entry).collect();
         if listing.all {
-            self.tell(Event::EndpointList(&entries));
+            self.handle_event(Event::EndpointList(&entries));
         } else if !entries.is_empty() {
-            self.tell(Event::EndpointsChanged(&entries));
+            self.handle_event(Event::EndpointsChanged(&entries));
         }
-        self.forget_gone(&listing);
+        self.remove_delisted_endpoints(&listing);
         if entries.iter().any(|entry| entry.state == EndpointState::InService) {
             self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
-        self.show_hosts();
+        self.update_host_counts();
     }
 
-    /// Forgets the upstreams that are gone, by name or by not being on a whole list, and closes their idle
-    /// connections. Guards the memory where upstreams are ever new.
-    pub(super) fn forget_gone(&mut self, listing: &Listing) {
-        let names = |gone: bool| {
-            let targets =
-                listing.targets.iter().filter(move |t| (t.state == ListedState::Terminated) == gone);
+    /// Removes the endpoints that a list reports as terminated or that a complete list omits, and closes their idle
+    /// connections. This bounds the memory where discovery keeps listing new endpoints.
+    pub(super) fn remove_delisted_endpoints(&mut self, listing: &Listing) {
+        let uids = |terminated: bool| {
+            let targets = listing
+                .targets
+                .iter()
+                .filter(move |target| (target.state == ListedState::Terminated) == terminated);
             targets.map(|target| target.uid.as_str()).collect::<HashSet<_>>()
         };
-        let (named, gone) = (names(false), names(true));
-        let (endpoints, idle, former) = (&mut self.endpoints, &mut self.idle, &mut self.former);
+        let (remaining, terminated) = (uids(false), uids(true));
+        let (endpoints, idle_pool, removed_uids) =
+            (&mut self.endpoints, &mut self.idle_pool, &mut self.removed_uids);
         let offline = &self.offline;
-        let mut left = Vec::new();
-        self.ids.retain(|uid, endpoint| {
-            let stays = !gone.contains(uid.as_str()) && (!listing.all || named.contains(uid.as_str()));
-            if !stays && endpoints.remove(endpoint).is_some() {
-                idle.close(*endpoint);
-                former.push_back(uid.clone());
-                left.push(*endpoint);
+        let mut removed = Vec::new();
+        self.endpoint_ids.retain(|uid, endpoint| {
+            let is_kept =
+                !terminated.contains(uid.as_str()) && (!listing.all || remaining.contains(uid.as_str()));
+            if !is_kept && endpoints.remove(endpoint).is_some() {
+                idle_pool.close(*endpoint);
+                removed_uids.push_back(uid.clone());
+                removed.push(*endpoint);
             }
-            stays || offline.contains(uid) // what is out by hand is so when it is listed again
+            is_kept || offline.contains(uid) // taken offline, it stays so when it is listed again
         });
-        left.into_iter().for_each(|endpoint| self.withdraw(endpoint));
-        let former = &mut self.former;
-        former.drain(..former.len().saturating_sub(MOST_FORMER));
-        self.forget_starts();
+        removed.into_iter().for_each(|endpoint| self.cancel_unwritten_attempts(endpoint));
+        let removed_uids = &mut self.removed_uids;
+        removed_uids.drain(..removed_uids.len().saturating_sub(MAX_REMOVED_UIDS));
+        self.prune_start_times();
     }
 
-    /// Forgets when the upstreams started whose names are forgotten.
-    pub(super) fn forget_starts(&mut self) {
-        if self.start_times.len() <= self.ids.len() + MOST_FORMER {
+    /// Removes the start times of endpoints whose uids are no longer kept.
+    pub(super) fn prune_start_times(&mut self) {
+        if self.start_times.len() <= self.endpoint_ids.len() + MAX_REMOVED_UIDS {
             return;
         }
-        let former: HashSet<&str> = self.former.iter().map(String::as_str).collect();
-        let ids = &self.ids;
-        self.start_times.retain(|uid| ids.contains_key(uid) || former.contains(uid));
+        let removed_uids: HashSet<&str> = self.removed_uids.iter().map(String::as_str).collect();
+        let endpoint_ids = &self.endpoint_ids;
+        self.start_times.retain(|uid| endpoint_ids.contains_key(uid) || removed_uids.contains(uid));
     }
 
-    /// Withdraws the attempts that still wait for a connection to an upstream: once it is there, they would be
-    /// written. The module hears that they were never sent.
-    pub(super) fn withdraw(&mut self, endpoint: EndpointId) {
-        let out = self.requests.values_mut().flat_map(|open| &mut open.attempts_in_flight);
-        out.filter(|out| out.endpoint == endpoint).for_each(AttemptInFlight::withdraw);
+    /// Cancels the attempts that still wait for a connection to an endpoint, as they would be written once it is
+    /// established. Their tasks report them as not sent.
+    pub(super) fn cancel_unwritten_attempts(&mut self, endpoint: EndpointId) {
+        let attempts =
+            self.requests.values_mut().flat_map(|pending_request| &mut pending_request.attempts_in_flight);
+        attempts
+            .filter(|attempt| attempt.endpoint == endpoint)
+            .for_each(AttemptInFlight::cancel_if_unwritten);
     }
 
-    pub(super) fn id(&mut self, uid: &str) -> EndpointId {
-        *self.ids.entry(uid.to_owned()).or_insert_with(|| {
-            self.next_endpoint += 1;
-            EndpointId(self.next_endpoint)
+    /// The id of an endpoint; assigns a new one to an unknown uid.
+    pub(super) fn endpoint_id(&mut self, uid: &str) -> EndpointId {
+        *self.endpoint_ids.entry(uid.to_owned()).or_insert_with(|| {
+            self.last_endpoint_id += 1;
+            EndpointId(self.last_endpoint_id)
         })
     }
 
-    pub(super) fn entry(
+    /// Records a listed endpoint and converts it for the decision module.
+    pub(super) fn endpoint_entry(
         &mut self,
         target: &ListedEndpoint,
         origin: ListOrigin,
         reading: ClockReading,
     ) -> EndpointEntry {
-        let endpoint = self.id(&target.uid);
+        let endpoint = self.endpoint_id(&target.uid);
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
             crate::proxy::logging::log(format_args!(
-                "upstream {}: no address in {:?}",
+                "upstream {}: {:?} is not an IP address with a port",
                 target.uid, target.endpoint
             ));
         }
         let in_service = target.state == ListedState::InService;
         let upstream = Upstream { address, boot_ms: target.boot_ms, in_service };
-        // Connections to a former process, or to one that takes nothing new, are of no use, nor is waiting for one.
+        // Connections to an earlier process, or to one that is not in service, must not be used, nor waited for.
         if !in_service || self.endpoints.get(&endpoint) != Some(&upstream) {
-            self.idle.close(endpoint);
-            self.withdraw(endpoint);
+            self.idle_pool.close(endpoint);
+            self.cancel_unwritten_attempts(endpoint);
         }
         self.endpoints.insert(endpoint, upstream);
         let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -1,6 +1,6 @@
-//! Load queries, where the settings allow them.
+//! Load queries to endpoints, which the decision module asks for if the settings allow them.
 
-use super::{Dispatcher, LOAD_QUERY_TIMEOUT, attempts::forwarded, attempts::load_report};
+use super::{Dispatcher, LOAD_QUERY_TIMEOUT, attempts::parse_load_report, attempts::upstream_request};
 use crate::proxy::body::request_body::RequestBody;
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::upstream::exchange::{AttemptResult, ExchangeOutcome, exchange};
@@ -9,38 +9,40 @@
 use tokio::time::{Instant, timeout};
 
 impl Dispatcher {
+    /// Sends a load query to an endpoint, unless it has no address or no connection may be opened.
     pub(super) fn query_load(&mut self, endpoint: EndpointId) {
         let Some(address) = self.endpoints.get(&endpoint).and_then(|upstream| upstream.address) else {
             return;
         };
-        let Some(connection_source) = self.idle.acquire(endpoint) else { return }; // the module does not wait for a probe's end
+        // No end is reported without a connection: the decision module does not wait for a load query.
+        let Some(connection_source) = self.idle_pool.acquire(endpoint) else { return };
         let mut request = Request::new(RequestBody::default());
         *request.uri_mut() = Uri::from_static("/load");
-        let request = forwarded(&request, address);
+        let request = upstream_request(&request, address);
         let exchange = exchange(
             request,
-            self.means(connection_source, address, Instant::now() + LOAD_QUERY_TIMEOUT, None),
+            self.exchange_context(connection_source, address, Instant::now() + LOAD_QUERY_TIMEOUT, None),
         );
         let messages = self.messages.clone();
         tokio::spawn(async move {
-            let finished = match timeout(LOAD_QUERY_TIMEOUT, exchange).await {
-                Ok(ExchangeOutcome::Ended(finished) | ExchangeOutcome::ClientDisconnected(finished)) => {
-                    finished
-                }
-                Ok(ExchangeOutcome::ResponseStarted(_)) => AttemptOutcome::Error.into(), // no figures are so long
+            let result = match timeout(LOAD_QUERY_TIMEOUT, exchange).await {
+                Ok(ExchangeOutcome::Ended(result) | ExchangeOutcome::ClientDisconnected(result)) => result,
+                // A load report is never too long to be buffered.
+                Ok(ExchangeOutcome::ResponseStarted(_)) => AttemptOutcome::Error.into(),
                 Err(_) => AttemptOutcome::Timeout.into(),
             };
-            messages.send(DispatcherMessage::LoadQueryEnded(endpoint, finished)).ok();
+            messages.send(DispatcherMessage::LoadQueryEnded(endpoint, result)).ok();
         });
     }
 
-    pub(super) fn on_load_query_ended(&mut self, endpoint: EndpointId, finished: AttemptResult) {
-        if let Some(connection) = finished.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
-            self.idle.put(endpoint, connection);
+    /// Passes the result of a load query to the decision module and keeps its connection.
+    pub(super) fn on_load_query_ended(&mut self, endpoint: EndpointId, result: AttemptResult) {
+        if let Some(connection) = result.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
+            self.idle_pool.put(endpoint, connection);
         }
-        let load = finished
+        let load = result
             .response
-            .and_then(|response| load_report(response.body(), &self.config.names.report_fields));
-        self.tell(Event::LoadQueryEnded(endpoint, finished.outcome, load));
+            .and_then(|response| parse_load_report(response.body(), &self.config.names.report_fields));
+        self.handle_event(Event::LoadQueryEnded(endpoint, result.outcome, load));
     }
 }
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -1,4 +1,5 @@
-//! Owns the decision module: tells it what happened and does what it says. Nothing is decided here.
+//! The dispatcher: owns the decision module, passes events to it and carries out its actions. It makes no decisions of
+//! its own, except to fail a request that the decision module has left open past its deadline.
 
 mod actions;
 mod attempts;
@@ -33,38 +34,40 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Time after a request's deadline at which the dispatcher fails the request itself, in nanoseconds. The decision module
-/// should have ended it long before.
+/// Delay after a request's deadline before the dispatcher itself fails a request that has no response yet, in
+/// nanoseconds. The decision module should have ended the request long before.
 const DEADLINE_GUARD_DELAY: Time = 25_000_000;
 
-/// How often idle connections are looked through.
-const SWEEP_EVERY: Time = 500_000_000;
+/// Interval at which idle connections are checked and the clocks are compared, in nanoseconds.
+const IDLE_SWEEP_INTERVAL: Time = 500_000_000;
 
-/// How often operators' figures and orders given to another process are looked at.
-const FOLLOW_EVERY: Time = 100_000_000;
+/// Interval at which the shared folder is checked and the host counts are updated, in nanoseconds.
+const SHARED_FOLDER_CHECK_INTERVAL: Time = 100_000_000;
 
-/// Upstreams that are on no list any more whose names are kept: an order about them is no mistake.
-const MOST_FORMER: usize = 1024;
+/// Number of removed endpoints whose uids are kept, so that orders about them are not rejected as unknown.
+const MAX_REMOVED_UIDS: usize = 1024;
 
-/// How long a load query may take.
+/// Time after which a load query is abandoned.
 const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Inputs taken in a row before timers get their turn.
-const BURST: usize = 32;
+/// Messages that are handled in a row before due timers are run.
+const MAX_MESSAGES_PER_TURN: usize = 32;
 
 /// A request that has no response yet, or has attempts in flight.
 struct PendingRequest {
     request: Request<RequestBody>,
     client: ClientLiveness,
     class: usize,
-    /// When its caller stops waiting; not known as long as the request is still coming.
+    /// The client's deadline; `None` while the request is still being received.
     deadline: Option<Time>,
-    /// When its caller stops waiting; of a request that is still coming, if its last byte came with the first.
+    /// The client's deadline as known when the request was accepted: for a request that was still being received, it is
+    /// counted from the end of the buffered part.
     client_deadline: Time,
-    /// When all of it had come, for attempts whose time runs from then on.
-    whole: watch::Sender<Option<Instant>>,
-    /// Where the answer goes; `None` once it is given or not owed any more.
+    /// When the request was received completely; the expiry of attempts that started earlier is counted from then on.
+    received_at: watch::Sender<Option<Instant>>,
+    /// Receives the final response; `None` once it is sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
+    /// The number of attempts so far, including those that were not sent.
     attempts: u32,
     attempts_in_flight: Vec<AttemptInFlight>,
 }
@@ -73,31 +76,36 @@
 struct AttemptInFlight {
     number: u32,
     endpoint: EndpointId,
-    /// The process that it was sent to.
+    /// The process that the attempt is sent to.
     upstream: Upstream,
-    sent: Time,
-    /// How the request ends if the answer that has begun comes to its end, and the figures that came with it.
-    begun: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
-    /// It has its connection: from here on it may be written. Before, it can be taken back as if never sent.
+    sent_at: Time,
+    /// Set once the response is streamed to the client: the outcome to count if it completes, and the load report in
+    /// its head.
+    started_response: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
+    /// Set right before the first byte is written. Until then the attempt can be cancelled as never sent.
     write_started: Arc<AtomicBool>,
-    /// Dropping it withdraws the attempt.
+    /// Dropping the sender cancels the attempt.
     cancel: Option<oneshot::Sender<()>>,
 }
 
 impl AttemptInFlight {
-    /// Withdraws the attempt, unless it may have been written.
-    fn withdraw(&mut self) {
+    /// Cancels the attempt unless a part of it may have been written.
+    fn cancel_if_unwritten(&mut self) {
         if !self.write_started.load(Ordering::Relaxed) {
             self.cancel = None;
         }
     }
 }
 
+/// What is due when a timer fires.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Module(u64),
-    Sweep,
-    Follow,
+    /// A timer of the decision module, with its token.
+    Decision(u64),
+    /// Check idle connections and record the clocks.
+    IdleSweep,
+    /// Check the shared folder.
+    SharedFolderCheck,
 }
 
 /// The end of an attempt, queued until the decision module has handled the current event.
@@ -108,56 +116,69 @@
     config: Arc<Config>,
     balancer: LoadBalancer,
     clock: Clock,
+    /// The dispatcher's own inbox, for the tasks that it spawns.
     messages: UnboundedSender<DispatcherMessage>,
+    /// Asks discovery to watch the endpoint list.
     subscribe: UnboundedSender<()>,
+    /// Set to true once an endpoint is in service.
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
-    /// What is shared with the process before or after this one, and the upstreams taken out by hand.
-    shared: Option<SharedFolder>,
+    /// The folder shared with the process before or after this one.
+    shared_folder: Option<SharedFolder>,
+    /// The endpoints that operators have taken offline.
     offline: OfflineList,
-    /// Another process of this balancer serves beside this one.
+    /// Whether another process of this balancer may serve at the same time.
     overlapping: bool,
-    /// The names of upstreams that were listed, the latest last.
-    former: VecDeque<String>,
-    /// When upstreams started that are listed, or were lately.
+    /// The uids of endpoints that are no longer listed, the most recently removed last.
+    removed_uids: VecDeque<String>,
+    /// When the listed and the recently removed endpoints started.
     start_times: StartTimes,
     requests: HashMap<RequestId, PendingRequest>,
-    /// The upstreams that are listed, and the number of the next new one: none is given out twice.
-    ids: HashMap<String, EndpointId>,
-    next_endpoint: u32,
+    /// The ids of endpoints that are listed or in the offline list, by uid.
+    endpoint_ids: HashMap<String, EndpointId>,
+    /// The last id that was assigned; ids are never reused.
+    last_endpoint_id: u32,
+    /// The listed endpoints.
     endpoints: HashMap<EndpointId, Upstream>,
-    idle: IdlePool,
+    idle_pool: IdlePool,
     body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     /// The times at which requests without a response are failed by the deadline guard.
     deadline_guards: BTreeSet<(Time, RequestId)>,
+    /// An empty buffer for the decision module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
-    pending: VecDeque<QueuedAttemptEnd>,
+    /// Ends of attempts that the decision module has not been notified of yet.
+    queued_attempt_ends: VecDeque<QueuedAttemptEnd>,
 }
 
-/// Where an upstream listens, since when it runs, and whether it takes work.
+/// The process behind an endpoint, as discovery lists it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Upstream {
+    /// `None` if the listed address is invalid.
     address: Option<SocketAddr>,
+    /// The start of the process, in milliseconds of Unix time.
     boot_ms: u64,
+    /// Whether the process accepts new requests.
     in_service: bool,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that starts with the configured list. `ready` turns true once an endpoint is in service.
+    /// Creates a dispatcher that starts with the configured endpoint list. `ready` turns true once an endpoint is in
+    /// service.
     pub fn new(
         config: Arc<Config>,
         messages: UnboundedSender<DispatcherMessage>,
         subscribe: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
-        shared: Option<(SharedFolder, FolderState)>,
+        shared_folder: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
         let clock = Clock::new();
         let balancer = LoadBalancer::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|error| format!("settings: {error}"))?;
-        let idle = IdlePool::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
-        let (shared, folder_state) = shared.unzip();
+        let idle_pool =
+            IdlePool::new(Duration::from_nanos(config.settings.idle_timeout), config.limits.upstreams);
+        let (shared_folder, folder_state) = shared_folder.unzip();
         let mut dispatcher = Self {
             balancer,
             clock,
@@ -165,72 +186,70 @@
             subscribe,
             ready,
             counters,
-            shared,
+            shared_folder,
             offline: OfflineList::new(),
             overlapping: false,
-            former: VecDeque::new(),
+            removed_uids: VecDeque::new(),
             start_times: StartTimes::default(),
             requests: HashMap::new(),
-            ids: HashMap::new(),
-            next_endpoint: 0,
+            endpoint_ids: HashMap::new(),
+            last_endpoint_id: 0,
             endpoints: HashMap::new(),
-            idle,
+            idle_pool,
             body_memory,
             timers: BinaryHeap::new(),
             deadline_guards: BTreeSet::new(),
             actions: Vec::new(),
-            pending: VecDeque::new(),
+            queued_attempt_ends: VecDeque::new(),
             config,
         };
         if let Some(state) = folder_state {
-            dispatcher.on_folder_state(state); // before anything can be sent
+            dispatcher.on_folder_state(state); // the offline list must be known before anything is sent
         }
         let known = Listing { all: true, ..dispatcher.config.known.clone() };
         dispatcher.on_endpoint_list(known, ListOrigin::Configuration);
-        dispatcher.set_timer(SWEEP_EVERY, Timer::Sweep);
-        if dispatcher.shared.is_some() {
-            dispatcher.set_timer(FOLLOW_EVERY, Timer::Follow);
+        dispatcher.set_timer(IDLE_SWEEP_INTERVAL, Timer::IdleSweep);
+        if dispatcher.shared_folder.is_some() {
+            dispatcher.set_timer(SHARED_FOLDER_CHECK_INTERVAL, Timer::SharedFolderCheck);
         }
         Ok(dispatcher)
     }
 
-    /// Serves until nobody can tell it anything any more.
+    /// Handles messages and timers until all senders of the inbox are dropped.
     pub async fn run(mut self, mut inbox: UnboundedReceiver<DispatcherMessage>) {
         let mut messages = Vec::new();
         loop {
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
             let deadline_guard = self.deadline_guards.first().map(|(at, _)| *at);
-            let next = timer.into_iter().chain(deadline_guard).min().unwrap_or_else(|| self.clock.now());
+            let next_wakeup =
+                timer.into_iter().chain(deadline_guard).min().unwrap_or_else(|| self.clock.now());
             tokio::select! {
                 biased;
-                () = sleep_until(self.clock.instant(next)) => {}
-                got = inbox.recv_many(&mut messages, BURST) => if got == 0 { return },
+                () = sleep_until(self.clock.instant(next_wakeup)) => {}
+                received = inbox.recv_many(&mut messages, MAX_MESSAGES_PER_TURN) => if received == 0 { return },
             }
             for message in messages.drain(..) {
                 self.on_message(message);
             }
-            self.ring();
+            self.run_due_timers();
         }
     }
 
+    /// Dispatches a message to its handler.
     fn on_message(&mut self, message: DispatcherMessage) {
         match message {
-            DispatcherMessage::Request(call) => self.on_request(*call),
+            DispatcherMessage::Request(request) => self.on_request(*request),
             DispatcherMessage::ClientDisconnected(id) => self.on_client_disconnected(id),
             DispatcherMessage::RequestReceived(id, deadline) => self.on_request_received(id, deadline),
-            DispatcherMessage::ResponseStarted(id, number, begun) => {
-                self.on_response_started(id, number, *begun)
+            DispatcherMessage::ResponseStarted(id, number, started) => {
+                self.on_response_started(id, number, *started)
             }
-            DispatcherMessage::AttemptEnded(id, number, finished) => {
-                self.on_attempt_ended(id, number, finished)
-            }
-            DispatcherMessage::LoadQueryEnded(endpoint, finished) => {
-                self.on_load_query_ended(endpoint, finished)
-            }
-            DispatcherMessage::DescriptorShortage => self.idle.close_all(),
+            DispatcherMessage::AttemptEnded(id, number, result) => self.on_attempt_ended(id, number, result),
+            DispatcherMessage::LoadQueryEnded(endpoint, result) => self.on_load_query_ended(endpoint, result),
+            DispatcherMessage::DescriptorShortage => self.idle_pool.close_all(),
             DispatcherMessage::EndpointList(listing) => self.on_endpoint_list(listing, ListOrigin::Discovery),
-            DispatcherMessage::DiscoveryFailed => self.tell(Event::DiscoveryFailed),
-            DispatcherMessage::DiscoveryMoved => self.tell(Event::DiscoveryMoved),
+            DispatcherMessage::DiscoveryFailed => self.handle_event(Event::DiscoveryFailed),
+            DispatcherMessage::DiscoveryMoved => self.handle_event(Event::DiscoveryMoved),
             DispatcherMessage::OperatorOrder(request) => self.on_operator_order(request),
             DispatcherMessage::SharedFolder(event) => self.on_shared_folder(event),
         }
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -1,4 +1,4 @@
-//! Orders of operators, and the folder that is shared with another process.
+//! Operators' orders, and the folder shared with other processes of this balancer.
 
 use super::Dispatcher;
 use crate::proxy::orders::{OfflineList, Order, OrderOutcome, OrderRequest};
@@ -6,16 +6,18 @@
 use balancer::decision::{EndpointId, Event};
 
 impl Dispatcher {
+    /// Handles a report of the shared folder's thread.
     pub(super) fn on_shared_folder(&mut self, event: FolderEvent) {
         match event {
             FolderEvent::Checked(state) => {
-                self.shared.iter_mut().for_each(SharedFolder::checked);
+                self.shared_folder.iter_mut().for_each(SharedFolder::checked);
                 self.on_folder_state(state);
             }
             FolderEvent::Kept(request, offline) => {
-                self.enforce(offline);
-                self.on_kept(&request.order);
-                request.outcome_sender.send(OrderOutcome::Applied).ok(); // one that left has its order all the same
+                self.apply_offline_list(offline);
+                self.on_order_stored(&request.order);
+                // The order stays in force even if its operator has disconnected.
+                request.outcome_sender.send(OrderOutcome::Applied).ok();
             }
             FolderEvent::NotKept(request) => {
                 request.outcome_sender.send(OrderOutcome::NotStored).ok();
@@ -23,70 +25,78 @@
         }
     }
 
-    /// Takes over what operators told another process, and whether one is there.
+    /// Applies the orders that operators gave to another process, and notes whether another process is running.
     pub(super) fn on_folder_state(&mut self, state: FolderState) {
         let FolderState { offline, overlapping } = state;
         if offline != self.offline {
-            self.enforce(offline);
+            self.apply_offline_list(offline);
         }
         if overlapping != self.overlapping {
-            // The descriptors are for both.
-            let most = self.config.limits.upstreams;
-            self.idle.limit(if overlapping { most / 2 } else { most });
-            let beside = if overlapping { "beside another process" } else { "alone" };
-            crate::proxy::logging::log(format_args!("this process serves {beside}"));
+            // Both processes share the limit on file descriptors.
+            let max_connections = self.config.limits.upstreams;
+            self.idle_pool.limit(if overlapping { max_connections / 2 } else { max_connections });
+            let overlap = if overlapping { "beside another process" } else { "alone" };
+            crate::proxy::logging::log(format_args!("this process serves {overlap}"));
             self.overlapping = overlapping;
         }
-        self.show_hosts();
+        self.update_host_counts();
     }
 
-    pub(super) fn show_hosts(&self) {
+    /// Updates the counts of listed endpoints and of those that get no requests.
+    pub(super) fn update_host_counts(&self) {
         self.counters.set_hosts(self.endpoints.len(), self.balancer.avoided());
     }
 
+    /// Passes an order to the shared folder's thread, or rejects it.
     pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
-        let outcome = match &self.shared {
+        let outcome = match &self.shared_folder {
             _ if !self.was_listed(&request.order.uid) => OrderOutcome::UnknownEndpoint,
-            Some(shared) => return shared.keep(request),
+            Some(shared_folder) => return shared_folder.keep(request),
             None => OrderOutcome::NotStored,
         };
         request.outcome_sender.send(outcome).ok();
     }
 
-    /// Whether an upstream is or was listed, here or in a process before.
+    /// Whether an endpoint is or was listed, in this process or in an earlier one.
     pub(super) fn was_listed(&self, uid: &str) -> bool {
-        let is_listed = self.ids.get(uid).is_some_and(|endpoint| self.endpoints.contains_key(endpoint));
-        is_listed || self.offline.contains(uid) || self.former.iter().any(|former| former == uid)
+        let is_listed =
+            self.endpoint_ids.get(uid).is_some_and(|endpoint| self.endpoints.contains_key(endpoint));
+        is_listed
+            || self.offline.contains(uid)
+            || self.removed_uids.iter().any(|removed_uid| removed_uid == uid)
     }
 
-    pub(super) fn on_kept(&mut self, order: &Order) {
-        self.show_hosts();
+    /// Logs an order that has come into force.
+    pub(super) fn on_order_stored(&mut self, order: &Order) {
+        self.update_host_counts();
         let uid = &order.uid;
         crate::proxy::logging::log(format_args!(
-            "upstream {uid} is {} by hand",
-            if order.offline { "out" } else { "back" }
+            "upstream {uid} was {} by an operator",
+            if order.offline { "taken offline" } else { "brought back online" }
         ));
     }
 
-    pub(super) fn enforce(&mut self, offline: OfflineList) {
-        let before = std::mem::replace(&mut self.offline, offline.clone());
-        for uid in offline.difference(&before) {
-            let endpoint = self.id(uid);
-            self.withdraw(endpoint);
-            self.tell(Event::Offline(endpoint));
+    /// Replaces the offline list and notifies the decision module of each difference.
+    pub(super) fn apply_offline_list(&mut self, offline: OfflineList) {
+        let previous = std::mem::replace(&mut self.offline, offline.clone());
+        for uid in offline.difference(&previous) {
+            let endpoint = self.endpoint_id(uid);
+            self.cancel_unwritten_attempts(endpoint);
+            self.handle_event(Event::Offline(endpoint));
         }
-        for uid in before.difference(&offline) {
-            let endpoint = self.id(uid);
-            self.tell(Event::Online(endpoint));
-            self.remember_former(uid, endpoint);
+        for uid in previous.difference(&offline) {
+            let endpoint = self.endpoint_id(uid);
+            self.handle_event(Event::Online(endpoint));
+            self.record_removed_uid(uid, endpoint);
         }
     }
 
-    /// An order outlives the entry of its upstream on the list, and the name outlives the order.
-    pub(super) fn remember_former(&mut self, uid: &str, endpoint: EndpointId) {
+    /// Records the uid of an endpoint that is back online but no longer listed: the offline list does not contain it
+    /// any more, and a later order about it must not be rejected as unknown.
+    pub(super) fn record_removed_uid(&mut self, uid: &str, endpoint: EndpointId) {
         let is_listed = self.endpoints.contains_key(&endpoint);
-        if !is_listed && !self.former.iter().any(|former| former == uid) {
-            self.former.push_back(uid.to_owned());
+        if !is_listed && !self.removed_uids.iter().any(|removed_uid| removed_uid == uid) {
+            self.removed_uids.push_back(uid.to_owned());
         }
     }
 }
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: from the client's task to the final answer.
+//! Client requests, from their arrival at the dispatcher to their final response.
 
 use super::{AttemptInFlight, DEADLINE_GUARD_DELAY, Dispatcher, PendingRequest};
 use crate::proxy::messages::{ClientRequest, FinalResponse};
@@ -7,85 +7,94 @@
 use tokio::time::Instant;
 
 impl Dispatcher {
-    pub(super) fn on_request(&mut self, call: ClientRequest) {
-        let (id, deadline, now) = (call.id, self.clock.time(call.deadline), self.clock.now());
+    /// Registers a client's request and passes it to the decision module.
+    pub(super) fn on_request(&mut self, client_request: ClientRequest) {
+        let (id, deadline, now) =
+            (client_request.id, self.clock.time(client_request.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
-        let streamed = call.request.body().remainder.is_some();
-        let demand = IncomingRequest {
-            class: call.class,
-            tenant: call.tenant,
+        let streaming = client_request.request.body().remainder.is_some();
+        let incoming = IncomingRequest {
+            class: client_request.class,
+            tenant: client_request.tenant,
             time_left,
-            work: call.work,
-            streaming: streamed,
+            work: client_request.work,
+            streaming,
         };
         let client_deadline = deadline;
-        let deadline = Some(deadline).filter(|_| !streamed);
+        let deadline = Some(deadline).filter(|_| !streaming);
         self.requests.insert(
             id,
             PendingRequest {
-                request: call.request,
-                client: call.client,
-                class: call.class,
+                request: client_request.request,
+                client: client_request.client,
+                class: client_request.class,
                 deadline,
                 client_deadline,
-                whole: watch::Sender::new(None),
-                response_sender: Some(call.response_sender),
+                received_at: watch::Sender::new(None),
+                response_sender: Some(client_request.response_sender),
                 attempts: 0,
                 attempts_in_flight: Vec::new(),
             },
         );
         self.deadline_guards
             .extend(deadline.map(|deadline| (deadline.saturating_add(DEADLINE_GUARD_DELAY), id)));
-        self.tell(Event::Request(id, demand));
+        self.handle_event(Event::Request(id, incoming));
     }
 
-    /// The time of a request runs from its last byte.
+    /// Sets the deadline of a streamed request, whose time runs from its last byte.
     pub(super) fn on_request_received(&mut self, id: RequestId, deadline: Instant) {
         let deadline = self.clock.time(deadline);
-        let Some(open) = self.requests.get_mut(&id).filter(|open| open.response_sender.is_some()) else {
+        let Some(pending_request) =
+            self.requests.get_mut(&id).filter(|pending_request| pending_request.response_sender.is_some())
+        else {
             return;
         };
-        open.deadline = Some(deadline);
-        open.whole.send_replace(Some(Instant::now()));
+        pending_request.deadline = Some(deadline);
+        pending_request.received_at.send_replace(Some(Instant::now()));
         self.deadline_guards.insert((deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
     }
 
+    /// Ends a request whose client has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
-        if self.take_answer(id).is_some() {
-            self.tell(Event::ClientDisconnected(id));
-            self.forget_if_done(id);
+        if self.take_response_sender(id).is_some() {
+            self.handle_event(Event::ClientDisconnected(id));
+            self.remove_if_finished(id);
         }
     }
 
-    /// Where the answer to a request goes, if it is owed one still. Nothing else is, then: an attempt that waits
-    /// for its connection is not sent any more, also where those that are out must not be cancelled.
-    pub(super) fn take_answer(&mut self, id: RequestId) -> Option<(oneshot::Sender<FinalResponse>, usize)> {
-        let open = self.requests.get_mut(&id)?;
-        let answer = open.response_sender.take()?;
-        open.attempts_in_flight.iter_mut().for_each(AttemptInFlight::withdraw);
-        if let Some(deadline) = open.deadline {
+    /// Takes the sender for the final response and the class of a request; `None` if the response was already sent or
+    /// the client has disconnected. Removes the deadline guard and cancels the attempts that still wait for a connection,
+    /// also where attempts that were written must not be cancelled.
+    pub(super) fn take_response_sender(
+        &mut self,
+        id: RequestId,
+    ) -> Option<(oneshot::Sender<FinalResponse>, usize)> {
+        let pending_request = self.requests.get_mut(&id)?;
+        let sender = pending_request.response_sender.take()?;
+        pending_request.attempts_in_flight.iter_mut().for_each(AttemptInFlight::cancel_if_unwritten);
+        if let Some(deadline) = pending_request.deadline {
             self.deadline_guards.remove(&(deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
         }
-        Some((answer, open.class))
+        Some((sender, pending_request.class))
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
-        if let Some((sender, class)) = self.take_answer(id) {
-            let end = answer.outcome();
-            // A caller that has just gone needs none.
-            if sender.send(answer).is_ok() {
-                self.counters.count(class, end);
+    /// Sends the final response to a request and counts its outcome.
+    pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        if let Some((sender, class)) = self.take_response_sender(id) {
+            let outcome = response.outcome();
+            // Fails if the client has just disconnected; the request is not counted then.
+            if sender.send(response).is_ok() {
+                self.counters.count(class, outcome);
             }
         }
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    pub(super) fn forget_if_done(&mut self, id: RequestId) {
-        if self
-            .requests
-            .get(&id)
-            .is_some_and(|open| open.response_sender.is_none() && open.attempts_in_flight.is_empty())
-        {
+    /// Removes a request that has had its response and has no attempt in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|pending_request| {
+            pending_request.response_sender.is_none() && pending_request.attempts_in_flight.is_empty()
+        }) {
             self.requests.remove(&id);
         }
     }
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -1,31 +1,33 @@
-//! Timers, and the deadline guard behind the decision module.
+//! Timers, and the guard that fails requests left open past their deadline.
 
-use super::{Dispatcher, FOLLOW_EVERY, SWEEP_EVERY, Timer};
+use super::{Dispatcher, IDLE_SWEEP_INTERVAL, SHARED_FOLDER_CHECK_INTERVAL, Timer};
 use crate::proxy::messages::FinalResponse;
 use crate::proxy::shared_folder::SharedFolder;
 use balancer::decision::{Event, RequestId, Time};
 use std::cmp::Reverse;
 
 impl Dispatcher {
+    /// Schedules a timer.
     pub(super) fn set_timer(&mut self, after: Time, timer: Timer) {
         self.timers.push(Reverse((self.clock.now().saturating_add(after), timer)));
     }
 
-    pub(super) fn ring(&mut self) {
+    /// Runs all timers and deadline guards that are due.
+    pub(super) fn run_due_timers(&mut self) {
         let now = self.clock.now();
         while let Some(&Reverse((_, timer))) = self.timers.peek().filter(|Reverse((at, _))| *at <= now) {
             self.timers.pop();
             match timer {
-                Timer::Module(token) => self.tell(Event::Timer(token)),
-                Timer::Sweep => {
-                    self.idle.sweep();
+                Timer::Decision(token) => self.handle_event(Event::Timer(token)),
+                Timer::IdleSweep => {
+                    self.idle_pool.sweep();
                     self.start_times.record_clock_reading(self.clock.read());
-                    self.set_timer(SWEEP_EVERY, Timer::Sweep);
+                    self.set_timer(IDLE_SWEEP_INTERVAL, Timer::IdleSweep);
                 }
-                Timer::Follow => {
-                    self.shared.iter_mut().for_each(SharedFolder::check);
-                    self.show_hosts();
-                    self.set_timer(FOLLOW_EVERY, Timer::Follow);
+                Timer::SharedFolderCheck => {
+                    self.shared_folder.iter_mut().for_each(SharedFolder::check);
+                    self.update_host_counts();
+                    self.set_timer(SHARED_FOLDER_CHECK_INTERVAL, Timer::SharedFolderCheck);
                 }
             }
         }
@@ -34,10 +36,11 @@
         }
     }
 
-    /// Guards the callers: what the module has left open past its time is answered all the same.
+    /// Fails a request that the decision module has left open past its deadline, and ends it there as if its client had
+    /// disconnected.
     pub(super) fn on_deadline_guard(&mut self, id: RequestId) {
-        crate::proxy::logging::log(format_args!("request {} was left open past its time", id.0));
-        self.answer(id, FinalResponse::Failed);
-        self.tell(Event::ClientDisconnected(id));
+        crate::proxy::logging::log(format_args!("request {} was left open past its time, failing it", id.0));
+        self.respond(id, FinalResponse::Failed);
+        self.handle_event(Event::ClientDisconnected(id));
     }
 }
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -1,47 +1,55 @@
-//! The figures that operators read: each event is counted once, where it is seen.
+//! Counters that the admin interface reports to operators. Each event is counted once, where it is observed.
 
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// How a request ended for its client.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestOutcome {
+    /// A complete response with status 200.
     Success,
+    /// Rejected by the balancer.
     Busy,
+    /// Any other response, an incomplete one, or none.
     Failure,
 }
 
-/// Counts since the start of the process.
+/// Counters since the start of the process, and gauges of its present state.
 #[derive(Default)]
 pub struct Counters {
-    classes: Vec<Class>,
+    classes: Vec<ClassCounters>,
     attempts: Arc<AtomicU64>,
     inflight: Arc<AtomicUsize>,
-    listed: AtomicUsize,
-    down: AtomicUsize,
+    hosts_listed: AtomicUsize,
+    hosts_down: AtomicUsize,
 }
 
+/// The requests of one class, counted by outcome.
 #[derive(Default)]
-struct Class {
+struct ClassCounters {
     name: String,
-    ends: [AtomicU64; 3],
+    /// Indexed by [`RequestOutcome`].
+    outcomes: [AtomicU64; 3],
 }
 
 impl Counters {
+    /// Creates counters at zero for the named classes.
     pub fn new(classes: &[String]) -> Self {
-        let classes = classes.iter().map(|name| Class { name: name.clone(), ends: Default::default() });
+        let classes =
+            classes.iter().map(|name| ClassCounters { name: name.clone(), outcomes: Default::default() });
         Self { classes: classes.collect(), ..Self::default() }
     }
 
-    pub fn count(&self, class: usize, end: RequestOutcome) {
+    /// Counts a finished request of a class.
+    pub fn count(&self, class: usize, outcome: RequestOutcome) {
         if let Some(class) = self.classes.get(class) {
-            class.ends[end as usize].fetch_add(1, Ordering::Relaxed);
+            class.outcomes[outcome as usize].fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Counts the attempts whose last byte has left.
-    pub fn attempts(&self) -> Arc<AtomicU64> {
+    /// The counter of attempts whose last byte has been written.
+    pub fn attempt_counter(&self) -> Arc<AtomicU64> {
         self.attempts.clone()
     }
 
@@ -51,28 +59,30 @@
         InFlightGuard(self.inflight.clone())
     }
 
-    /// How many upstreams are listed, and how many of those are avoided.
+    /// Sets the number of listed endpoints, and how many of them get no requests now.
     pub fn set_hosts(&self, listed: usize, down: usize) {
-        self.listed.store(listed, Ordering::Relaxed);
-        self.down.store(down, Ordering::Relaxed);
+        self.hosts_listed.store(listed, Ordering::Relaxed);
+        self.hosts_down.store(down, Ordering::Relaxed);
     }
 
+    /// The counters as JSON, in the form that the admin interface serves.
     pub fn report(&self) -> Value {
-        let calls = self.classes.iter().map(|class| {
-            let [success, busy, failure] = class.ends.each_ref().map(|count| count.load(Ordering::Relaxed));
+        let classes = self.classes.iter().map(|class| {
+            let [success, busy, failure] =
+                class.outcomes.each_ref().map(|count| count.load(Ordering::Relaxed));
             (class.name.clone(), json!({"success": success, "busy": busy, "failure": failure}))
         });
         json!({
-            "calls": calls.collect::<serde_json::Map<_, _>>(),
+            "calls": classes.collect::<serde_json::Map<_, _>>(),
             "backend_calls": self.attempts.load(Ordering::Relaxed),
             "inflight": self.inflight.load(Ordering::Relaxed),
-            "hosts_listed": self.listed.load(Ordering::Relaxed),
-            "hosts_down": self.down.load(Ordering::Relaxed),
+            "hosts_listed": self.hosts_listed.load(Ordering::Relaxed),
+            "hosts_down": self.hosts_down.load(Ordering::Relaxed),
         })
     }
 }
 
-/// Counts one request as in flight until it is dropped.
+/// Counts one request as in flight until this guard is dropped.
 pub struct InFlightGuard(Arc<AtomicUsize>);
 
 impl Drop for InFlightGuard {
