--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -226,7 +226,7 @@
             tokio::select! {
                 biased;
                 () = sleep_until(self.clock.instant(next_wakeup)) => {}
-                received = inbox.recv_many(&mut messages, MAX_MESSAGES_PER_TURN) => if received == 0 { return },
+                received_count = inbox.recv_many(&mut messages, MAX_MESSAGES_PER_TURN) => if received_count == 0 { return },
             }
             for message in messages.drain(..) {
                 self.on_message(message);
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -47,9 +47,11 @@
     pub id: RequestId,
     pub request: Request<RequestBody>,
     pub client: ClientLiveness,
+    /// The position of the request's class in the settings.
     pub class: usize,
+    /// The position of its tenant in the settings.
     pub tenant: usize,
-    /// The expected work in nanoseconds, if the client states it.
+    /// The work that the client expects it to take, in nanoseconds, if it states that.
     pub work: Option<u64>,
     /// When the client stops waiting. While the body is still being received: the deadline counted from the end of its
     /// buffered part.
--- a/src/proxy/orders.rs
+++ b/src/proxy/orders.rs
@@ -14,6 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     pub uid: String,
+    /// Whether to take the endpoint offline or to bring it back online.
     pub offline: bool,
 }
 
