--- a/tests/module_imports.rs
+++ b/tests/module_imports.rs
@@ -1,11 +1,13 @@
-//! The structure of the sources: imports point one way, and the decisions reach nothing outside themselves.
+//! The structure of the sources: no import cycles, and a decision module that depends on nothing outside
+//! itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// What a decision may not name: sockets, clocks, files, tasks, threads, and random numbers of the process.
-const OUTSIDE_WORLD: [&str; 13] = [
+/// Names that the decision module may not use: sockets, clocks, files, tasks, threads, and process-wide
+/// random numbers.
+const FORBIDDEN_IN_DECISIONS: [&str; 13] = [
     "tokio",
     "hyper",
     "socket2",
@@ -20,17 +22,18 @@
     "std::sync",
     "std::os",
 ];
-/// Most lines of a file of `src/decision/`.
-const LONGEST_DECISION_FILE: usize = 400;
+/// Maximum number of lines of a file of `src/decision/`.
+const MAX_DECISION_FILE_LINES: usize = 400;
 
-/// A source file and its text, without comments.
+/// A source file and its text, without line comments.
 struct Source {
-    /// Its module, such as `["decision", "retry"]`; empty for the root.
+    /// Path of its module, such as `["decision", "retry"]`; empty for a crate root.
     module: Vec<String>,
     path: PathBuf,
     code: String,
 }
 
+/// All Rust source files below `root`, sorted by path.
 fn sources(root: &Path) -> Vec<Source> {
     let mut sources = Vec::new();
     let mut folders = vec![root.to_owned()];
@@ -60,21 +63,25 @@
         Self { module, path, code }
     }
 
-    /// Whether this file is the root of a crate, which names all its modules.
+    /// Whether this file is a crate root, which names all of its modules.
     fn is_root(&self) -> bool {
         self.module.is_empty()
     }
 
-    /// The absolute paths that the file names, as far as they can be told from its text.
+    /// The absolute paths that the file names, as far as its text shows them.
     fn named_paths(&self) -> Vec<Vec<String>> {
         let mut paths = Vec::new();
         for statement in self.code.split(';') {
-            let statement = statement.trim_start_matches(|c: char| c != 'u' && c != 'p');
-            if let Some(at) = statement.find("use ") {
-                paths.extend(expand(&statement[at + 4..]));
+            let statement =
+                statement.trim_start_matches(|character: char| character != 'u' && character != 'p');
+            if let Some(position) = statement.find("use ") {
+                paths.extend(expand(&statement[position + 4..]));
             }
         }
-        for word in self.code.split(|c: char| !c.is_alphanumeric() && c != '_' && c != ':') {
+        for word in self
+            .code
+            .split(|character: char| !character.is_alphanumeric() && character != '_' && character != ':')
+        {
             if word.starts_with("crate::") || word.starts_with("super::") {
                 paths.push(word.split("::").map(str::to_owned).collect());
             }
@@ -82,14 +89,15 @@
         paths.iter().filter_map(|path| self.absolute(path)).collect()
     }
 
+    /// Resolves a path as it stands in this file to an absolute one.
     fn absolute(&self, path: &[String]) -> Option<Vec<String>> {
         let (first, rest) = path.split_first()?;
         match first.as_str() {
             "crate" | "balancer" => Some(rest.to_vec()),
             "super" => {
-                let supers = path.iter().take_while(|part| *part == "super").count();
-                let base = self.module.len().checked_sub(supers)?;
-                Some([&self.module[..base], &path[supers..]].concat())
+                let super_count = path.iter().take_while(|part| *part == "super").count();
+                let base = self.module.len().checked_sub(super_count)?;
+                Some([&self.module[..base], &path[super_count..]].concat())
             }
             "self" => Some([&self.module[..], rest].concat()),
             _ => Some([&self.module[..], path].concat()), // a child, or another crate
@@ -97,7 +105,7 @@
     }
 }
 
-/// All paths of a `use` tree.
+/// Expands a `use` tree to all of its paths.
 fn expand(tree: &str) -> Vec<Vec<String>> {
     let tree = tree.trim();
     let Some(open) = tree.find('{') else {
@@ -110,17 +118,18 @@
     split_top_level(inner).into_iter().flat_map(expand).map(|rest| [prefix.clone(), rest].concat()).collect()
 }
 
+/// Splits a list at the commas that are outside of any braces.
 fn split_top_level(list: &str) -> Vec<&str> {
     let mut depth = 0;
     let mut start = 0;
     let mut parts = Vec::new();
-    for (at, character) in list.char_indices() {
+    for (position, character) in list.char_indices() {
         match character {
             '{' => depth += 1,
             '}' => depth -= 1,
             ',' if depth == 0 => {
-                parts.push(&list[start..at]);
-                start = at + 1;
+                parts.push(&list[start..position]);
+                start = position + 1;
             }
             _ => {}
         }
@@ -129,41 +138,45 @@
     parts.into_iter().filter(|part| !part.trim().is_empty()).collect()
 }
 
-/// Which files each file imports from.
+/// The indexes of the files that each file imports from.
 fn imports(sources: &[Source]) -> BTreeMap<usize, BTreeSet<usize>> {
-    let by_module: BTreeMap<&[String], usize> =
-        sources.iter().enumerate().filter(|(_, s)| !s.is_root()).map(|(at, s)| (&s.module[..], at)).collect();
+    let by_module: BTreeMap<&[String], usize> = sources
+        .iter()
+        .enumerate()
+        .filter(|(_, source)| !source.is_root())
+        .map(|(index, source)| (&source.module[..], index))
+        .collect();
     let target =
         |path: &[String]| (1..=path.len()).rev().find_map(|length| by_module.get(&path[..length]).copied());
-    let edges = sources.iter().enumerate().map(|(at, source)| {
+    let edges = sources.iter().enumerate().map(|(index, source)| {
         let named = source.named_paths();
-        let targets = named.iter().filter_map(|path| target(path)).filter(|&other| other != at);
-        (at, targets.collect())
+        let targets = named.iter().filter_map(|path| target(path)).filter(|&other| other != index);
+        (index, targets.collect())
     });
     edges.collect()
 }
 
-/// Files that import each other, over however many others.
+/// An import cycle of any length, if there is one.
 fn cycle(imports: &BTreeMap<usize, BTreeSet<usize>>) -> Option<Vec<usize>> {
     fn visit(
-        at: usize,
+        index: usize,
         imports: &BTreeMap<usize, BTreeSet<usize>>,
-        way: &mut Vec<usize>,
+        path: &mut Vec<usize>,
         done: &mut BTreeSet<usize>,
     ) -> Option<Vec<usize>> {
-        if let Some(start) = way.iter().position(|&earlier| earlier == at) {
-            return Some(way[start..].to_vec());
+        if let Some(start) = path.iter().position(|&earlier| earlier == index) {
+            return Some(path[start..].to_vec());
         }
-        if !done.insert(at) {
+        if !done.insert(index) {
             return None;
         }
-        way.push(at);
-        let found = imports[&at].iter().find_map(|&next| visit(next, imports, way, done));
-        way.pop();
+        path.push(index);
+        let found = imports[&index].iter().find_map(|&next| visit(next, imports, path, done));
+        path.pop();
         found
     }
     let mut done = BTreeSet::new();
-    imports.keys().find_map(|&at| visit(at, imports, &mut Vec::new(), &mut done))
+    imports.keys().find_map(|&index| visit(index, imports, &mut Vec::new(), &mut done))
 }
 
 fn source_root() -> PathBuf {
@@ -171,40 +184,50 @@
 }
 
 #[test]
-fn no_files_import_each_other() {
+fn imports_have_no_cycles() {
     let sources = sources(&source_root());
-    assert!(sources.len() > 20, "the sources are read");
+    assert!(sources.len() > 20, "too few source files were found");
     let imports = imports(&sources);
-    assert!(imports.values().map(BTreeSet::len).sum::<usize>() > 50, "the imports are read");
-    let cycle = cycle(&imports)
-        .map(|files| files.into_iter().map(|at| sources[at].path.display().to_string()).collect::<Vec<_>>());
+    assert!(imports.values().map(BTreeSet::len).sum::<usize>() > 50, "too few imports were found");
+    let cycle = cycle(&imports).map(|files| {
+        files.into_iter().map(|index| sources[index].path.display().to_string()).collect::<Vec<_>>()
+    });
     assert_eq!(cycle, None);
 }
 
 #[test]
-fn decisions_reach_nothing_outside_themselves() {
+fn decision_module_depends_on_nothing_outside_itself() {
     let sources = sources(&source_root().join("decision"));
-    assert!(sources.len() > 10, "the sources are read");
+    assert!(sources.len() > 10, "too few source files were found");
     for source in &sources {
-        for name in OUTSIDE_WORLD {
-            assert!(!source.code.contains(name), "{} names {name}", source.path.display());
+        for name in FORBIDDEN_IN_DECISIONS {
+            assert!(!source.code.contains(name), "{} uses {name}", source.path.display());
         }
-        assert!(!source.code.contains("crate::"), "{} leaves the decisions", source.path.display());
+        assert!(
+            !source.code.contains("crate::"),
+            "{} imports from outside the decision module",
+            source.path.display()
+        );
     }
 }
 
 #[test]
-fn files_of_the_decisions_stay_small() {
+fn files_of_the_decision_module_stay_small() {
     for source in sources(&source_root().join("decision")) {
         let lines = source.code.lines().count();
-        assert!(lines <= LONGEST_DECISION_FILE, "{} has {lines} lines", source.path.display());
+        assert!(
+            lines <= MAX_DECISION_FILE_LINES,
+            "{} has {lines} lines, over {MAX_DECISION_FILE_LINES}",
+            source.path.display()
+        );
     }
 }
 
 #[test]
-fn a_cycle_would_be_found() {
+fn import_cycles_are_found() {
     let imports = [(0, vec![1]), (1, vec![2]), (2, vec![0]), (3, vec![0])];
-    let imports = imports.into_iter().map(|(at, targets)| (at, targets.into_iter().collect())).collect();
+    let imports =
+        imports.into_iter().map(|(index, targets)| (index, targets.into_iter().collect())).collect();
     assert_eq!(cycle(&imports), Some(vec![0, 1, 2]));
     assert_eq!(expand("a::{b, c::{d, e}}").len(), 3);
 }
