--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire by the documented byte examples, both directions, and the adapter on bad input.
+//! Tests of the binary protocol between the simulator and its adapter, by the documented byte examples in
+//! both directions, and of the adapter on malformed input.
 
 mod common;
 
@@ -7,11 +8,13 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Decodes hexadecimal digits; anything else is skipped.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits.chunks(2).map(|pair| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
+/// Decodes hexadecimal digits and pads them with zeros to `size` bytes.
 fn padded(text: &str, size: usize) -> Vec<u8> {
     let mut bytes = hex(text);
     assert!(bytes.len() <= size);
@@ -19,6 +22,7 @@
     bytes
 }
 
+/// Encodes a batch with number 12.
 fn batch(records: &[&str], tail: &[u8]) -> Vec<u8> {
     let mut frame = hex("90bf68f501000000");
     let length = records.len() * 48 + tail.len();
@@ -47,7 +51,7 @@
         "07 03000000 f211902c 00 c05c150000000000 00",
         "08 03000000 02000000 00000000 04000000",
     ];
-    let demand = IncomingRequest {
+    let incoming = IncomingRequest {
         class: 0,
         tenant: 0,
         time_left: 240_000_000,
@@ -66,7 +70,7 @@
     assert_eq!(
         decode(&batch(&records, &[])),
         [
-            Record::Event(3, Event::Request(id, demand)),
+            Record::Event(3, Event::Request(id, incoming)),
             Record::Event(3, Event::Timer(0x4d)),
             Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
             Record::Event(3, Event::ResponseStarted(id, 0)),
@@ -85,12 +89,12 @@
     );
     let frame = batch(&["0a 00000000 00000000 02000000", "01 03000000 29000000 00000000 02"], &tail);
     let records = decode(&frame);
-    let entry = |server, zone, size, started| EndpointEntry {
-        endpoint: EndpointId(server),
+    let entry = |endpoint, zone, capacity, started| EndpointEntry {
+        endpoint: EndpointId(endpoint),
         zone: ZoneId(zone),
         cell: 0,
         state: EndpointState::InService,
-        capacity: size,
+        capacity,
         started,
     };
     let entries = vec![entry(0x0312_4a07, 0, 1.0, None), entry(0x2c90_11f2, 1, 1.5, Some(6_100_000_000))];
@@ -141,20 +145,20 @@
 }
 
 #[test]
-fn settings_read_what_decisions_need_and_ignore_the_rest() {
+fn settings_for_decisions_are_read_and_the_rest_is_ignored() {
     let settings = simulator::settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[1].idempotency, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.replicas, settings.zones, settings.max_attempts), (4, 2, 4));
     assert_eq!(settings.reported_in_flight, Some(1));
     assert!(settings.polls_discovery && settings.propagates_deadline);
-    assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay where nothing is said");
+    assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay open without a setting");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
     assert_eq!(simulator::settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
 }
 
 #[test]
-fn settings_that_lack_a_key_name_it() {
+fn error_of_settings_that_lack_a_key_names_it() {
     for key in ["Siblings", "TryLimit", "StartCapacity", "AimNs", "AskWithinNs", "WindowNs"] {
         let text = SETTINGS.replace(&format!("\"{key}\""), "\"Other\"");
         let error = simulator::settings(text.as_bytes()).unwrap_err().to_string();
@@ -172,6 +176,7 @@
   "Siblings": 4, "Telemetry": {"Fields": ["qps", "inflight"]}, "ValueBy": "request", "Zone": 1,
   "Zones": ["x", "y"]}"#;
 
+/// Runs the simulator adapter on `input` until it exits.
 fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -193,19 +198,21 @@
 
 #[test]
 fn adapter_resolves_reused_list_numbers_in_order() {
-    // Two instances, one list number: each holds what the number meant when it was announced.
+    // Two instances use the same list number: each gets the list that the number had when it was announced.
     let mut tail = SETTINGS.as_bytes().to_vec();
-    let at = tail.len() as u32;
-    for server in ["01000000", "02000000"] {
-        tail.extend(hex(&format!("{server} 01 0000 0000 01 0000803f 0000000000000000")));
+    let settings_len = tail.len() as u32;
+    for endpoint in ["01000000", "02000000"] {
+        tail.extend(hex(&format!("{endpoint} 01 0000 0000 01 0000803f 0000000000000000")));
     }
-    let le = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
-    let power = |instance| format!("00 {} 0100000000000000 00000000 {}", le(instance), le(at));
-    let table = |offset| format!("0a 00000000 {} 01000000", le(at + offset));
-    let announce = |instance| format!("01 {} 01000000 00000000 02", le(instance));
-    let demand =
-        |instance| format!("02 {} 09000000 0000000000000000 00000000 0000 001c4e0e00000000", le(instance));
-    let records = [power(1), table(0), announce(1), power(2), table(22), announce(2), demand(1), demand(2)];
+    let to_hex = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
+    let start =
+        |instance| format!("00 {} 0100000000000000 00000000 {}", to_hex(instance), to_hex(settings_len));
+    let table = |offset| format!("0a 00000000 {} 01000000", to_hex(settings_len + offset));
+    let announce = |instance| format!("01 {} 01000000 00000000 02", to_hex(instance));
+    let request = |instance| {
+        format!("02 {} 09000000 0000000000000000 00000000 0000 001c4e0e00000000", to_hex(instance))
+    };
+    let records = [start(1), table(0), announce(1), start(2), table(22), announce(2), request(1), request(2)];
     let output = run_adapter(&batch(&records.each_ref().map(String::as_str), &tail));
     let sends: Vec<_> = output.stdout[12..].chunks(24).filter(|record| record[0] == 3).collect();
     let targets: Vec<_> = sends.iter().map(|record| (record[1], record[9])).collect();
@@ -220,17 +227,18 @@
     assert!(String::from_utf8_lossy(&output.stdout).contains("missing field `Classes`"));
 }
 
+/// The text of the fault with which the adapter answers these settings.
 fn settings_fault(text: &str) -> String {
     let length = format!("{:02x}{:02x}0000", text.len() % 256, text.len() / 256);
     let record = format!("00 03000000 0100000000000000 00000000 {length}");
     let output = run_adapter(&batch(&[&record], text.as_bytes()));
-    assert!(output.status.success(), "one instance's settings are no fault of the others");
-    assert_eq!(output.stdout[12], 9, "the wire's fault action");
+    assert!(output.status.success(), "invalid settings of one instance do not stop the adapter");
+    assert_eq!(output.stdout[12], 9, "the fault action of the protocol");
     String::from_utf8_lossy(&output.stdout[36..]).into_owned()
 }
 
 #[test]
-fn settings_that_make_no_sense_are_faults_that_name_the_field() {
+fn invalid_settings_are_faults_that_name_the_field() {
     let cases = [
         (("{", "["), "settings: "),
         (("\"Siblings\": 4", "\"Siblings\": \"four\""), "expected u32"),
@@ -249,7 +257,7 @@
 }
 
 #[test]
-fn library_refuses_the_same_settings() {
+fn library_rejects_the_same_settings() {
     let check = |change: fn(&mut Settings)| {
         let mut settings = common::settings();
         change(&mut settings);
@@ -264,36 +272,36 @@
 }
 
 #[test]
-fn legal_oddities_do_no_harm() {
+fn unusual_but_legal_input_does_no_harm() {
     let mut tail = SETTINGS.as_bytes().to_vec();
-    let at = tail.len() as u32;
-    tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a size that is no number
-    let le = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
-    let power = format!("00 03000000 0100000000000000 00000000 {}", le(at));
-    let table = format!("0a 00000000 {} 01000000", le(at));
+    let settings_len = tail.len() as u32;
+    tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a capacity that is not a number
+    let to_hex = |value: u32| value.to_le_bytes().map(|byte| format!("{byte:02x}")).concat();
+    let start = format!("00 03000000 0100000000000000 00000000 {}", to_hex(settings_len));
+    let table = format!("0a 00000000 {} 01000000", to_hex(settings_len));
     let records = [
-        &power,
+        &start,
         "0a 01000000 00000000 00000000", // an empty list
         "01 03000000 01000000 01000000 01",
         &table,
         "01 03000000 02000000 00000000 00",
-        "06 03000000 4d00000000000000", // a timer long forgotten
-        "05 03000000 192b6f0e",         // a client nobody knows
-        "04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 00", // an outcome nobody awaits
-        "07 03000000 f211902c 00 c05c150000000000 00", // a probe nobody sent
+        "06 03000000 4d00000000000000", // a timer that was never set
+        "05 03000000 192b6f0e",         // an unknown request
+        "04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 00", // an outcome without an attempt
+        "07 03000000 f211902c 00 c05c150000000000 00", // the result of a load query that was never sent
         "02 03000000 09000000 0000000000000000 00000000 6300 001c4e0e00000000", // a class out of range
         "02 03000000 0a000000 0000000000000000 63000000 0000 001c4e0e00000000", // a tenant out of range
-        "06 09000000 4d00000000000000", // an instance nobody started
+        "06 09000000 4d00000000000000", // an instance that was never started
     ];
     let output = run_adapter(&batch(&records, &tail));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let codes: Vec<(u8, u8)> = output.stdout[12..].chunks(24).map(|r| (r[0], r[5])).collect();
-    assert!(codes.contains(&(1, 9)), "the class out of range is refused: {codes:?}");
-    assert!(codes.contains(&(3, 10)), "the tenant out of range is served: {codes:?}");
+    let codes: Vec<(u8, u8)> = output.stdout[12..].chunks(24).map(|record| (record[0], record[5])).collect();
+    assert!(codes.contains(&(1, 9)), "the request with a class out of range is rejected: {codes:?}");
+    assert!(codes.contains(&(3, 10)), "the request with a tenant out of range is served: {codes:?}");
 }
 
 #[test]
-fn adapter_ends_on_malformed_input_with_one_plain_line() {
+fn adapter_ends_on_malformed_input_with_a_one_line_error() {
     let good = batch(&["09 03000000"], &[]);
     let mut impossible = good.clone();
     impossible[12] = 9;
@@ -320,7 +328,7 @@
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && error.contains(text), "{text}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
-        // Cut inside its header, a batch has no number yet.
+        // A batch that is cut off inside its header has no number yet.
         assert!(input.len() < BATCH_HEADER || error.contains("batch "), "{text}: {error}");
     }
 }
