--- a/tests/common/chain.rs
+++ b/tests/common/chain.rs
@@ -1,273 +1,308 @@
-//! A chain of tiers on virtual time: every balancer is a real decision module, the servers and the clients are
-//! played. Each server of a tier calls the next tier through a balancer of its own, once for each call it gets.
+//! Simulates a chain of tiers on virtual time. Every balancer is a real decision module; the endpoints and
+//! the clients are simulated. Each endpoint of a tier sends one request to the next tier, through a balancer
+//! of its own, for each request that it gets.
 
-use super::{SAFE, SECOND, settings};
+use super::{IDEMPOTENT, SECOND, settings};
 use balancer::decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Servers of each tier.
-pub const EACH: usize = 6;
-/// Own work of a server for each call: at least the first, the second more on average.
-const WORK: (f64, f64) = (1e6, 1e6);
+/// Number of endpoints in each tier.
+pub const ENDPOINTS_PER_TIER: usize = 6;
+/// Work of an endpoint for each request, in nanoseconds: the minimum, and the mean of the exponentially
+/// distributed rest.
+const WORK_NS: (f64, f64) = (1e6, 1e6);
 
-/// How long a client waits: longer than any answer takes, so that all attempts have the time to be made.
-const PATIENCE: u64 = 10 * SECOND;
+/// Time until a client gives up. No answer takes that long, so that there is time for all attempts.
+const CLIENT_TIMEOUT: u64 = 10 * SECOND;
 
-/// What befalls a call at a server: tier, server, class, and the time since the start.
-pub type Fate = Box<dyn Fn(usize, usize, usize, u64, &mut fastrand::Rng) -> Option<AttemptOutcome>>;
+/// Decides whether a request fails at an endpoint, and how. The arguments are the tier, the endpoint, the
+/// class, the time since the start, and the random numbers.
+pub type FaultRule = Box<dyn Fn(usize, usize, usize, u64, &mut fastrand::Rng) -> Option<AttemptOutcome>>;
 
-/// What is counted, each within a second of the start.
+/// Counters of one second of the simulation.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Tally {
-    /// Requests of the clients, by the second in which they came, and how many were served.
+pub struct Counts {
+    /// Client requests that arrived in this second, and how many of them were served.
     pub requests: u32,
     pub served: u32,
-    /// Calls that reached the last tier's servers.
-    pub last_tier: u32,
-    /// Further attempts of all balancers, and those of the front balancer alone.
-    pub further: u32,
-    pub front_further: u32,
+    /// Attempts sent to the last tier.
+    pub last_tier_attempts: u32,
+    /// Retries of all balancers, and those of the front balancer alone.
+    pub retries: u32,
+    pub front_retries: u32,
 }
 
-impl std::ops::AddAssign for Tally {
+impl std::ops::AddAssign for Counts {
     fn add_assign(&mut self, other: Self) {
         self.requests += other.requests;
         self.served += other.served;
-        self.last_tier += other.last_tier;
-        self.further += other.further;
-        self.front_further += other.front_further;
+        self.last_tier_attempts += other.last_tier_attempts;
+        self.retries += other.retries;
+        self.front_retries += other.front_retries;
     }
 }
 
-impl Tally {
-    /// Calls of the last tier for each request.
+impl Counts {
+    /// Attempts at the last tier for each client request.
     pub fn amplification(&self) -> f64 {
-        f64::from(self.last_tier) / f64::from(self.requests.max(1))
+        f64::from(self.last_tier_attempts) / f64::from(self.requests.max(1))
     }
 
-    /// Served part of the requests.
-    pub fn share(&self) -> f64 {
+    /// Fraction of the client requests that were served.
+    pub fn served_share(&self) -> f64 {
         f64::from(self.served) / f64::from(self.requests.max(1))
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
     Timer {
-        at: usize,
+        balancer: usize,
         token: u64,
     },
-    /// A server has done its own work on a call.
-    Worked {
-        at: usize,
+    /// An endpoint has finished its own work on an attempt.
+    WorkDone {
+        balancer: usize,
         id: u32,
         attempt: u32,
-        server: usize,
+        endpoint: usize,
     },
-    /// The time of an attempt is over.
-    Over {
-        at: usize,
+    /// The timeout of an attempt expires.
+    AttemptTimeout {
+        balancer: usize,
         id: u32,
         attempt: u32,
     },
 }
 
-/// A call of a balancer: who made it, what it is, and its attempt that is out.
-struct Call {
-    /// The attempt above that it belongs to; none for a client's request, which came in that second.
+/// A request at a balancer, and its attempt in flight.
+struct Request {
+    /// The attempt of the tier above for which the request is made; `None` for a request of a client.
     parent: Option<(usize, u32, u32)>,
-    second: usize,
+    arrival_second: usize,
     class: usize,
-    /// Number of the attempts so far, the time and the limit of the last.
+    /// Number of attempts so far; start and timeout of the latest one.
     attempts: u32,
-    sent: u64,
+    sent_at: u64,
     until: u64,
-    out: bool,
-    /// The call that the attempt out makes of the next tier.
+    in_flight: bool,
+    /// The request to the next tier that the attempt in flight has caused.
     child: Option<(usize, u32)>,
 }
 
+/// The simulation: its clients, balancers and endpoints. Balancer 0 serves the clients.
 pub struct Chain {
     depth: usize,
     rate: f64,
     classes: Vec<usize>,
-    fate: Fate,
+    fault_rule: FaultRule,
     rng: fastrand::Rng,
     now: u64,
-    order: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    sequence: u64,
+    scheduled: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     balancers: Vec<LoadBalancer>,
-    calls: Vec<HashMap<u32, Call>>,
-    next: Vec<u32>,
-    pub tallies: Vec<Tally>,
+    requests: Vec<HashMap<u32, Request>>,
+    next_ids: Vec<u32>,
+    pub counts: Vec<Counts>,
 }
 
 impl Chain {
-    /// A chain `depth` tiers deep, with `rate` requests a second of the clients.
-    pub fn new(depth: usize, rate: f64, seed: u64, fate: Fate) -> Self {
-        let count = 1 + EACH * (depth - 1);
-        let list: Vec<EndpointEntry> = (0..EACH as u32).map(|server| super::entry(server, 0)).collect();
+    /// A chain of `depth` tiers, to which the clients send `rate` requests a second.
+    pub fn new(depth: usize, rate: f64, seed: u64, fault_rule: FaultRule) -> Self {
+        let balancer_count = 1 + ENDPOINTS_PER_TIER * (depth - 1);
+        let list: Vec<EndpointEntry> =
+            (0..ENDPOINTS_PER_TIER as u32).map(|endpoint| super::endpoint_entry(endpoint, 0)).collect();
         let mut chain = Self {
             depth,
             rate,
-            classes: vec![SAFE],
-            fate,
+            classes: vec![IDEMPOTENT],
+            fault_rule,
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
-            order: 0,
-            due: BinaryHeap::new(),
+            sequence: 0,
+            scheduled: BinaryHeap::new(),
             balancers: Vec::new(),
-            calls: (0..count).map(|_| HashMap::new()).collect(),
-            next: vec![0; count],
-            tallies: Vec::new(),
+            requests: (0..balancer_count).map(|_| HashMap::new()).collect(),
+            next_ids: vec![0; balancer_count],
+            counts: Vec::new(),
         };
-        for at in 0..count {
-            let tier = Self::tier(at) as u32;
-            let siblings = if tier == 0 { 1 } else { EACH as u32 };
-            let mut settings = Settings { zones: 1, max_attempts: 3, tier, replicas: siblings, ..settings() };
-            settings.classes.iter_mut().for_each(|class| class.deadline = PATIENCE);
-            chain.balancers.push(LoadBalancer::new(settings, seed << 16 | at as u64, 0).unwrap());
-            chain.tell(at, Event::EndpointList(&list));
+        for balancer in 0..balancer_count {
+            let tier = Self::tier_of(balancer) as u32;
+            let replicas = if tier == 0 { 1 } else { ENDPOINTS_PER_TIER as u32 };
+            let mut settings = Settings { zones: 1, max_attempts: 3, tier, replicas, ..settings() };
+            settings.classes.iter_mut().for_each(|class| class.deadline = CLIENT_TIMEOUT);
+            chain.balancers.push(LoadBalancer::new(settings, seed << 16 | balancer as u64, 0).unwrap());
+            chain.handle(balancer, Event::EndpointList(&list));
         }
-        chain.schedule(0, Due::Arrival);
+        chain.schedule(0, ScheduledEvent::Arrival);
         chain
     }
 
-    /// The clients' requests are of these classes, in turn.
-    pub fn of_classes(self, classes: &[usize]) -> Self {
+    /// Client requests are of a random one of these classes.
+    pub fn with_classes(self, classes: &[usize]) -> Self {
         Self { classes: classes.to_vec(), ..self }
     }
 
-    fn tier(at: usize) -> usize {
-        at.div_ceil(EACH)
+    fn tier_of(balancer: usize) -> usize {
+        balancer.div_ceil(ENDPOINTS_PER_TIER)
     }
 
-    /// Runs until `seconds` after the start.
+    /// Runs the simulation until `seconds` after its start.
     pub fn run(&mut self, seconds: usize) -> &mut Self {
-        self.tallies.resize(seconds + 1, Tally::default());
-        while let Some(Reverse((time, ..))) = self.due.peek() {
+        self.counts.resize(seconds + 1, Counts::default());
+        while let Some(Reverse((time, ..))) = self.scheduled.peek() {
             if *time >= seconds as u64 * SECOND {
                 break;
             }
-            let Some(Reverse((time, _, due))) = self.due.pop() else { break };
+            let Some(Reverse((time, _, event))) = self.scheduled.pop() else { break };
             self.now = time;
-            self.step(due);
+            self.process(event);
         }
         self
     }
 
-    /// What was counted from one second to before another one.
-    pub fn total(&self, from: usize, to: usize) -> Tally {
-        let mut total = Tally::default();
-        self.tallies[from..to].iter().for_each(|&tally| total += tally);
+    /// Sum of the counters from second `from` up to, but not including, second `to`.
+    pub fn total(&self, from: usize, to: usize) -> Counts {
+        let mut total = Counts::default();
+        self.counts[from..to].iter().for_each(|&counts| total += counts);
         total
     }
 
-    fn schedule(&mut self, time: u64, due: Due) {
-        self.order += 1;
-        self.due.push(Reverse((time, self.order, due)));
+    fn schedule(&mut self, time: u64, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.scheduled.push(Reverse((time, self.sequence, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> u64 {
         (-(1.0 - self.rng.f64()).ln() * mean) as u64
     }
 
-    fn tally(&mut self) -> &mut Tally {
-        &mut self.tallies[(self.now / SECOND) as usize]
+    fn current_counts(&mut self) -> &mut Counts {
+        &mut self.counts[(self.now / SECOND) as usize]
     }
 
-    fn step(&mut self, due: Due) {
-        match due {
-            Due::Arrival => {
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => {
                 let gap = self.exponential(SECOND as f64 / self.rate);
-                self.schedule(self.now + gap, Due::Arrival);
+                self.schedule(self.now + gap, ScheduledEvent::Arrival);
                 let class = self.classes[self.rng.usize(..self.classes.len())];
-                self.tally().requests += 1;
-                self.request(0, None, class, PATIENCE);
+                self.current_counts().requests += 1;
+                self.start_request(0, None, class, CLIENT_TIMEOUT);
+            }
+            ScheduledEvent::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
+            ScheduledEvent::WorkDone { balancer, id, attempt, endpoint } => {
+                self.finish_work(balancer, id, attempt, endpoint)
+            }
+            ScheduledEvent::AttemptTimeout { balancer, id, attempt } => {
+                self.end_attempt(balancer, id, attempt, AttemptOutcome::Timeout)
             }
-            Due::Timer { at, token } => self.tell(at, Event::Timer(token)),
-            Due::Worked { at, id, attempt, server } => self.worked(at, id, attempt, server),
-            Due::Over { at, id, attempt } => self.ended(at, id, attempt, AttemptOutcome::Timeout),
         }
     }
 
-    fn request(&mut self, at: usize, parent: Option<(usize, u32, u32)>, class: usize, time_left: u64) -> u32 {
-        let id = self.next[at];
-        self.next[at] += 1;
-        let second = (self.now / SECOND) as usize;
-        let (sent, until) = (self.now, self.now);
-        let call = Call { parent, second, class, attempts: 0, sent, until, out: false, child: None };
-        self.calls[at].insert(id, call);
-        let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
-        self.tell(at, Event::Request(RequestId(id), demand));
+    fn start_request(
+        &mut self,
+        balancer: usize,
+        parent: Option<(usize, u32, u32)>,
+        class: usize,
+        time_left: u64,
+    ) -> u32 {
+        let id = self.next_ids[balancer];
+        self.next_ids[balancer] += 1;
+        let arrival_second = (self.now / SECOND) as usize;
+        let (sent_at, until) = (self.now, self.now);
+        let request = Request {
+            parent,
+            arrival_second,
+            class,
+            attempts: 0,
+            sent_at,
+            until,
+            in_flight: false,
+            child: None,
+        };
+        self.requests[balancer].insert(id, request);
+        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
+        self.handle(balancer, Event::Request(RequestId(id), incoming));
         id
     }
 
-    fn tell(&mut self, at: usize, event: Event<'_>) {
+    fn handle(&mut self, balancer: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.balancers[at].handle(self.now, event, &mut actions);
+        self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, endpoint: server, until, .. } => {
-                    self.send(at, id.0, server.0 as usize, until)
+                Action::Send { id, endpoint, until, .. } => {
+                    self.send(balancer, id.0, endpoint.0 as usize, until)
                 }
                 Action::Reject { id, .. } | Action::Fail(id) => {
-                    self.answered(at, id.0, AttemptOutcome::Error)
+                    self.finish_request(balancer, id.0, AttemptOutcome::Error)
+                }
+                Action::Cancel { id, attempt } => {
+                    self.end_attempt(balancer, id.0, attempt, AttemptOutcome::Cancelled)
                 }
-                Action::Cancel { id, attempt } => self.ended(at, id.0, attempt, AttemptOutcome::Cancelled),
                 Action::SetTimer { after, token } => {
-                    self.schedule(self.now + after, Due::Timer { at, token });
+                    self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
                 }
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, at: usize, id: u32, server: usize, until: u64) {
-        let work = WORK.0 as u64 + self.exponential(WORK.1);
-        let (now, last) = (self.now, Self::tier(at) + 1 == self.depth);
-        let call = self.calls[at].get_mut(&id).expect("a call that is open");
-        (call.sent, call.until, call.out, call.child) = (now, until, true, None);
-        let attempt = call.attempts;
-        call.attempts += 1;
-        let tally = self.tally();
-        tally.last_tier += u32::from(last);
-        tally.further += u32::from(attempt > 0);
-        tally.front_further += u32::from(attempt > 0 && at == 0);
-        self.schedule(now + work, Due::Worked { at, id, attempt, server });
-        self.schedule(until, Due::Over { at, id, attempt });
+    fn send(&mut self, balancer: usize, id: u32, endpoint: usize, until: u64) {
+        let work = WORK_NS.0 as u64 + self.exponential(WORK_NS.1);
+        let (now, is_last_tier) = (self.now, Self::tier_of(balancer) + 1 == self.depth);
+        let request = self.requests[balancer].get_mut(&id).expect("the request is open");
+        (request.sent_at, request.until, request.in_flight, request.child) = (now, until, true, None);
+        let attempt = request.attempts;
+        request.attempts += 1;
+        let counts = self.current_counts();
+        counts.last_tier_attempts += u32::from(is_last_tier);
+        counts.retries += u32::from(attempt > 0);
+        counts.front_retries += u32::from(attempt > 0 && balancer == 0);
+        self.schedule(now + work, ScheduledEvent::WorkDone { balancer, id, attempt, endpoint });
+        self.schedule(until, ScheduledEvent::AttemptTimeout { balancer, id, attempt });
     }
 
-    fn worked(&mut self, at: usize, id: u32, attempt: u32, server: usize) {
-        let Some(call) = self.calls[at].get(&id) else { return };
-        if !call.out || call.attempts != attempt + 1 {
+    fn finish_work(&mut self, balancer: usize, id: u32, attempt: u32, endpoint: usize) {
+        let Some(request) = self.requests[balancer].get(&id) else { return };
+        if !request.in_flight || request.attempts != attempt + 1 {
             return;
         }
-        let (class, until, tier) = (call.class, call.until, Self::tier(at));
-        match (self.fate)(tier, server, class, self.now, &mut self.rng) {
-            Some(outcome) => self.ended(at, id, attempt, outcome),
-            None if tier + 1 == self.depth => self.ended(at, id, attempt, AttemptOutcome::Success),
+        let (class, until, tier) = (request.class, request.until, Self::tier_of(balancer));
+        match (self.fault_rule)(tier, endpoint, class, self.now, &mut self.rng) {
+            Some(outcome) => self.end_attempt(balancer, id, attempt, outcome),
+            None if tier + 1 == self.depth => {
+                self.end_attempt(balancer, id, attempt, AttemptOutcome::Success)
+            }
             None => {
-                let below = 1 + tier * EACH + server;
-                let next = self.next[below];
-                self.calls[at].get_mut(&id).expect("just seen").child = Some((below, next));
-                self.request(below, Some((at, id, attempt)), class, until.saturating_sub(self.now));
+                let next_balancer = 1 + tier * ENDPOINTS_PER_TIER + endpoint;
+                let child = self.next_ids[next_balancer];
+                self.requests[balancer].get_mut(&id).expect("the request is open").child =
+                    Some((next_balancer, child));
+                self.start_request(
+                    next_balancer,
+                    Some((balancer, id, attempt)),
+                    class,
+                    until.saturating_sub(self.now),
+                );
             }
         }
     }
 
-    fn ended(&mut self, at: usize, id: u32, attempt: u32, outcome: AttemptOutcome) {
-        let Some(call) = self.calls[at].get_mut(&id) else { return };
-        if !call.out || call.attempts != attempt + 1 {
+    fn end_attempt(&mut self, balancer: usize, id: u32, attempt: u32, outcome: AttemptOutcome) {
+        let Some(request) = self.requests[balancer].get_mut(&id) else { return };
+        if !request.in_flight || request.attempts != attempt + 1 {
             return;
         }
-        call.out = false;
-        let (child, elapsed) = (call.child.take(), self.now - call.sent);
-        let below = child.filter(|_| matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Cancelled));
-        if let Some((below, child)) = below {
-            self.left(below, child);
+        request.in_flight = false;
+        let (child, elapsed) = (request.child.take(), self.now - request.sent_at);
+        let abandoned =
+            child.filter(|_| matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Cancelled));
+        if let Some((next_balancer, child)) = abandoned {
+            self.cancel_request(next_balancer, child);
         }
         let closed = outcome == AttemptOutcome::Success;
         let end = AttemptEnd {
@@ -278,38 +313,43 @@
             body_consumed: false,
             load: None,
         };
-        self.tell(at, Event::AttemptEnded(RequestId(id), end));
+        self.handle(balancer, Event::AttemptEnded(RequestId(id), end));
         if closed {
-            self.answered(at, id, AttemptOutcome::Success);
+            self.finish_request(balancer, id, AttemptOutcome::Success);
         }
     }
 
-    /// The caller of a call has left it.
-    fn left(&mut self, at: usize, id: u32) {
-        if self.calls[at].contains_key(&id) {
-            self.tell(at, Event::ClientDisconnected(RequestId(id)));
-            self.calls[at].remove(&id);
+    /// The tier above has given up a request: its balancer gets notified.
+    fn cancel_request(&mut self, balancer: usize, id: u32) {
+        if self.requests[balancer].contains_key(&id) {
+            self.handle(balancer, Event::ClientDisconnected(RequestId(id)));
+            self.requests[balancer].remove(&id);
         }
     }
 
-    fn answered(&mut self, at: usize, id: u32, outcome: AttemptOutcome) {
-        let Some(call) = self.calls[at].remove(&id) else { return };
-        match call.parent {
-            Some((parent, id, attempt)) => self.ended(parent, id, attempt, outcome),
-            None => self.tallies[call.second].served += u32::from(outcome == AttemptOutcome::Success),
+    fn finish_request(&mut self, balancer: usize, id: u32, outcome: AttemptOutcome) {
+        let Some(request) = self.requests[balancer].remove(&id) else { return };
+        match request.parent {
+            Some((parent, id, attempt)) => self.end_attempt(parent, id, attempt, outcome),
+            None => {
+                self.counts[request.arrival_second].served += u32::from(outcome == AttemptOutcome::Success)
+            }
         }
     }
 }
 
-/// Calls that fail at random, a part of those of the tiers given.
-pub fn failing(part: f64, tiers: impl Fn(usize) -> bool + 'static) -> Fate {
-    Box::new(move |tier, _, _, _, rng| (tiers(tier) && rng.f64() < part).then_some(AttemptOutcome::Error))
+/// Attempts fail at random with probability `failure_rate` in the tiers that `in_tier` selects.
+pub fn random_failures(failure_rate: f64, in_tier: impl Fn(usize) -> bool + 'static) -> FaultRule {
+    Box::new(move |tier, _, _, _, rng| {
+        (in_tier(tier) && rng.f64() < failure_rate).then_some(AttemptOutcome::Error)
+    })
 }
 
-/// The last tier fails wholly from one second to before another one, and a part of its calls else.
-pub fn outage(depth: usize, from: u64, to: u64, part: f64) -> Fate {
+/// All attempts at the last tier fail from second `from` up to second `to`; at other times they fail with
+/// probability `failure_rate`.
+pub fn outage(depth: usize, from: u64, to: u64, failure_rate: f64) -> FaultRule {
     Box::new(move |tier, _, _, now, rng| {
-        let out = (from * SECOND..to * SECOND).contains(&now);
-        (tier + 1 == depth && (out || rng.f64() < part)).then_some(AttemptOutcome::Error)
+        let in_outage = (from * SECOND..to * SECOND).contains(&now);
+        (tier + 1 == depth && (in_outage || rng.f64() < failure_rate)).then_some(AttemptOutcome::Error)
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer under test, and what every test says to it.
+//! Shared test support: default settings, endpoint lists, and a load balancer driven by hand on virtual time.
 #![allow(dead_code)]
 
 pub mod chain;
@@ -12,22 +12,30 @@
 
 use balancer::decision::*;
 
+/// One millisecond, in nanoseconds.
 pub const MS: u64 = 1_000_000;
+/// One second, in nanoseconds.
 pub const SECOND: u64 = 1000 * MS;
-pub const SAFE: usize = 0;
-pub const UNSAFE: usize = 1;
+/// Index of the class of idempotent requests in [`settings`].
+pub const IDEMPOTENT: usize = 0;
+/// Index of the class of non-idempotent requests.
+pub const NON_IDEMPOTENT: usize = 1;
+/// Index of the class with idempotency keys that all endpoints share.
 pub const KEYED_ALL: usize = 2;
+/// Index of the class with idempotency keys that the endpoints of a zone share.
 pub const KEYED_ZONE: usize = 3;
+/// Index of the class with idempotency keys that the endpoints of a cell share.
 pub const KEYED_CELL: usize = 4;
 
+/// Settings of a balancer in zone 0 of three, without tenants and load queries.
 pub fn settings() -> Settings {
-    let class = |effect, worth| RequestClass {
+    let class = |idempotency, priority_weight| RequestClass {
         latency_objective: 500 * MS,
         objective_stretch: 0.0,
         deadline: 2 * SECOND,
-        idempotency: effect,
+        idempotency,
         late_weight: 0.2,
-        priority_weight: worth,
+        priority_weight,
     };
     Settings {
         classes: vec![
@@ -61,53 +69,71 @@
     }
 }
 
-pub fn entry(server: u32, zone: u8) -> EndpointEntry {
+/// The entry of a warm endpoint in service; its cell is 0 or 1, by the parity of its id.
+pub fn endpoint_entry(endpoint: u32, zone: u8) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointId(server),
+        endpoint: EndpointId(endpoint),
         zone: ZoneId(zone),
-        cell: (server % 2) as u16,
+        cell: (endpoint % 2) as u16,
         state: EndpointState::InService,
         capacity: 1.0,
         started: None,
     }
 }
 
-/// Servers 0 to `each - 1` in zone 0, then `each` in zone 1 and so on.
-pub fn zones(zones: u8, each: u32) -> Vec<EndpointEntry> {
-    (0..zones).flat_map(|z| (0..each).map(move |n| entry(u32::from(z) * each + n, z))).collect()
+/// Endpoints 0 to `per_zone - 1` in zone 0, the next `per_zone` in zone 1 and so on.
+pub fn endpoints_in_zones(zones: u8, per_zone: u32) -> Vec<EndpointEntry> {
+    (0..zones)
+        .flat_map(|zone| {
+            (0..per_zone).map(move |index| endpoint_entry(u32::from(zone) * per_zone + index, zone))
+        })
+        .collect()
 }
 
-pub struct Rig {
-    pub balancer: LoadBalancer,
+/// A load balancer under test and its virtual clock.
+pub struct TestBalancer {
+    pub load_balancer: LoadBalancer,
+    /// Virtual time, in nanoseconds.
     pub now: u64,
+    /// Id of the next request.
     pub next_id: u32,
 }
 
-impl Rig {
+impl TestBalancer {
+    /// A balancer that has received `list` as its endpoint list.
     pub fn new(settings: Settings, list: &[EndpointEntry]) -> Self {
-        let mut rig =
-            Self { balancer: LoadBalancer::new(settings, 11, SECOND).unwrap(), now: SECOND, next_id: 0 };
-        rig.tell(Event::EndpointList(list));
-        rig
+        let mut balancer =
+            Self { load_balancer: LoadBalancer::new(settings, 11, SECOND).unwrap(), now: SECOND, next_id: 0 };
+        balancer.handle(Event::EndpointList(list));
+        balancer
     }
 
-    pub fn tell(&mut self, event: Event<'_>) -> Vec<Action> {
+    /// Passes an event to the load balancer and returns its actions.
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.load_balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn demand(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+    /// Sends a request of `class` with 2 s to its deadline.
+    pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let demand =
+        let incoming =
             IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work: None, streaming: false };
-        (id, self.tell(Event::Request(id, demand)))
+        (id, self.handle(Event::Request(id, incoming)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: AttemptOutcome, elapsed: u64) -> Vec<Action> {
+    /// Ends attempt number `attempt` of a request with `outcome`.
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+        elapsed: u64,
+    ) -> Vec<Action> {
         let closed = outcome == AttemptOutcome::Success;
-        self.tell(Event::AttemptEnded(
+        self.handle(Event::AttemptEnded(
             id,
             AttemptEnd {
                 attempt,
@@ -120,38 +146,39 @@
         ))
     }
 
-    /// A request that is answered after `took`; the server that it went to.
-    pub fn serve(&mut self, class: usize, took: u64) -> Option<u32> {
-        let (id, actions) = self.demand(class);
-        let server = sent(&actions);
-        self.now += took;
-        if server.is_some() {
-            self.end(id, 0, AttemptOutcome::Success, took);
+    /// Sends a request, answers it after `latency`, and returns the endpoint that got it.
+    pub fn serve(&mut self, class: usize, latency: u64) -> Option<u32> {
+        let (id, actions) = self.request(class);
+        let endpoint = sent_to(&actions);
+        self.now += latency;
+        if endpoint.is_some() {
+            self.end_attempt(id, 0, AttemptOutcome::Success, latency);
         }
-        server
+        endpoint
     }
 
-    /// Calm traffic, so that the balancer knows its latency.
-    pub fn warm_up(&mut self, calls: u32) {
-        for _ in 0..calls {
-            self.serve(SAFE, 20 * MS);
+    /// Serves `requests` requests without faults, so that the balancer has latency statistics.
+    pub fn warm_up(&mut self, requests: u32) {
+        for _ in 0..requests {
+            self.serve(IDEMPOTENT, 20 * MS);
         }
     }
 
-    /// A request whose every attempt ends by `outcome(server)` at once; the servers that were tried.
-    pub fn run(
+    /// Sends a request and ends each of its attempts after 20 ms with `outcome(endpoint)`. Returns the
+    /// endpoints that were tried and, unless an attempt succeeded, the last action.
+    pub fn run_attempts(
         &mut self,
         class: usize,
         outcome: impl Fn(u32) -> AttemptOutcome,
     ) -> (Vec<u32>, Option<Action>) {
-        let (id, mut actions) = self.demand(class);
+        let (id, mut actions) = self.request(class);
         let mut tried = Vec::new();
-        while let Some(server) = sent(&actions) {
-            tried.push(server);
+        while let Some(endpoint) = sent_to(&actions) {
+            tried.push(endpoint);
             self.now += 20 * MS;
-            let result = outcome(server);
-            actions = self.end(id, tried.len() as u32 - 1, result, 20 * MS);
-            if result == AttemptOutcome::Success {
+            let attempt_outcome = outcome(endpoint);
+            actions = self.end_attempt(id, tried.len() as u32 - 1, attempt_outcome, 20 * MS);
+            if attempt_outcome == AttemptOutcome::Success {
                 return (tried, None);
             }
         }
@@ -159,26 +186,29 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<u32> {
+/// The endpoint of the first attempt that `actions` send.
+pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
-        Action::Send { endpoint: server, .. } => Some(server.0),
+        Action::Send { endpoint, .. } => Some(endpoint.0),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+/// Whether `actions` reject a request.
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn probed(actions: &[Action]) -> Vec<u32> {
-    let server = |action: &Action| match action {
-        Action::QueryLoad(server) => Some(server.0),
+/// The endpoints that `actions` query for their load.
+pub fn queried_endpoints(actions: &[Action]) -> Vec<u32> {
+    let endpoint = |action: &Action| match action {
+        Action::QueryLoad(endpoint) => Some(endpoint.0),
         _ => None,
     };
-    actions.iter().filter_map(server).collect()
+    actions.iter().filter_map(endpoint).collect()
 }
 
-/// A load report of one figure.
-pub fn held(calls: f32) -> Option<LoadReport> {
-    Some(LoadReport { figures: [calls, 0.0, 0.0, 0.0], len: 1 })
+/// A load report with one figure: the number of requests in flight.
+pub fn load_report(in_flight: f32) -> Option<LoadReport> {
+    Some(LoadReport { figures: [in_flight, 0.0, 0.0, 0.0], len: 1 })
 }
--- a/tests/common/queued_tier.rs
+++ b/tests/common/queued_tier.rs
@@ -1,247 +1,264 @@
-//! Balancers before servers with queues, on virtual time. A server works off whatever it was sent, also what its
-//! caller has given up, and works more slowly from a long queue on until it is idle again. Every balancer is a real
-//! decision module, the servers and the clients are played.
+//! Simulates balancers in front of endpoints with queues on virtual time. An endpoint processes every attempt
+//! that it was sent, including those that the balancer has given up, and slows down once its queue is long,
+//! until it is idle again. Every balancer is a real decision module; the endpoints and the clients are
+//! simulated.
 
-use super::{SECOND, entry};
+use super::{SECOND, endpoint_entry};
 use balancer::decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// What the balancers are placed before, and what the clients send.
+/// The topology and the traffic of a simulation.
 #[derive(Clone, Copy)]
-pub struct Load {
+pub struct Workload {
+    /// Number of balancers and of endpoints.
     pub balancers: usize,
-    pub servers: usize,
-    /// Requests a second of each balancer's clients.
+    pub endpoints: usize,
+    /// Requests a second that each balancer gets.
     pub rate: f64,
     /// Mean work of a request, in nanoseconds.
-    pub work: f64,
-    /// Calls in the queue of a server from which it works more slowly, and by how much.
-    pub congested_from: usize,
+    pub mean_work: f64,
+    /// Queue length from which an endpoint is slower, and the factor by which its work takes longer then.
+    pub congestion_threshold: usize,
     pub slowdown: f64,
-    /// A burst: its first and its last second, and the multiple of the rate in between.
+    /// A burst: the second in which it begins, the second in which it is over, and the multiple of the rate
+    /// meanwhile.
     pub burst: (u64, u64, f64),
 }
 
-/// What became of the requests that came within a second.
+/// Counters of one second of the simulation.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Tally {
+pub struct Counts {
+    /// Requests that arrived in this second, and how many of them were served.
     pub requests: u32,
     pub served: u32,
-    /// Attempts that were sent to servers.
+    /// Attempts sent to endpoints.
     pub attempts: u32,
 }
 
-enum Step {
+enum ScheduledEvent {
     Arrival { balancer: usize },
     Timer { balancer: usize, token: u64 },
-    Worked { server: usize },
-    Over { call: Call },
+    WorkDone { endpoint: usize },
+    AttemptTimeout { attempt: AttemptKey },
 }
 
-/// An attempt at a server.
+/// Identifies an attempt at an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Call {
+struct AttemptKey {
     balancer: usize,
     request: u32,
-    attempt: u32,
+    number: u32,
 }
 
-/// The attempt of a request that is out.
-struct Out {
-    call: Call,
-    sent: u64,
-    arrived_in: usize,
+/// The attempt of a request that is in flight.
+struct InFlightAttempt {
+    attempt: AttemptKey,
+    sent_at: u64,
+    arrival_second: usize,
 }
 
 #[derive(Default)]
-struct Server {
-    queue: VecDeque<Call>,
+struct Endpoint {
+    queue: VecDeque<AttemptKey>,
     congested: bool,
 }
 
+/// The simulation: its clients, balancers and endpoints.
 pub struct QueuedTier {
-    load: Load,
+    workload: Workload,
     class: usize,
     time_left: u64,
     rng: fastrand::Rng,
     now: u64,
-    order: u64,
-    due: BinaryHeap<Reverse<(u64, u64)>>,
-    steps: HashMap<u64, Step>,
+    sequence: u64,
+    scheduled: BinaryHeap<Reverse<(u64, u64)>>,
+    events: HashMap<u64, ScheduledEvent>,
     balancers: Vec<LoadBalancer>,
-    servers: Vec<Server>,
-    open: HashMap<(usize, u32), Out>,
-    arrivals: HashMap<(usize, u32), usize>,
+    endpoints: Vec<Endpoint>,
+    in_flight: HashMap<(usize, u32), InFlightAttempt>,
+    arrival_seconds: HashMap<(usize, u32), usize>,
     next_request: u32,
-    pub tallies: Vec<Tally>,
+    pub counts: Vec<Counts>,
 }
 
 impl QueuedTier {
-    /// Servers of one zone each in turn; the clients' requests are of one class and wait for `time_left`.
-    pub fn new(load: Load, settings: &Settings, class: usize, time_left: u64, seed: u64) -> Self {
+    /// Endpoints are spread round robin over the zones of `settings`. The clients' requests are of one class,
+    /// and have `time_left` to their deadline.
+    pub fn new(workload: Workload, settings: &Settings, class: usize, time_left: u64, seed: u64) -> Self {
         let zones = settings.zones as u8;
-        let list: Vec<EndpointEntry> =
-            (0..load.servers as u32).map(|server| entry(server, server as u8 % zones)).collect();
+        let list: Vec<EndpointEntry> = (0..workload.endpoints as u32)
+            .map(|endpoint| endpoint_entry(endpoint, endpoint as u8 % zones))
+            .collect();
         let mut tier = Self {
-            load,
+            workload,
             class,
             time_left,
             rng: fastrand::Rng::with_seed(seed),
             now: SECOND,
-            order: 0,
-            due: BinaryHeap::new(),
-            steps: HashMap::new(),
+            sequence: 0,
+            scheduled: BinaryHeap::new(),
+            events: HashMap::new(),
             balancers: Vec::new(),
-            servers: (0..load.servers).map(|_| Server::default()).collect(),
-            open: HashMap::new(),
-            arrivals: HashMap::new(),
+            endpoints: (0..workload.endpoints).map(|_| Endpoint::default()).collect(),
+            in_flight: HashMap::new(),
+            arrival_seconds: HashMap::new(),
             next_request: 0,
-            tallies: Vec::new(),
+            counts: Vec::new(),
         };
-        for balancer in 0..load.balancers {
+        for balancer in 0..workload.balancers {
             let zone = ZoneId(balancer as u8 % zones);
-            let settings = Settings { zone, replicas: load.balancers as u32, ..settings.clone() };
-            let module = LoadBalancer::new(settings, seed << 8 | balancer as u64, tier.now).unwrap();
-            tier.balancers.push(module);
-            tier.tell(balancer, Event::EndpointList(&list));
-            tier.schedule(tier.now, Step::Arrival { balancer });
+            let settings = Settings { zone, replicas: workload.balancers as u32, ..settings.clone() };
+            let load_balancer = LoadBalancer::new(settings, seed << 8 | balancer as u64, tier.now).unwrap();
+            tier.balancers.push(load_balancer);
+            tier.handle(balancer, Event::EndpointList(&list));
+            tier.schedule(tier.now, ScheduledEvent::Arrival { balancer });
         }
         tier
     }
 
-    /// Runs until `seconds` after the start.
+    /// Runs the simulation until `seconds` after its start.
     pub fn run(&mut self, seconds: u64) -> &mut Self {
         let end = (1 + seconds) * SECOND;
-        self.tallies.resize(seconds as usize + 2, Tally::default());
-        while let Some(&Reverse((time, order))) = self.due.peek().filter(|Reverse((time, _))| *time < end) {
-            self.due.pop();
+        self.counts.resize(seconds as usize + 2, Counts::default());
+        while let Some(&Reverse((time, sequence))) =
+            self.scheduled.peek().filter(|Reverse((time, _))| *time < end)
+        {
+            self.scheduled.pop();
             self.now = time;
-            let step = self.steps.remove(&order).expect("each step is scheduled once");
-            self.step(step);
+            let event = self.events.remove(&sequence).expect("each event is scheduled once");
+            self.process(event);
         }
         self
     }
 
-    /// Served part of the requests that came from one second to before another one.
-    pub fn share(&self, from: usize, to: usize) -> f64 {
-        let served: u32 = self.tallies[from..to].iter().map(|tally| tally.served).sum();
-        let requests: u32 = self.tallies[from..to].iter().map(|tally| tally.requests).sum();
+    /// Fraction of the requests that arrived from second `from` up to, but not including, second `to` and
+    /// were served.
+    pub fn served_share(&self, from: usize, to: usize) -> f64 {
+        let served: u32 = self.counts[from..to].iter().map(|counts| counts.served).sum();
+        let requests: u32 = self.counts[from..to].iter().map(|counts| counts.requests).sum();
         f64::from(served) / f64::from(requests.max(1))
     }
 
-    fn second(&self) -> usize {
+    fn current_second(&self) -> usize {
         (self.now / SECOND - 1) as usize
     }
 
-    fn schedule(&mut self, time: u64, step: Step) {
-        self.order += 1;
-        self.due.push(Reverse((time, self.order)));
-        self.steps.insert(self.order, step);
+    fn schedule(&mut self, time: u64, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.scheduled.push(Reverse((time, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
     fn exponential(&mut self, mean: f64) -> u64 {
         (-(1.0 - self.rng.f64()).ln() * mean) as u64
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
-            Step::Arrival { balancer } => self.arrival(balancer),
-            Step::Timer { balancer, token } => self.tell(balancer, Event::Timer(token)),
-            Step::Worked { server } => self.worked(server),
-            Step::Over { call } => self.ended(call, AttemptOutcome::Timeout),
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival { balancer } => self.handle_arrival(balancer),
+            ScheduledEvent::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
+            ScheduledEvent::WorkDone { endpoint } => self.finish_work(endpoint),
+            ScheduledEvent::AttemptTimeout { attempt } => self.end_attempt(attempt, AttemptOutcome::Timeout),
         }
     }
 
-    fn arrival(&mut self, balancer: usize) {
-        let (from, to, multiple) = self.load.burst;
-        let bursting = (from..to).contains(&(self.second() as u64));
-        let rate = self.load.rate * if bursting { multiple } else { 1.0 };
+    fn handle_arrival(&mut self, balancer: usize) {
+        let (from, to, multiple) = self.workload.burst;
+        let bursting = (from..to).contains(&(self.current_second() as u64));
+        let rate = self.workload.rate * if bursting { multiple } else { 1.0 };
         let gap = self.exponential(SECOND as f64 / rate);
-        self.schedule(self.now + gap, Step::Arrival { balancer });
-        let (request, second) = (self.next_request, self.second());
+        self.schedule(self.now + gap, ScheduledEvent::Arrival { balancer });
+        let (request, second) = (self.next_request, self.current_second());
         self.next_request += 1;
-        self.tallies[second].requests += 1;
-        self.arrivals.insert((balancer, request), second);
-        let demand = IncomingRequest {
+        self.counts[second].requests += 1;
+        self.arrival_seconds.insert((balancer, request), second);
+        let incoming = IncomingRequest {
             class: self.class,
             tenant: 0,
             time_left: self.time_left,
             work: None,
             streaming: false,
         };
-        self.tell(balancer, Event::Request(RequestId(request), demand));
+        self.handle(balancer, Event::Request(RequestId(request), incoming));
     }
 
-    fn tell(&mut self, balancer: usize, event: Event<'_>) {
+    fn handle(&mut self, balancer: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, endpoint: server, until, .. } => {
-                    self.send(balancer, id.0, server.0 as usize, until)
+                Action::Send { id, endpoint, until, .. } => {
+                    self.send(balancer, id.0, endpoint.0 as usize, until)
                 }
                 Action::SetTimer { after, token } => {
-                    self.schedule(self.now + after, Step::Timer { balancer, token });
+                    self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
                 }
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, balancer: usize, request: u32, server: usize, until: u64) {
-        let attempt = self.open.get(&(balancer, request)).map_or(0, |out| out.call.attempt + 1);
-        let call = Call { balancer, request, attempt };
-        let arrived_in = self.arrivals[&(balancer, request)];
-        self.open.insert((balancer, request), Out { call, sent: self.now, arrived_in });
-        let second = self.second();
-        self.tallies[second].attempts += 1;
-        self.schedule(until, Step::Over { call });
-        let idle = self.servers[server].queue.is_empty();
-        self.servers[server].queue.push_back(call);
-        self.servers[server].congested |= self.servers[server].queue.len() >= self.load.congested_from;
+    fn send(&mut self, balancer: usize, request: u32, endpoint: usize, until: u64) {
+        let number =
+            self.in_flight.get(&(balancer, request)).map_or(0, |in_flight| in_flight.attempt.number + 1);
+        let attempt = AttemptKey { balancer, request, number };
+        let arrival_second = self.arrival_seconds[&(balancer, request)];
+        self.in_flight
+            .insert((balancer, request), InFlightAttempt { attempt, sent_at: self.now, arrival_second });
+        let second = self.current_second();
+        self.counts[second].attempts += 1;
+        self.schedule(until, ScheduledEvent::AttemptTimeout { attempt });
+        let idle = self.endpoints[endpoint].queue.is_empty();
+        self.endpoints[endpoint].queue.push_back(attempt);
+        self.endpoints[endpoint].congested |=
+            self.endpoints[endpoint].queue.len() >= self.workload.congestion_threshold;
         if idle {
-            self.work_on(server);
+            self.start_work(endpoint);
         }
     }
 
-    /// The server begins with the first call of its queue.
-    fn work_on(&mut self, server: usize) {
-        let slowdown = if self.servers[server].congested { self.load.slowdown } else { 1.0 };
-        let work = self.exponential(self.load.work * slowdown);
-        self.schedule(self.now + work, Step::Worked { server });
+    /// The endpoint starts on the first attempt of its queue.
+    fn start_work(&mut self, endpoint: usize) {
+        let slowdown = if self.endpoints[endpoint].congested { self.workload.slowdown } else { 1.0 };
+        let work = self.exponential(self.workload.mean_work * slowdown);
+        self.schedule(self.now + work, ScheduledEvent::WorkDone { endpoint });
     }
 
-    fn worked(&mut self, server: usize) {
-        let Some(call) = self.servers[server].queue.pop_front() else { return };
-        if self.servers[server].queue.is_empty() {
-            self.servers[server].congested = false;
+    fn finish_work(&mut self, endpoint: usize) {
+        let Some(attempt) = self.endpoints[endpoint].queue.pop_front() else { return };
+        if self.endpoints[endpoint].queue.is_empty() {
+            self.endpoints[endpoint].congested = false;
         } else {
-            self.work_on(server);
+            self.start_work(endpoint);
         }
-        self.ended(call, AttemptOutcome::Success);
+        self.end_attempt(attempt, AttemptOutcome::Success);
     }
 
-    /// An attempt ends, unless it has been given up before.
-    fn ended(&mut self, call: Call, outcome: AttemptOutcome) {
-        let Some(out) = self.open.get(&(call.balancer, call.request)).filter(|out| out.call == call) else {
+    /// Ends an attempt, unless the balancer has given it up before.
+    fn end_attempt(&mut self, attempt: AttemptKey, outcome: AttemptOutcome) {
+        let Some(in_flight) = self
+            .in_flight
+            .get(&(attempt.balancer, attempt.request))
+            .filter(|in_flight| in_flight.attempt == attempt)
+        else {
             return;
         };
-        let (elapsed, arrived_in) = (self.now - out.sent, out.arrived_in);
+        let (elapsed, arrival_second) = (self.now - in_flight.sent_at, in_flight.arrival_second);
         let closed = outcome == AttemptOutcome::Success;
         let end = AttemptEnd {
-            attempt: call.attempt,
+            attempt: attempt.number,
             outcome,
             elapsed,
             request_closed: closed,
             body_consumed: false,
             load: None,
         };
-        self.tell(call.balancer, Event::AttemptEnded(RequestId(call.request), end));
-        let is_over = |out: &Out| out.call == call;
-        if self.open.get(&(call.balancer, call.request)).is_some_and(is_over) {
-            self.open.remove(&(call.balancer, call.request));
-            self.tallies[arrived_in].served += u32::from(closed);
+        self.handle(attempt.balancer, Event::AttemptEnded(RequestId(attempt.request), end));
+        let is_this_attempt = |in_flight: &InFlightAttempt| in_flight.attempt == attempt;
+        if self.in_flight.get(&(attempt.balancer, attempt.request)).is_some_and(is_this_attempt) {
+            self.in_flight.remove(&(attempt.balancer, attempt.request));
+            self.counts[arrival_second].served += u32::from(closed);
         }
     }
 }
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -1,9 +1,10 @@
-//! Replays recorded traffic through the decision module, and compares every action with those of the version before.
+//! Replays generated traffic through the decision module, and compares every action with those of an earlier
+//! version.
 //!
-//! The traffic is generated from a seed and reacts to the module: attempts end, time out and are cancelled, endpoints
-//! fail, reject, restart, drain and are taken offline. What is compared are the bytes that the simulator adapter would
-//! write, log lines aside. A change that is meant to alter decisions has to say so, and to replace the digests in
-//! `tests/golden/decision_actions.txt` by those that the failing test prints.
+//! The traffic is generated from a seed and reacts to the module: attempts end, time out and are cancelled;
+//! endpoints fail, reject, restart, drain and are taken offline. The bytes that the simulator adapter would
+//! write are compared, without log lines. A change that alters decisions on purpose has to say so, and to
+//! replace the digests in `tests/golden/decision_actions.txt` by those that the failing test prints.
 
 mod common;
 
@@ -13,48 +14,50 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
+/// Name, digest and number of actions of each scenario, as recorded.
 const RECORDED: &str = include_str!("golden/decision_actions.txt");
 const ENDPOINTS: u32 = 12;
 const ZONES: u8 = 3;
-/// How long a scenario lasts on virtual time.
-const LENGTH: u64 = 12 * SECOND;
-/// Requests a second, on average.
-const BUSY: f64 = 400.0;
-/// So few requests a second that connections are idle in between.
-const SPARSE: f64 = 30.0;
-/// How many times the rate is in the burst, which is more than the endpoints can do.
-const BURST_RISE: f64 = 10.0;
-const BURST: std::ops::Range<u64> = 7 * SECOND..8 * SECOND;
-/// While this lasts, some endpoints fail, reject, or take no connections.
-const FAULTS: std::ops::Range<u64> = 2 * SECOND..6 * SECOND;
-/// Idle connections are cut after this time while the faults last.
-const REAPED_AFTER: u64 = 300 * MS;
-
-/// What happens next in the world around the module.
+/// Duration of a scenario on virtual time.
+const DURATION: u64 = 12 * SECOND;
+/// Average number of requests a second.
+const BUSY_RATE: f64 = 400.0;
+/// A rate so low that connections are idle between requests.
+const SPARSE_RATE: f64 = 30.0;
+/// Multiple of the rate during the burst, which exceeds the capacity of the endpoints.
+const BURST_MULTIPLE: f64 = 10.0;
+/// Period of the burst.
+const BURST_PERIOD: std::ops::Range<u64> = 7 * SECOND..8 * SECOND;
+/// Period in which some endpoints fail, reject, or refuse connections.
+const FAULT_PERIOD: std::ops::Range<u64> = 2 * SECOND..6 * SECOND;
+/// During the fault period, connections that are idle for longer get cut.
+const IDLE_CUT_AFTER: u64 = 300 * MS;
+
+/// A future event outside of the module.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
     Timer(u64),
-    AttemptOver { id: u32, attempt: u32 },
-    ClientLeaves(u32),
-    QueryOver(u32),
-    Step(usize),
+    AttemptEnds { id: u32, attempt: u32 },
+    ClientDisconnects(u32),
+    LoadQueryEnds(u32),
+    ScriptStep(usize),
 }
 
-/// A request, and its attempt in flight.
+/// A request and its attempt in flight: the endpoint, the time when it was sent, and its outcome.
 #[derive(Default)]
-struct Call {
+struct Request {
     class: usize,
     streaming: bool,
-    started: bool,
+    response_started: bool,
     closed: bool,
     attempts: u32,
     in_flight: Option<(u32, u64, AttemptOutcome)>,
 }
 
-/// How often each kind of action was seen.
+/// Counts of the actions, by kind.
 #[derive(Debug, Default)]
-struct Seen {
+struct ActionCounts {
     attempts: u64,
     retries: u64,
     rejected: u64,
@@ -68,7 +71,7 @@
     actions: u64,
 }
 
-/// FNV-1a, 64 bits: a digest that needs no library and never changes.
+/// FNV-1a with 64 bits: a digest without a library dependency that never changes.
 struct Digest(u64);
 
 impl Digest {
@@ -83,77 +86,78 @@
     }
 }
 
-struct World {
+/// The clients, endpoints, operators and discovery around the module under test.
+struct Simulation {
     balancer: LoadBalancer,
     may_cancel: bool,
     rate: f64,
     rng: fastrand::Rng,
     now: u64,
-    order: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    calls: HashMap<u32, Call>,
+    sequence: u64,
+    scheduled: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
+    requests: HashMap<u32, Request>,
     next_id: u32,
     in_flight: [u32; ENDPOINTS as usize],
-    /// When an attempt ended last at each endpoint.
+    /// When the latest attempt at each endpoint ended.
     idle_since: [u64; ENDPOINTS as usize],
     list: Vec<EndpointEntry>,
     digest: Digest,
-    seen: Seen,
+    counts: ActionCounts,
 }
 
-impl World {
+impl Simulation {
     fn new(settings: Settings, rate: f64, seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             may_cancel: settings.may_cancel,
             rate,
             balancer: LoadBalancer::new(settings, seed, SECOND).unwrap(),
             rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
             now: SECOND,
-            order: 0,
-            due: BinaryHeap::new(),
-            calls: HashMap::new(),
+            sequence: 0,
+            scheduled: BinaryHeap::new(),
+            requests: HashMap::new(),
             next_id: 0,
             in_flight: [0; ENDPOINTS as usize],
             idle_since: [SECOND; ENDPOINTS as usize],
-            list: zones(ZONES, ENDPOINTS / u32::from(ZONES)),
+            list: endpoints_in_zones(ZONES, ENDPOINTS / u32::from(ZONES)),
             digest: Digest::new(),
-            seen: Seen::default(),
+            counts: ActionCounts::default(),
         };
-        world.tell_list();
-        world.after(0, Due::Arrival);
+        simulation.send_list();
+        simulation.schedule_after(0, ScheduledEvent::Arrival);
         for step in 0..40 {
-            world.after(step as u64 * LENGTH / 40, Due::Step(step));
+            simulation.schedule_after(step as u64 * DURATION / 40, ScheduledEvent::ScriptStep(step));
         }
-        world
+        simulation
     }
 
-    fn after(&mut self, delay: u64, due: Due) {
-        self.order += 1;
-        self.due.push(Reverse((self.now + delay, self.order, due)));
+    fn schedule_after(&mut self, delay: u64, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.scheduled.push(Reverse((self.now + delay, self.sequence, event)));
     }
 
-    fn run(mut self) -> (u64, Seen) {
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
-            if at > SECOND + LENGTH {
+    fn run(mut self) -> (u64, ActionCounts) {
+        while let Some(Reverse((time, _, event))) = self.scheduled.pop() {
+            if time > SECOND + DURATION {
                 break;
             }
-            self.now = at;
-            self.on_due(due);
+            self.now = time;
+            self.process(event);
         }
-        (self.digest.0, self.seen)
+        (self.digest.0, self.counts)
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.on_arrival(),
-            Due::Timer(token) => self.tell(Event::Timer(token)),
-            Due::AttemptOver { id, attempt } => self.on_attempt_over(id, attempt),
-            Due::ClientLeaves(id) => self.on_client_leaves(id),
-            Due::QueryOver(endpoint) => {
-                let load = held(self.in_flight[endpoint as usize] as f32);
-                self.tell(Event::LoadQueryEnded(EndpointId(endpoint), AttemptOutcome::Success, load));
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.on_arrival(),
+            ScheduledEvent::Timer(token) => self.handle(Event::Timer(token)),
+            ScheduledEvent::AttemptEnds { id, attempt } => self.on_attempt_ends(id, attempt),
+            ScheduledEvent::ClientDisconnects(id) => self.on_client_disconnects(id),
+            ScheduledEvent::LoadQueryEnds(endpoint) => {
+                let load = load_report(self.in_flight[endpoint as usize] as f32);
+                self.handle(Event::LoadQueryEnded(EndpointId(endpoint), AttemptOutcome::Success, load));
             }
-            Due::Step(step) => self.on_step(step),
+            ScheduledEvent::ScriptStep(step) => self.run_script_step(step),
         }
     }
 
@@ -164,29 +168,29 @@
     // ---- Clients ----
 
     fn on_arrival(&mut self) {
-        let rise = if BURST.contains(&self.since_start()) { BURST_RISE } else { 1.0 };
-        let rate = self.rate * rise;
+        let multiple = if BURST_PERIOD.contains(&self.since_start()) { BURST_MULTIPLE } else { 1.0 };
+        let rate = self.rate * multiple;
         let gap = (-self.rng.f64().max(1e-9).ln() / rate * SECOND as f64) as u64;
-        self.after(gap, Due::Arrival);
+        self.schedule_after(gap, ScheduledEvent::Arrival);
         let id = self.next_id;
         self.next_id += 1;
         let class = self.rng.usize(..5);
         let streaming = self.rng.f64() < 0.03;
-        self.calls.insert(id, Call { class, streaming, ..Call::default() });
+        self.requests.insert(id, Request { class, streaming, ..Request::default() });
         let work = (self.rng.f64() < 0.5).then(|| self.rng.u64(..10 * MS));
         let tenant = self.rng.usize(..3);
-        let demand = IncomingRequest { class, tenant, time_left: 1500 * MS, work, streaming };
+        let incoming = IncomingRequest { class, tenant, time_left: 1500 * MS, work, streaming };
         if self.rng.f64() < 0.04 {
             let delay = self.rng.u64(..100 * MS);
-            self.after(delay, Due::ClientLeaves(id));
+            self.schedule_after(delay, ScheduledEvent::ClientDisconnects(id));
         }
-        self.tell(Event::Request(RequestId(id), demand));
+        self.handle(Event::Request(RequestId(id), incoming));
     }
 
-    fn on_client_leaves(&mut self, id: u32) {
-        if self.calls.get(&id).is_some_and(|call| !call.closed) {
-            self.calls.entry(id).and_modify(|call| call.closed = true);
-            self.tell(Event::ClientDisconnected(RequestId(id)));
+    fn on_client_disconnects(&mut self, id: u32) {
+        if self.requests.get(&id).is_some_and(|request| !request.closed) {
+            self.requests.entry(id).and_modify(|request| request.closed = true);
+            self.handle(Event::ClientDisconnected(RequestId(id)));
         }
     }
 
@@ -196,36 +200,37 @@
         let outcome = self.outcome(id, endpoint);
         let load = f64::from(self.in_flight[endpoint as usize]);
         let base = 4.0 + 8.0 * self.rng.f64();
-        let slow = if FAULTS.contains(&self.since_start()) && endpoint == 5 { 20.0 } else { 1.0 };
-        let took = match outcome {
+        let slowdown = if FAULT_PERIOD.contains(&self.since_start()) && endpoint == 5 { 20.0 } else { 1.0 };
+        let duration = match outcome {
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed => MS / 2,
-            _ => (base * slow * (1.0 + load * load / 12.0) * MS as f64) as u64,
+            _ => (base * slowdown * (1.0 + load * load / 12.0) * MS as f64) as u64,
         };
-        let left = until.saturating_sub(self.now);
-        let (took, outcome) = if took >= left { (left, AttemptOutcome::Timeout) } else { (took, outcome) };
+        let time_left = until.saturating_sub(self.now);
+        let (duration, outcome) =
+            if duration >= time_left { (time_left, AttemptOutcome::Timeout) } else { (duration, outcome) };
         let now = self.now;
-        let call = self.calls.get_mut(&id).expect("a request that was made");
-        let attempt = call.attempts;
-        call.attempts += 1;
-        call.in_flight = Some((endpoint, now, outcome));
+        let request = self.requests.get_mut(&id).expect("the request was sent by a client");
+        let attempt = request.attempts;
+        request.attempts += 1;
+        request.in_flight = Some((endpoint, now, outcome));
         self.in_flight[endpoint as usize] += 1;
-        self.seen.attempts += 1;
-        self.seen.retries += u64::from(attempt > 0);
-        self.after(took, Due::AttemptOver { id, attempt });
+        self.counts.attempts += 1;
+        self.counts.retries += u64::from(attempt > 0);
+        self.schedule_after(duration, ScheduledEvent::AttemptEnds { id, attempt });
     }
 
     fn outcome(&mut self, id: u32, endpoint: u32) -> AttemptOutcome {
         let chance = self.rng.f64();
-        let class = self.calls[&id].class;
-        if endpoint == 0 && self.since_start() >= FAULTS.start && chance < 0.9 {
-            return AttemptOutcome::Error; // to the end: its breaker opens for longer and longer
+        let class = self.requests[&id].class;
+        if endpoint == 0 && self.since_start() >= FAULT_PERIOD.start && chance < 0.9 {
+            return AttemptOutcome::Error; // until the end, so that its breaker opens for longer and longer
         }
-        if FAULTS.contains(&self.since_start()) {
+        if FAULT_PERIOD.contains(&self.since_start()) {
             match endpoint {
-                1 if class == UNSAFE || class == KEYED_ALL => return AttemptOutcome::Rejected,
+                1 if class == NON_IDEMPOTENT || class == KEYED_ALL => return AttemptOutcome::Rejected,
                 2 if chance < 0.8 => return AttemptOutcome::ConnectFailed,
                 3 if chance < 0.7 => return AttemptOutcome::Reset,
-                6.. if self.is_reaped(endpoint) => return AttemptOutcome::Reset,
+                6.. if self.is_idle_cut(endpoint) => return AttemptOutcome::Reset,
                 _ => {}
             }
         }
@@ -238,56 +243,51 @@
         }
     }
 
-    /// Whether the connections to an endpoint have been idle for so long that something between cuts them.
-    fn is_reaped(&self, endpoint: u32) -> bool {
-        let at = endpoint as usize;
-        self.in_flight[at] == 0 && self.now - self.idle_since[at] > REAPED_AFTER
+    /// Whether the connections to an endpoint have been idle for so long that a middlebox cuts them.
+    fn is_idle_cut(&self, endpoint: u32) -> bool {
+        let index = endpoint as usize;
+        self.in_flight[index] == 0 && self.now - self.idle_since[index] > IDLE_CUT_AFTER
     }
 
-    fn on_attempt_over(&mut self, id: u32, attempt: u32) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some((endpoint, sent, outcome)) = call.in_flight.filter(|_| call.attempts == attempt + 1) else {
+    fn on_attempt_ends(&mut self, id: u32, attempt: u32) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some((endpoint, sent_at, outcome)) =
+            request.in_flight.filter(|_| request.attempts == attempt + 1)
+        else {
             return;
         };
-        if call.streaming && !call.started && outcome == AttemptOutcome::Success {
-            call.started = true;
-            call.closed = true;
-            self.tell(Event::ResponseStarted(RequestId(id), attempt));
-            return self.after(30 * MS, Due::AttemptOver { id, attempt });
+        if request.streaming && !request.response_started && outcome == AttemptOutcome::Success {
+            request.response_started = true;
+            request.closed = true;
+            self.handle(Event::ResponseStarted(RequestId(id), attempt));
+            return self.schedule_after(30 * MS, ScheduledEvent::AttemptEnds { id, attempt });
         }
-        call.in_flight = None;
+        request.in_flight = None;
         let closed =
-            call.closed || matches!(outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
-        call.closed = closed;
+            request.closed || matches!(outcome, AttemptOutcome::Success | AttemptOutcome::InvalidRequest);
+        request.closed = closed;
         self.in_flight[endpoint as usize] -= 1;
         self.idle_since[endpoint as usize] = self.now;
-        let spent = call.streaming;
-        let elapsed = self.now - sent;
-        let end = AttemptEnd {
-            attempt,
-            outcome,
-            elapsed,
-            request_closed: closed,
-            body_consumed: spent,
-            load: None,
-        };
-        self.tell(Event::AttemptEnded(RequestId(id), end));
+        let body_consumed = request.streaming;
+        let elapsed = self.now - sent_at;
+        let end = AttemptEnd { attempt, outcome, elapsed, request_closed: closed, body_consumed, load: None };
+        self.handle(Event::AttemptEnded(RequestId(id), end));
     }
 
     // ---- Discovery and operators ----
 
-    fn on_step(&mut self, step: usize) {
+    fn run_script_step(&mut self, step: usize) {
         match step {
-            4 => self.tell(Event::DiscoveryFailed),
+            4 => self.handle(Event::DiscoveryFailed),
             5 => self.restart(7),
-            8 => self.change(8, EndpointState::Draining),
-            9 => self.change(8, EndpointState::Removed),
-            12 => self.tell(Event::Offline(EndpointId(9))),
-            15 => self.tell(Event::Online(EndpointId(9))),
-            16 => self.tell(Event::DiscoveryMoved),
+            8 => self.change_state(8, EndpointState::Draining),
+            9 => self.change_state(8, EndpointState::Removed),
+            12 => self.handle(Event::Offline(EndpointId(9))),
+            15 => self.handle(Event::Online(EndpointId(9))),
+            16 => self.handle(Event::DiscoveryMoved),
             18 => (0..4).for_each(|endpoint| self.restart(endpoint)),
-            20 => self.tell(Event::DiscoveryFailed),
-            22 => self.tell_list(),
+            20 => self.handle(Event::DiscoveryFailed),
+            22 => self.send_list(),
             30 => (0..ENDPOINTS).for_each(|endpoint| self.restart(endpoint)),
             _ => {}
         }
@@ -298,39 +298,40 @@
         let Some(entry) = self.list.iter_mut().find(|entry| entry.endpoint.0 == endpoint) else { return };
         entry.started = Some(now);
         let entry = entry.clone();
-        self.tell(Event::EndpointsChanged(&[entry]));
+        self.handle(Event::EndpointsChanged(&[entry]));
     }
 
-    fn change(&mut self, endpoint: u32, lifecycle: EndpointState) {
-        let position = self.list.iter().position(|entry| entry.endpoint.0 == endpoint).expect("a listed one");
-        self.list[position].state = lifecycle;
+    fn change_state(&mut self, endpoint: u32, state: EndpointState) {
+        let position =
+            self.list.iter().position(|entry| entry.endpoint.0 == endpoint).expect("the endpoint is listed");
+        self.list[position].state = state;
         let entry = self.list[position].clone();
-        if lifecycle == EndpointState::Removed {
+        if state == EndpointState::Removed {
             self.list.remove(position);
         }
-        self.tell(Event::EndpointsChanged(&[entry]));
+        self.handle(Event::EndpointsChanged(&[entry]));
     }
 
-    fn tell_list(&mut self) {
+    fn send_list(&mut self) {
         let list = self.list.clone();
-        self.tell(Event::EndpointList(&list));
+        self.handle(Event::EndpointList(&list));
     }
 
     // ---- The module ----
 
-    fn tell(&mut self, event: Event<'_>) {
+    fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.record(&action);
-            self.act(&action);
+            self.execute(&action);
         }
     }
 
     fn record(&mut self, action: &Action) {
         if let Action::Log(text) = action {
-            self.seen.breaker_openings += u64::from(text.contains("breaker"));
-            self.seen.shedding_began += u64::from(text.contains("shedding began"));
+            self.counts.breaker_openings += u64::from(text.contains("breaker"));
+            self.counts.shedding_began += u64::from(text.contains("shedding began"));
             return;
         }
         let mut reply = Reply::default();
@@ -338,64 +339,64 @@
         let mut bytes = Vec::new();
         reply.finish(0, &mut bytes);
         self.digest.add(&bytes);
-        self.seen.actions += 1;
+        self.counts.actions += 1;
     }
 
-    fn act(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match *action {
-            Action::Send { id, endpoint: server, until, begin_by } => {
-                self.digest.add(&begin_by.unwrap_or(0).to_le_bytes()); // the adapter's wire does not carry it
-                self.send(id.0, server.0, until);
+            Action::Send { id, endpoint, until, begin_by } => {
+                self.digest.add(&begin_by.unwrap_or(0).to_le_bytes()); // not part of the adapter's protocol
+                self.send(id.0, endpoint.0, until);
             }
-            Action::SetTimer { after, token } => self.after(after, Due::Timer(token)),
+            Action::SetTimer { after, token } => self.schedule_after(after, ScheduledEvent::Timer(token)),
             Action::Reject { id, .. } => {
-                self.seen.rejected += 1;
+                self.counts.rejected += 1;
                 self.close(id);
             }
             Action::Fail(id) => {
-                self.seen.failed += 1;
+                self.counts.failed += 1;
                 self.close(id);
             }
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
             Action::QueryLoad(endpoint) => {
-                self.seen.queries += 1;
+                self.counts.queries += 1;
                 let delay = self.rng.u64(..7 * MS);
-                self.after(delay, Due::QueryOver(endpoint.0));
+                self.schedule_after(delay, ScheduledEvent::LoadQueryEnds(endpoint.0));
             }
-            Action::CloseIdle(_) => self.seen.closed_idle += 1,
-            Action::WatchEndpoints => self.seen.watches += 1,
+            Action::CloseIdle(_) => self.counts.closed_idle += 1,
+            Action::WatchEndpoints => self.counts.watches += 1,
             Action::Log(_) => {}
         }
     }
 
     fn close(&mut self, id: RequestId) {
-        self.calls.entry(id.0).and_modify(|call| call.closed = true);
+        self.requests.entry(id.0).and_modify(|request| request.closed = true);
     }
 
     fn cancel(&mut self, id: RequestId, attempt: u32) {
         assert!(self.may_cancel);
-        self.seen.cancelled += 1;
-        if let Some(call) = self.calls.get_mut(&id.0)
-            && let Some((_, _, outcome)) = &mut call.in_flight
+        self.counts.cancelled += 1;
+        if let Some(request) = self.requests.get_mut(&id.0)
+            && let Some((_, _, outcome)) = &mut request.in_flight
         {
             *outcome = AttemptOutcome::Cancelled;
-            self.after(MS, Due::AttemptOver { id: id.0, attempt });
+            self.schedule_after(MS, ScheduledEvent::AttemptEnds { id: id.0, attempt });
         }
     }
 }
 
-fn play(name: &str, settings: Settings, rate: f64) -> (String, Seen) {
-    let (digest, seen) = World::new(settings, rate, 17).run();
-    (format!("{name} {digest:016x} {}", seen.actions), seen)
+fn run_scenario(name: &str, settings: Settings, rate: f64) -> (String, ActionCounts) {
+    let (digest, counts) = Simulation::new(settings, rate, 17).run();
+    (format!("{name} {digest:016x} {}", counts.actions), counts)
 }
 
-/// Settings in which every part of the module has something to do.
-fn busy() -> Settings {
+/// Settings that exercise every part of the module.
+fn base_settings() -> Settings {
     let tenant = Tenant { quota_rps: 300.0 };
     Settings { tenants: vec![tenant; 3], warm_up_time: 3 * SECOND, max_retry_after: SECOND, ..settings() }
 }
 
-/// Guards the decisions over a change that should not alter any.
+/// Guards the decisions against unintended changes.
 #[test]
 fn actions_are_those_that_were_recorded() {
     let polled = Settings {
@@ -403,24 +404,28 @@
         replicas: 40,
         cross_zone_price: 0.02,
         idle_timeout: SECOND / 2,
-        ..busy()
+        ..base_settings()
+    };
+    let queried = Settings {
+        reported_in_flight: Some(0),
+        load_on_request: true,
+        weight_by_work: true,
+        ..base_settings()
     };
-    let queried =
-        Settings { reported_in_flight: Some(0), load_on_request: true, weight_by_work: true, ..busy() };
-    let deeper = Settings { tier: 1, may_cancel: false, propagates_deadline: false, ..busy() };
-    let (pushed_line, pushed) = play("pushed", busy(), BUSY);
-    let (polled_line, polled) = play("polled", polled, BUSY);
-    let (queried_line, queried) = play("queried", queried, BUSY);
-    let (deeper_line, deeper) = play("deeper", deeper, BUSY);
-    let (sparse_line, sparse) = play("sparse", busy(), SPARSE);
-    for seen in [&pushed, &polled, &queried, &deeper] {
-        assert!(seen.retries > 50 && seen.breaker_openings > 0 && seen.closed_idle > 20, "{seen:?}");
+    let deeper = Settings { tier: 1, may_cancel: false, propagates_deadline: false, ..base_settings() };
+    let (pushed_line, pushed) = run_scenario("pushed", base_settings(), BUSY_RATE);
+    let (polled_line, polled) = run_scenario("polled", polled, BUSY_RATE);
+    let (queried_line, queried) = run_scenario("queried", queried, BUSY_RATE);
+    let (deeper_line, deeper) = run_scenario("deeper", deeper, BUSY_RATE);
+    let (sparse_line, sparse) = run_scenario("sparse", base_settings(), SPARSE_RATE);
+    for counts in [&pushed, &polled, &queried, &deeper] {
+        assert!(counts.retries > 50 && counts.breaker_openings > 0 && counts.closed_idle > 20, "{counts:?}");
     }
-    for seen in [&pushed, &polled, &queried] {
-        assert!(seen.rejected > 100 && seen.shedding_began > 0 && seen.cancelled > 20, "{seen:?}");
+    for counts in [&pushed, &polled, &queried] {
+        assert!(counts.rejected > 100 && counts.shedding_began > 0 && counts.cancelled > 20, "{counts:?}");
     }
     assert!(polled.watches > 0 && queried.queries > 1000 && pushed.failed > 0, "{polled:?} {queried:?}");
     assert!(sparse.closed_idle > 20 && sparse.retries > 0, "{sparse:?}");
-    let played = [pushed_line, polled_line, queried_line, deeper_line, sparse_line].join("\n");
-    assert_eq!(played, RECORDED.trim_end(), "now:\n{played}\n");
+    let results = [pushed_line, polled_line, queried_line, deeper_line, sparse_line].join("\n");
+    assert_eq!(results, RECORDED.trim_end(), "results of this version:\n{results}\n");
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,762 +1,885 @@
-//! One test for each failure found by measurement. Each fails without the fix that it names.
+//! Regression tests: one for each failure found by measurement. Each fails without the fix that it names.
 
 mod common;
 use balancer::decision::*;
 use common::*;
 
-/// A full server refuses at once, so it held none of our calls and got all turns of the others at their limit.
+/// A full endpoint rejects at once, so it had no requests in flight and got all requests whose endpoints were
+/// at their limit.
 #[test]
-fn refusing_server_does_not_draw_the_turns_of_busy_ones() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(200);
-    let mut refusals = 0;
+fn rejecting_endpoint_does_not_attract_the_requests_of_busy_ones() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(200);
+    let mut rejections = 0;
     for _ in 0..40 {
-        let (id, mut actions) = rig.demand(SAFE);
+        let (id, mut actions) = balancer.request(IDEMPOTENT);
         let mut attempt = 0;
-        while sent(&actions) == Some(3) {
-            refusals += 1;
-            actions = rig.end(id, attempt, AttemptOutcome::Rejected, MS / 10);
+        while sent_to(&actions) == Some(3) {
+            rejections += 1;
+            actions = balancer.end_attempt(id, attempt, AttemptOutcome::Rejected, MS / 10);
             attempt += 1;
         }
     }
-    assert!(refusals <= 2, "{refusals} of 40 requests went to the refusing server");
+    assert!(rejections <= 2, "{rejections} of 40 requests went to the rejecting endpoint");
 }
 
-/// A zone whose servers all refuse looks idle by our own counts: it kept all calls of its balancers.
+/// A zone whose endpoints all reject looks idle by the requests in flight: its balancers kept sending all
+/// requests to it.
 #[test]
-fn zone_that_only_refuses_is_left() {
-    let mut rig = Rig::new(settings(), &zones(2, 3));
-    rig.warm_up(100);
+fn zone_that_only_rejects_is_avoided() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 3));
+    balancer.warm_up(100);
     let mut elsewhere = 0;
     for _ in 0..20 {
-        let (id, mut actions) = rig.demand(SAFE);
-        elsewhere += u32::from(sent(&actions).is_some_and(|server| server >= 3));
+        let (id, mut actions) = balancer.request(IDEMPOTENT);
+        elsewhere += u32::from(sent_to(&actions).is_some_and(|endpoint| endpoint >= 3));
         for attempt in 0..4 {
-            rig.now += MS;
-            let Some(server) = sent(&actions) else { break };
-            let outcome = if server < 3 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
-            actions = rig.end(id, attempt, outcome, MS);
+            balancer.now += MS;
+            let Some(endpoint) = sent_to(&actions) else { break };
+            let outcome = if endpoint < 3 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
+            actions = balancer.end_attempt(id, attempt, outcome, MS);
         }
     }
-    assert!(elsewhere >= 10, "{elsewhere} of 20 requests went elsewhere at once");
+    assert!(elsewhere >= 10, "{elsewhere} of 20 requests were sent to the other zone first");
 }
 
-/// A server that refused one class was passed over for all, and its neighbours choked; and each call of that class
-/// tried it first.
+/// An endpoint that rejected one class was skipped for all classes, which overloaded its neighbours; and each
+/// request of that class was sent to it first.
 #[test]
-fn server_that_refuses_one_class_keeps_its_turns_of_the_others() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
-    let (mut refused, mut kept) = (0, 0);
-    let mut rng = fastrand::Rng::with_seed(7); // classes in a fixed order would fall in step with the turns
+fn endpoint_that_rejects_one_class_keeps_its_share_of_the_others() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
+    let (mut rejected, mut kept) = (0, 0);
+    let mut rng = fastrand::Rng::with_seed(7); // classes in a fixed order would align with the selection order
     for _ in 0..600 {
         if rng.u8(..3) > 0 {
-            kept += u32::from(rig.serve(SAFE, 20 * MS) == Some(1));
+            kept += u32::from(balancer.serve(IDEMPOTENT, 20 * MS) == Some(1));
             continue;
         }
-        let full = |server| if server == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
-        let (tried, end) = rig.run(UNSAFE, full);
-        assert_eq!(end, None, "another one serves it");
-        refused += u32::from(tried.contains(&1));
+        let rejecting =
+            |endpoint| if endpoint == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success };
+        let (tried, end) = balancer.run_attempts(NON_IDEMPOTENT, rejecting);
+        assert_eq!(end, None, "another endpoint serves it");
+        rejected += u32::from(tried.contains(&1));
     }
-    assert!(refused <= 15, "{refused} of some 200 calls were refused first");
-    assert!(kept >= 90, "{kept} of some 400 calls of the other class went to it");
+    assert!(rejected <= 15, "{rejected} of some 200 requests were rejected first");
+    assert!(kept >= 90, "{kept} of some 400 requests of the other class went to it");
 }
 
-/// A server that failed one class kept its breaker closed by its answers to the others, and a quarter of it failed.
+/// An endpoint that failed one class kept its breaker closed by its answers to the others, and a quarter of
+/// that class failed.
 #[test]
-fn server_that_fails_one_class_gets_no_more_of_it() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
+fn endpoint_that_fails_one_class_gets_no_more_of_it() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
     let (mut failed, mut kept) = (0, 0);
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..600 {
         if rng.u8(..3) > 0 {
-            kept += u32::from(rig.serve(SAFE, 20 * MS) == Some(1));
+            kept += u32::from(balancer.serve(IDEMPOTENT, 20 * MS) == Some(1));
         } else {
-            let error = |server| if server == 1 { AttemptOutcome::Error } else { AttemptOutcome::Success };
-            failed += u32::from(rig.run(UNSAFE, error).0.contains(&1));
+            let failing =
+                |endpoint| if endpoint == 1 { AttemptOutcome::Error } else { AttemptOutcome::Success };
+            failed += u32::from(balancer.run_attempts(NON_IDEMPOTENT, failing).0.contains(&1));
         }
     }
-    assert!(failed <= 20, "{failed} of some 200 calls failed");
-    assert!(kept >= 50, "{kept} of some 400 calls of the other class went to it");
+    assert!(failed <= 20, "{failed} of some 200 requests failed");
+    assert!(kept >= 50, "{kept} of some 400 requests of the other class went to it");
 }
 
-/// A small server took turns by its listed size, though it served far less, and timed out a third of them.
+/// A slow endpoint got requests in proportion to its listed capacity although it served far fewer, and a
+/// third of them timed out.
 #[test]
-fn slow_server_gives_up_turns() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    let mut turns = [0; 4];
+fn slow_endpoint_gets_fewer_requests() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    let mut selections = [0; 4];
     for _ in 0..400 {
-        let (id, actions) = rig.demand(SAFE);
-        let Some(server) = sent(&actions) else { continue };
-        turns[server as usize] += 1;
-        let took = if server == 0 { 80 * MS } else { 20 * MS };
-        rig.now += took;
-        rig.end(id, 0, AttemptOutcome::Success, took);
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        let Some(endpoint) = sent_to(&actions) else { continue };
+        selections[endpoint as usize] += 1;
+        let latency = if endpoint == 0 { 80 * MS } else { 20 * MS };
+        balancer.now += latency;
+        balancer.end_attempt(id, 0, AttemptOutcome::Success, latency);
     }
-    assert!(turns[0] * 3 < turns[1], "{turns:?}");
+    assert!(selections[0] * 3 < selections[1], "{selections:?}");
 }
 
-/// A hung server shows by nothing but calls that never end, and unsafe calls have no limit short of the deadline.
+/// A hung endpoint shows only in attempts that never end, and attempts of non-idempotent requests have no
+/// timeout before the deadline.
 #[test]
-fn hung_server_trips_before_the_deadline_of_unsafe_calls() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    for call in 0..60 {
-        rig.serve(UNSAFE, (15 + call % 10) * MS);
+fn hung_endpoint_trips_before_the_deadline_of_non_idempotent_requests() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    for index in 0..60 {
+        balancer.serve(NON_IDEMPOTENT, (15 + index % 10) * MS);
     }
-    let mut stuck = Vec::new();
+    let mut hung = Vec::new();
     for _ in 0..200 {
-        let (id, actions) = rig.demand(UNSAFE);
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
         let timer = actions.iter().find_map(|action| match action {
-            Action::SetTimer { after, token } => Some((rig.now + after, *token)),
+            Action::SetTimer { after, token } => Some((balancer.now + after, *token)),
             _ => None,
         });
-        if sent(&actions) == Some(1) {
-            stuck.push(timer.expect("an overdue timer"));
+        if sent_to(&actions) == Some(1) {
+            hung.push(timer.expect("an overdue timer"));
         } else {
-            rig.now += 20 * MS;
-            rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
+            balancer.now += 20 * MS;
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, 20 * MS);
         }
-        let now = rig.now;
-        for (_, token) in stuck.extract_if(.., |(due, _)| *due <= now) {
-            rig.tell(Event::Timer(token));
+        let now = balancer.now;
+        for (_, token) in hung.extract_if(.., |(due, _)| *due <= now) {
+            balancer.handle(Event::Timer(token));
         }
-        if rig.now > 5 * SECOND {
+        if balancer.now > 5 * SECOND {
             break;
         }
     }
-    let after: Vec<_> = (0..12).filter_map(|_| rig.serve(UNSAFE, 5 * MS)).collect();
+    let after: Vec<_> = (0..12).filter_map(|_| balancer.serve(NON_IDEMPOTENT, 5 * MS)).collect();
     assert!(!after.contains(&1), "{after:?}");
 }
 
-/// In a jam the mean rose, until the time-outs of a server that got stuck passed for limits that were too short.
+/// Under overload the mean latency rose until the timeouts of a hung endpoint were attributed to timeouts
+/// that were too short.
 #[test]
-fn stuck_server_trips_in_a_jam_too() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    for call in 0..130 {
-        rig.serve(UNSAFE, if call < 100 { 20 * MS } else { 100 * MS });
+fn hung_endpoint_trips_under_overload_too() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    for index in 0..130 {
+        balancer.serve(NON_IDEMPOTENT, if index < 100 { 20 * MS } else { 100 * MS });
     }
-    let mut stuck = 0;
+    let mut hung = 0;
     for _ in 0..14 {
-        let (id, actions) = rig.demand(UNSAFE);
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
         let outcome =
-            if sent(&actions) == Some(1) { AttemptOutcome::Timeout } else { AttemptOutcome::Success };
-        stuck += u32::from(outcome == AttemptOutcome::Timeout);
-        rig.now += 90 * MS;
-        rig.end(id, 0, outcome, 90 * MS);
+            if sent_to(&actions) == Some(1) { AttemptOutcome::Timeout } else { AttemptOutcome::Success };
+        hung += u32::from(outcome == AttemptOutcome::Timeout);
+        balancer.now += 90 * MS;
+        balancer.end_attempt(id, 0, outcome, 90 * MS);
     }
-    assert!(stuck <= 3, "{stuck} of 14 calls went to the server that answers none");
+    assert!(hung <= 3, "{hung} of 14 requests went to the endpoint that answers none");
 }
 
-/// The calls of one burst each opened the breaker anew: its open time reached the cap, and a healed server idled.
+/// Each failure of one burst opened the breaker anew: its open time grew to the maximum, and a recovered
+/// endpoint got no requests.
 #[test]
 fn burst_of_failures_opens_a_breaker_once() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(100);
-    let burst: Vec<_> = (0..16).map(|_| rig.demand(UNSAFE)).collect();
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(100);
+    let burst: Vec<_> = (0..16).map(|_| balancer.request(NON_IDEMPOTENT)).collect();
     for (id, actions) in burst {
-        let outcome = if sent(&actions) == Some(1) { AttemptOutcome::Reset } else { AttemptOutcome::Success };
-        rig.end(id, 0, outcome, 20 * MS);
+        let outcome =
+            if sent_to(&actions) == Some(1) { AttemptOutcome::Reset } else { AttemptOutcome::Success };
+        balancer.end_attempt(id, 0, outcome, 20 * MS);
     }
-    let open: Vec<_> = (0..4).filter_map(|_| rig.serve(SAFE, MS)).collect();
-    assert_eq!(open, [0; 4], "it is open");
-    rig.now += 1100 * MS;
-    let trial: Vec<_> = (0..4).filter_map(|_| rig.serve(SAFE, MS)).collect();
+    let while_open: Vec<_> = (0..4).filter_map(|_| balancer.serve(IDEMPOTENT, MS)).collect();
+    assert_eq!(while_open, [0; 4], "the breaker is open");
+    balancer.now += 1100 * MS;
+    let trial: Vec<_> = (0..4).filter_map(|_| balancer.serve(IDEMPOTENT, MS)).collect();
     assert!(trial.contains(&1), "the first open time is over: {trial:?}");
 }
 
-/// Heavy requests stay heavy on a retry: a limit near the mean cut them again and again.
+/// Heavy requests are heavy on a retry, too: a timeout near the mean latency cut them off again and again.
 #[test]
-fn attempt_limit_leaves_room_for_heavy_requests() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    for call in 0..200 {
-        rig.serve(SAFE, if call % 5 == 0 { 60 * MS } else { 10 * MS });
+fn attempt_timeout_leaves_room_for_heavy_requests() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    for index in 0..200 {
+        balancer.serve(IDEMPOTENT, if index % 5 == 0 { 60 * MS } else { 10 * MS });
     }
-    let (_, actions) = rig.demand(SAFE);
-    let Some(Action::Send { until, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. })) else {
+    let (_, actions) = balancer.request(IDEMPOTENT);
+    let Some(Action::Send { until, .. }) =
+        actions.iter().find(|action| matches!(action, Action::Send { .. }))
+    else {
         panic!("{actions:?}")
     };
-    assert!(until - rig.now > 150 * MS && until - rig.now < 2 * SECOND, "{} ms", (until - rig.now) / MS);
+    assert!(
+        until - balancer.now > 150 * MS && until - balancer.now < 2 * SECOND,
+        "{} ms",
+        (until - balancer.now) / MS
+    );
 }
 
-/// The latency of past answers shows an overload late; what is held over the answers shows it at once.
+/// The latency of past answers shows an overload late; requests in flight relative to answers show it at
+/// once.
 #[test]
-fn shedding_starts_while_the_jam_builds_up_and_ends_with_it() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(200);
-    let mut out = std::collections::VecDeque::new();
-    let mut first_refusal = None;
+fn shedding_starts_while_the_overload_builds_up_and_ends_with_it() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(200);
+    let mut in_flight = std::collections::VecDeque::new();
+    let mut first_rejection = None;
     for _ in 0..400 {
-        rig.now += 5 * MS;
+        balancer.now += 5 * MS;
         for _ in 0..2 {
-            let (id, actions) = rig.demand(SAFE);
-            match sent(&actions) {
-                Some(_) => out.push_back((id, rig.now)),
-                None => first_refusal = first_refusal.or(Some(rig.now)),
+            let (id, actions) = balancer.request(IDEMPOTENT);
+            match sent_to(&actions) {
+                Some(_) => in_flight.push_back((id, balancer.now)),
+                None => first_rejection = first_rejection.or(Some(balancer.now)),
             }
         }
-        if out.front().is_some_and(|(_, at)| rig.now - at > 20 * MS) {
-            let (id, at) = out.pop_front().expect("one is out");
-            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+        if in_flight.front().is_some_and(|(_, sent_at)| balancer.now - sent_at > 20 * MS) {
+            let (id, sent_at) = in_flight.pop_front().expect("a request is in flight");
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
         }
     }
-    let longest = out.front().map_or(0, |(_, at)| rig.now - at);
-    assert!(first_refusal.is_some() && longest < 500 * MS, "the oldest waits {} ms", longest / MS);
-    while let Some((id, at)) = out.pop_front() {
-        rig.now += 2 * MS;
-        rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+    let longest = in_flight.front().map_or(0, |(_, sent_at)| balancer.now - sent_at);
+    assert!(
+        first_rejection.is_some() && longest < 500 * MS,
+        "the oldest request has been waiting for {} ms",
+        longest / MS
+    );
+    while let Some((id, sent_at)) = in_flight.pop_front() {
+        balancer.now += 2 * MS;
+        balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
     }
-    rig.warm_up(40);
-    assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS).is_some()));
+    balancer.warm_up(40);
+    assert!((0..20).all(|_| balancer.serve(IDEMPOTENT, 20 * MS).is_some()));
 }
 
-/// Calls given up at once counted as quick answers, so a tier whose servers turned most calls away looked fast
-/// and nothing was shed.
+/// Failed requests counted as quick answers, so a tier that rejected most requests looked fast and nothing
+/// was shed.
 #[test]
-fn quick_failures_do_not_pass_for_quick_answers() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(200);
-    let mut out = std::collections::VecDeque::new();
+fn quick_failures_do_not_count_as_quick_answers() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(200);
+    let mut in_flight = std::collections::VecDeque::new();
     let mut shed = 0;
-    for call in 0..600 {
-        rig.now += 2 * MS;
-        let (id, mut actions) = rig.demand(SAFE);
-        shed += u32::from(sent(&actions).is_none());
+    for index in 0..600 {
+        balancer.now += 2 * MS;
+        let (id, mut actions) = balancer.request(IDEMPOTENT);
+        shed += u32::from(sent_to(&actions).is_none());
         let mut attempt = 0;
-        // Four in five are turned away, whatever is tried; the fifth is held for long.
-        while sent(&actions).is_some() {
-            if call % 5 == 0 {
-                out.push_back((id, attempt, rig.now));
+        // Four in five requests are rejected by every endpoint; the fifth is in flight for long.
+        while sent_to(&actions).is_some() {
+            if index % 5 == 0 {
+                in_flight.push_back((id, attempt, balancer.now));
                 break;
             }
-            actions = rig.end(id, attempt, AttemptOutcome::Rejected, MS / 10);
+            actions = balancer.end_attempt(id, attempt, AttemptOutcome::Rejected, MS / 10);
             attempt += 1;
         }
-        if out.front().is_some_and(|(_, _, sent)| rig.now - sent > 450 * MS) {
-            let (id, attempt, sent) = out.pop_front().expect("one is out");
-            rig.end(id, attempt, AttemptOutcome::Success, rig.now - sent);
+        if in_flight.front().is_some_and(|(_, _, sent_at)| balancer.now - sent_at > 450 * MS) {
+            let (id, attempt, sent_at) = in_flight.pop_front().expect("a request is in flight");
+            balancer.end_attempt(id, attempt, AttemptOutcome::Success, balancer.now - sent_at);
         }
     }
-    assert!(shed > 100, "{shed} of 600 were shed");
+    assert!(shed > 100, "{shed} of 600 requests were shed");
 }
 
-/// A caller with few calls holds twice its calm share by chance alone, and paid for crossings that helped nobody.
+/// A balancer with little traffic has twice its usual requests in flight by chance alone, and then paid for
+/// requests to other zones that helped nobody.
 #[test]
-fn chance_bunching_at_a_small_caller_stays_in_the_zone() {
-    let mut rig = Rig::new(settings(), &zones(2, 12));
-    // Calm: four calls at a time, each of 20 ms. Chance brings a few more than twice that.
-    let (mut held, mut strays) = (std::collections::VecDeque::new(), 0);
+fn random_bursts_at_a_low_traffic_balancer_stay_in_the_zone() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 12));
+    // The usual load is four requests in flight, 20 ms each. The bursts bring a few more than twice as many.
+    let (mut in_flight, mut crossings) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
-        rig.now += 5 * MS;
-        while held.front().is_some_and(|(_, sent)| rig.now - sent >= 20 * MS) {
-            let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+        balancer.now += 5 * MS;
+        while in_flight.front().is_some_and(|(_, sent_at)| balancer.now - sent_at >= 20 * MS) {
+            let (id, sent_at): (RequestId, u64) = in_flight.pop_front().expect("a request is in flight");
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
         }
-        let bunch = if step > 1000 && step % 20 == 0 { 7 } else { 1 };
-        for _ in 0..bunch {
-            let (id, actions) = rig.demand(SAFE);
-            strays += u32::from(sent(&actions).is_some_and(|server| server >= 12));
-            held.push_back((id, rig.now));
+        let burst = if step > 1000 && step % 20 == 0 { 7 } else { 1 };
+        for _ in 0..burst {
+            let (id, actions) = balancer.request(IDEMPOTENT);
+            crossings += u32::from(sent_to(&actions).is_some_and(|endpoint| endpoint >= 12));
+            in_flight.push_back((id, balancer.now));
         }
     }
-    assert_eq!(strays, 0, "calls that left a healthy zone");
+    assert_eq!(crossings, 0, "requests that left a healthy zone");
 }
 
-/// A balancer that had no answer yet took its first calls in flight for an overload and sent the next across zones.
+/// A balancer without any answer yet took its first requests in flight for an overload and sent the next ones
+/// to other zones.
 #[test]
-fn cold_balancer_stays_in_its_zone() {
-    let mut rig = Rig::new(settings(), &zones(2, 6));
-    let servers: Vec<u32> = (0..20).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
-    assert!(servers.len() == 20 && servers.iter().all(|&server| server < 6), "{servers:?}");
+fn new_balancer_stays_in_its_zone() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 6));
+    let endpoints: Vec<u32> = (0..20).filter_map(|_| sent_to(&balancer.request(IDEMPOTENT).1)).collect();
+    assert!(endpoints.len() == 20 && endpoints.iter().all(|&endpoint| endpoint < 6), "{endpoints:?}");
 }
 
-/// A server whose connections are all taken refuses new ones and answers the rest: breakers took it for dead, and
-/// as that befell half a zone the zone was left.
+/// An endpoint whose connections are all sent refuses new ones and answers on the others: breakers took it
+/// for dead, and when half of a zone was in that state, the zone was avoided.
 #[test]
-fn failed_connections_to_an_answering_server_do_not_trip_it() {
-    let mut rig = Rig::new(settings(), &zones(2, 4));
-    rig.warm_up(200);
-    let mut away = 0;
-    for call in 0..200 {
-        let (id, mut actions) = rig.demand(SAFE);
+fn failed_connections_to_an_answering_endpoint_do_not_trip_it() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 4));
+    balancer.warm_up(200);
+    let mut elsewhere = 0;
+    for index in 0..200 {
+        let (id, mut actions) = balancer.request(IDEMPOTENT);
         let mut attempt = 0;
-        while let Some(server) = sent(&actions) {
-            away += u32::from(server >= 4);
-            rig.now += MS;
-            let outcome = if (call + attempt) % 4 != 0 {
+        while let Some(endpoint) = sent_to(&actions) {
+            elsewhere += u32::from(endpoint >= 4);
+            balancer.now += MS;
+            let outcome = if (index + attempt) % 4 != 0 {
                 AttemptOutcome::ConnectFailed
             } else {
                 AttemptOutcome::Success
             };
-            actions =
-                rig.end(id, attempt, outcome, if outcome == AttemptOutcome::Success { 20 * MS } else { MS });
+            actions = balancer.end_attempt(
+                id,
+                attempt,
+                outcome,
+                if outcome == AttemptOutcome::Success { 20 * MS } else { MS },
+            );
             if outcome == AttemptOutcome::Success {
                 break;
             }
             attempt += 1;
         }
-        rig.now += 20 * MS;
+        balancer.now += 20 * MS;
     }
-    // Two in three calls may try another zone at the end of their attempts, but the zone itself is kept.
-    let home = counts_home(&mut rig);
-    assert!(home >= 15, "{home} of 20 calls stay in the zone, {away} attempts left it");
+    // Two in three requests may try another zone with their last attempts, but the zone itself stays in use.
+    let in_zone = count_in_own_zone(&mut balancer);
+    assert!(in_zone >= 15, "{in_zone} of 20 requests stay in the zone, {elsewhere} attempts left it");
 }
 
-fn counts_home(rig: &mut Rig) -> usize {
-    rig.now += SECOND / 2;
-    (0..20).filter_map(|_| rig.serve(UNSAFE, 20 * MS)).filter(|&server| server < 4).count()
+/// Of 20 requests half a second later, the number that are sent to the own zone.
+fn count_in_own_zone(balancer: &mut TestBalancer) -> usize {
+    balancer.now += SECOND / 2;
+    (0..20).filter_map(|_| balancer.serve(NON_IDEMPOTENT, 20 * MS)).filter(|&endpoint| endpoint < 4).count()
 }
 
-/// The idle connections of a burst kept those of other balancers out of servers with small tables.
+/// Idle connections left over from a burst kept other balancers from connecting to endpoints with small
+/// connection limits.
 #[test]
 fn connections_of_a_burst_are_closed_once_idle() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(50);
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(50);
     let burst: Vec<(RequestId, u32)> = (0..20)
         .filter_map(|_| {
-            let (id, actions) = rig.demand(SAFE);
-            Some((id, sent(&actions)?))
+            let (id, actions) = balancer.request(IDEMPOTENT);
+            Some((id, sent_to(&actions)?))
         })
         .collect();
     let mut idle = [0u32; 2];
-    rig.now += 30 * MS;
-    for (id, server) in burst {
-        idle[server as usize] += 1;
-        for action in rig.end(id, 0, AttemptOutcome::Success, 30 * MS) {
+    balancer.now += 30 * MS;
+    for (id, endpoint) in burst {
+        idle[endpoint as usize] += 1;
+        for action in balancer.end_attempt(id, 0, AttemptOutcome::Success, 30 * MS) {
             if let Action::CloseIdle(closed) = action {
                 idle[closed.0 as usize] = 0;
             }
         }
     }
-    assert!(idle.iter().all(|&n| n <= 2), "idle connections left: {idle:?}");
+    assert!(idle.iter().all(|&count| count <= 2), "idle connections that stayed open: {idle:?}");
     let closed = (0..20).any(|_| {
-        let (id, _) = rig.demand(SAFE);
-        rig.now += 20 * MS;
-        rig.end(id, 0, AttemptOutcome::Success, 20 * MS)
+        let (id, _) = balancer.request(IDEMPOTENT);
+        balancer.now += 20 * MS;
+        balancer
+            .end_attempt(id, 0, AttemptOutcome::Success, 20 * MS)
             .iter()
             .any(|action| matches!(action, Action::CloseIdle(_)))
     });
-    assert!(!closed, "a steady caller keeps its connection");
+    assert!(!closed, "a balancer with steady traffic keeps its connection");
 }
 
-fn asking() -> Settings {
+/// Settings with which endpoints are queried for their load before each request.
+fn load_query_settings() -> Settings {
     Settings { reported_in_flight: Some(0), load_on_request: true, ..settings() }
 }
 
-/// A caller with one call a second can't see by its own counts that others keep a server busy.
+/// A balancer with one request a second can't see by its own requests in flight that others keep an endpoint
+/// busy.
 #[test]
-fn least_loaded_of_the_asked_gets_the_call() {
-    let mut rig = Rig::new(asking(), &zones(2, 6));
+fn least_loaded_of_the_queried_endpoints_gets_the_request() {
+    let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(2, 6));
     for _ in 0..20 {
-        let (id, actions) = rig.demand(UNSAFE);
-        assert_eq!(sent(&actions), None, "nothing is sent before the asked have told");
-        let asked = probed(&actions);
-        assert!(asked.len() == 4 && asked.iter().all(|&server| server < 6), "{asked:?}");
-        let mut last = Vec::new();
-        for (at, &server) in asked.iter().enumerate() {
-            let load = if at == 2 { 0.0 } else { 3.0 };
-            last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
+        assert_eq!(sent_to(&actions), None, "nothing is sent before the load queries are answered");
+        let queried = queried_endpoints(&actions);
+        assert!(queried.len() == 4 && queried.iter().all(|&endpoint| endpoint < 6), "{queried:?}");
+        let mut last_actions = Vec::new();
+        for (position, &endpoint) in queried.iter().enumerate() {
+            let load = if position == 2 { 0.0 } else { 3.0 };
+            last_actions = balancer.handle(Event::LoadQueryEnded(
+                EndpointId(endpoint),
+                AttemptOutcome::Success,
+                load_report(load),
+            ));
         }
-        assert_eq!(sent(&last), Some(asked[2]));
-        rig.now += 20 * MS;
-        rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
+        assert_eq!(sent_to(&last_actions), Some(queried[2]));
+        balancer.now += 20 * MS;
+        balancer.end_attempt(id, 0, AttemptOutcome::Success, 20 * MS);
     }
 }
 
-/// A stalled or dead server does not tell either: waiting for it would cost more than a bad choice.
+/// A hung or dead endpoint does not answer load queries either: waiting for it would cost more than a bad
+/// choice.
 #[test]
-fn silent_server_is_passed_over_after_a_short_wait() {
-    let mut rig = Rig::new(asking(), &zones(1, 6));
-    let (_, actions) = rig.demand(SAFE);
-    let asked = probed(&actions);
+fn endpoint_that_does_not_answer_load_queries_is_skipped_after_a_short_wait() {
+    let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
+    let (_, actions) = balancer.request(IDEMPOTENT);
+    let queried = queried_endpoints(&actions);
     let timer = actions.iter().find_map(|action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     });
-    let (after, token) = timer.expect("an end to the wait");
+    let (after, token) = timer.expect("a timer for the end of the wait");
     assert!(after <= 10 * MS);
-    rig.tell(Event::LoadQueryEnded(EndpointId(asked[1]), AttemptOutcome::Success, held(5.0)));
-    rig.tell(Event::LoadQueryEnded(EndpointId(asked[3]), AttemptOutcome::Timeout, None));
-    rig.now += after;
-    assert_eq!(sent(&rig.tell(Event::Timer(token))), Some(asked[1]));
-    assert_eq!(sent(&rig.tell(Event::Timer(token))), None, "a stale timer sends nothing again");
-}
-
-/// A request with less time left than asking takes got no answer in its time.
-#[test]
-fn request_with_hardly_any_time_left_is_sent_unasked() {
-    let mut rig = Rig::new(asking(), &zones(1, 6));
-    let demand = IncomingRequest { class: SAFE, tenant: 0, time_left: MS, work: None, streaming: false };
-    let actions = rig.tell(Event::Request(RequestId(7), demand));
-    assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
-}
-
-/// The list may change while servers are asked: a drained one must not get the call for all its idleness.
-#[test]
-fn server_drained_while_it_was_asked_gets_nothing() {
-    let mut rig = Rig::new(asking(), &zones(1, 6));
-    let (_, actions) = rig.demand(SAFE);
-    let asked = probed(&actions);
-    let drained = EndpointEntry { state: EndpointState::Draining, ..entry(asked[0], 0) };
-    rig.tell(Event::EndpointsChanged(&[drained]));
-    let mut last = Vec::new();
-    for &server in &asked {
-        let load = if server == asked[0] { 0.0 } else { 9.0 };
-        last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
-    }
-    assert!(sent(&last).is_some_and(|server| server != asked[0]), "{last:?}");
-}
-
-/// A balancer with one or two calls a second refused some by chance: its window held an answer or two.
-#[test]
-fn balancer_with_few_calls_sheds_none_by_chance() {
-    let mut rig = Rig::new(settings(), &zones(1, 6));
-    for call in 0..200u64 {
-        rig.now += 500 * MS;
-        let took = [60, 450, 150, 300][call as usize % 4] * MS;
-        assert!(rig.serve(SAFE, took).is_some(), "call {call} was refused");
-    }
-}
-
-/// Calls that end too late behind a long queue ran all the same, and held up the next until none was in time.
-#[test]
-fn call_that_all_asked_servers_would_answer_too_late_is_refused() {
-    let mut rig = Rig::new(asking(), &zones(1, 6));
-    let call = |rig: &mut Rig, load: f32| {
-        let (id, actions) = rig.demand(UNSAFE);
-        let mut last = Vec::new();
-        for server in probed(&actions) {
-            last = rig.tell(Event::LoadQueryEnded(EndpointId(server), AttemptOutcome::Success, held(load)));
+    balancer.handle(Event::LoadQueryEnded(EndpointId(queried[1]), AttemptOutcome::Success, load_report(5.0)));
+    balancer.handle(Event::LoadQueryEnded(EndpointId(queried[3]), AttemptOutcome::Timeout, None));
+    balancer.now += after;
+    assert_eq!(sent_to(&balancer.handle(Event::Timer(token))), Some(queried[1]));
+    assert_eq!(sent_to(&balancer.handle(Event::Timer(token))), None, "a stale timer sends nothing again");
+}
+
+/// A request with less time left than a load query takes got no answer before its deadline.
+#[test]
+fn request_with_hardly_any_time_left_is_sent_without_load_queries() {
+    let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
+    let incoming =
+        IncomingRequest { class: IDEMPOTENT, tenant: 0, time_left: MS, work: None, streaming: false };
+    let actions = balancer.handle(Event::Request(RequestId(7), incoming));
+    assert!(sent_to(&actions).is_some() && queried_endpoints(&actions).is_empty(), "{actions:?}");
+}
+
+/// The endpoint list may change during a load query: a draining endpoint must not get the request however
+/// idle it is.
+#[test]
+fn endpoint_drained_during_its_load_query_gets_nothing() {
+    let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
+    let (_, actions) = balancer.request(IDEMPOTENT);
+    let queried = queried_endpoints(&actions);
+    let drained = EndpointEntry { state: EndpointState::Draining, ..endpoint_entry(queried[0], 0) };
+    balancer.handle(Event::EndpointsChanged(&[drained]));
+    let mut last_actions = Vec::new();
+    for &endpoint in &queried {
+        let load = if endpoint == queried[0] { 0.0 } else { 9.0 };
+        last_actions = balancer.handle(Event::LoadQueryEnded(
+            EndpointId(endpoint),
+            AttemptOutcome::Success,
+            load_report(load),
+        ));
+    }
+    assert!(sent_to(&last_actions).is_some_and(|endpoint| endpoint != queried[0]), "{last_actions:?}");
+}
+
+/// A balancer with one or two requests a second rejected some by chance: its window held only an answer or
+/// two.
+#[test]
+fn low_traffic_balancer_sheds_none_by_chance() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 6));
+    for index in 0..200u64 {
+        balancer.now += 500 * MS;
+        let latency = [60, 450, 150, 300][index as usize % 4] * MS;
+        assert!(balancer.serve(IDEMPOTENT, latency).is_some(), "request {index} was rejected");
+    }
+}
+
+/// Requests that end too late behind a long queue were processed all the same, and delayed the next ones
+/// until none was in time.
+#[test]
+fn request_that_all_queried_endpoints_would_answer_too_late_is_rejected() {
+    let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
+    let request = |balancer: &mut TestBalancer, load: f32| {
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
+        let mut last_actions = Vec::new();
+        for endpoint in queried_endpoints(&actions) {
+            last_actions = balancer.handle(Event::LoadQueryEnded(
+                EndpointId(endpoint),
+                AttemptOutcome::Success,
+                load_report(load),
+            ));
         }
-        (id, last)
+        (id, last_actions)
     };
     for load in [0.0, 1.0, 2.0].repeat(10) {
-        let (id, actions) = call(&mut rig, load);
-        assert!(sent(&actions).is_some());
-        let took = (load as u64 + 1) * 100 * MS;
-        rig.now += took;
-        rig.end(id, 0, AttemptOutcome::Success, took);
-    }
-    assert!(sent(&call(&mut rig, 10.0).1).is_some(), "eleven times 100 ms is within 2 s");
-    assert!(refused(&call(&mut rig, 30.0).1), "thirty-one times 100 ms is not");
-}
-
-/// Where a probe is dear, asking four servers before each call costs more than a better choice brings.
-#[test]
-fn dear_probes_are_not_sent() {
-    let mut rig = Rig::new(Settings { load_query_price: 0.01, ..asking() }, &zones(1, 6));
-    let (_, actions) = rig.demand(SAFE);
-    assert!(sent(&actions).is_some() && probed(&actions).is_empty(), "{actions:?}");
-}
-
-/// A caller with few calls sees each server too seldom for a breaker, and stayed in a zone where a fifth failed.
-#[test]
-fn zone_with_many_failures_is_left_though_no_breaker_trips() {
-    let strays = |every: u32, cross_zone_price: f64| {
-        let mut rig = Rig::new(Settings { cross_zone_price, ..settings() }, &zones(2, 40));
-        // As slow as the calls that follow: a zone that gets later has its own reason to be left.
-        (0..100).for_each(|_| assert!(rig.serve(SAFE, 100 * MS).is_some()));
-        let mut strays = 0;
-        for call in 0..80 {
-            let (id, actions) = rig.demand(UNSAFE);
-            let Some(server) = sent(&actions) else { continue };
-            strays += u32::from(server >= 40);
-            rig.now += 100 * MS;
-            let failed = server < 40 && call % every == 0;
-            rig.end(id, 0, if failed { AttemptOutcome::Error } else { AttemptOutcome::Success }, 100 * MS);
+        let (id, actions) = request(&mut balancer, load);
+        assert!(sent_to(&actions).is_some());
+        let latency = (load as u64 + 1) * 100 * MS;
+        balancer.now += latency;
+        balancer.end_attempt(id, 0, AttemptOutcome::Success, latency);
+    }
+    assert!(
+        sent_to(&request(&mut balancer, 10.0).1).is_some(),
+        "eleven times 100 ms is within the deadline of 2 s"
+    );
+    assert!(is_rejected(&request(&mut balancer, 30.0).1), "thirty-one times 100 ms is not");
+}
+
+/// Where load queries are expensive, querying four endpoints before each request costs more than a better
+/// choice gains.
+#[test]
+fn expensive_load_queries_are_not_sent() {
+    let mut balancer = TestBalancer::new(
+        Settings { load_query_price: 0.01, ..load_query_settings() },
+        &endpoints_in_zones(1, 6),
+    );
+    let (_, actions) = balancer.request(IDEMPOTENT);
+    assert!(sent_to(&actions).is_some() && queried_endpoints(&actions).is_empty(), "{actions:?}");
+}
+
+/// A balancer with little traffic sends too few requests to each endpoint for a breaker to open, and stayed
+/// in a zone where a fifth of them failed.
+#[test]
+fn zone_with_many_failures_is_avoided_though_no_breaker_trips() {
+    let crossings = |failure_interval: u32, cross_zone_price: f64| {
+        let mut balancer =
+            TestBalancer::new(Settings { cross_zone_price, ..settings() }, &endpoints_in_zones(2, 40));
+        // As slow as the requests that follow: a zone whose latency rises is avoided for that reason alone.
+        (0..100).for_each(|_| assert!(balancer.serve(IDEMPOTENT, 100 * MS).is_some()));
+        let mut crossings = 0;
+        for index in 0..80 {
+            let (id, actions) = balancer.request(NON_IDEMPOTENT);
+            let Some(endpoint) = sent_to(&actions) else { continue };
+            crossings += u32::from(endpoint >= 40);
+            balancer.now += 100 * MS;
+            let failed = endpoint < 40 && index % failure_interval == 0;
+            balancer.end_attempt(
+                id,
+                0,
+                if failed { AttemptOutcome::Error } else { AttemptOutcome::Success },
+                100 * MS,
+            );
         }
-        strays
+        crossings
     };
-    assert_eq!(strays(30, 0.0), 0, "a few failures are no reason to leave");
-    assert!(strays(4, 0.01) > 10);
-    assert_eq!(strays(4, 0.5), 0, "crossings that cost more than they gain");
-}
-
-/// Where a part of the answers is broken everywhere, the zone was left again and again, and nothing gained.
-#[test]
-fn zone_is_kept_where_calls_fail_as_often_elsewhere() {
-    let mut rig = Rig::new(settings(), &zones(2, 40));
-    (0..100).for_each(|_| assert!(rig.serve(SAFE, 100 * MS).is_some()));
-    let mut strays = 0;
-    for call in 0..200 {
-        let (id, actions) = rig.demand(UNSAFE);
-        strays += u32::from(sent(&actions).is_some_and(|server| server >= 40));
-        rig.now += 100 * MS;
-        rig.end(id, 0, if call % 7 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success }, 100 * MS);
-    }
-    assert!(strays < 60, "{strays} of 200 calls crossed");
-}
-
-/// In a full jam no answers come, and a lateness made of answers said that all was well: nothing was shed.
-#[test]
-fn jam_without_any_answer_is_shed() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(200);
-    rig.now += 3 * SECOND; // the answers of calm times are forgotten
-    let mut taken = 0;
+    assert_eq!(crossings(30, 0.0), 0, "a few failures are no reason to leave the zone");
+    assert!(crossings(4, 0.01) > 10);
+    assert_eq!(crossings(4, 0.5), 0, "crossing zones costs more than it gains");
+}
+
+/// Where a fraction of the answers fails in every zone, balancers left their zone again and again and gained
+/// nothing.
+#[test]
+fn zone_is_kept_where_requests_fail_as_often_elsewhere() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 40));
+    (0..100).for_each(|_| assert!(balancer.serve(IDEMPOTENT, 100 * MS).is_some()));
+    let mut crossings = 0;
+    for index in 0..200 {
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
+        crossings += u32::from(sent_to(&actions).is_some_and(|endpoint| endpoint >= 40));
+        balancer.now += 100 * MS;
+        balancer.end_attempt(
+            id,
+            0,
+            if index % 7 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success },
+            100 * MS,
+        );
+    }
+    assert!(crossings < 60, "{crossings} of 200 requests crossed zones");
+}
+
+/// In a complete stall no answers arrive, and a lateness computed from answers reported that all was well:
+/// nothing was shed.
+#[test]
+fn overload_without_any_answer_is_shed() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(200);
+    balancer.now += 3 * SECOND; // the answers under normal load are forgotten
+    let mut sent = 0;
     for _ in 0..400 {
-        rig.now += 5 * MS;
-        taken += u32::from(sent(&rig.demand(SAFE).1).is_some());
+        balancer.now += 5 * MS;
+        sent += u32::from(sent_to(&balancer.request(IDEMPOTENT).1).is_some());
     }
-    assert!(taken < 200, "{taken} of 400 calls went into the jam");
+    assert!(sent < 200, "{sent} of 400 requests were sent into the overload");
 }
 
-/// A cold server that tells of no calls got only its share of the proposals, and stood idle in a loaded zone.
+/// A cold endpoint that reports no requests in flight got only its share of the candidates, and was idle in a
+/// loaded zone.
 #[test]
-fn asked_cold_server_gets_up_to_half_the_multiple_that_pushes_it_over() {
-    let calls_to_the_cold_one = |overload_multiple: f64| {
-        let mut rig = Rig::new(Settings { overload_multiple, ..asking() }, &zones(1, 8));
+fn queried_cold_endpoint_gets_up_to_half_the_multiple_that_overloads_it() {
+    let requests_to_cold_endpoint = |overload_multiple: f64| {
+        let mut balancer = TestBalancer::new(
+            Settings { overload_multiple, ..load_query_settings() },
+            &endpoints_in_zones(1, 8),
+        );
         let mut served = 0;
-        for call in 0..400 {
-            if call == 200 {
-                let started = Some(rig.now);
-                rig.tell(Event::EndpointsChanged(&[EndpointEntry { started, ..entry(3, 0) }]));
+        for index in 0..400 {
+            if index == 200 {
+                let started = Some(balancer.now);
+                balancer
+                    .handle(Event::EndpointsChanged(&[EndpointEntry { started, ..endpoint_entry(3, 0) }]));
             }
-            let (id, mut actions) = rig.demand(UNSAFE);
-            for server in probed(&actions) {
-                let load = if server == 3 { 0.0 } else { 1.0 };
-                actions.extend(rig.tell(Event::LoadQueryEnded(
-                    EndpointId(server),
+            let (id, mut actions) = balancer.request(NON_IDEMPOTENT);
+            for endpoint in queried_endpoints(&actions) {
+                let load = if endpoint == 3 { 0.0 } else { 1.0 };
+                actions.extend(balancer.handle(Event::LoadQueryEnded(
+                    EndpointId(endpoint),
                     AttemptOutcome::Success,
-                    held(load),
+                    load_report(load),
                 )));
             }
-            let server = sent(&actions).expect("a server is free");
-            served += u32::from(call >= 200 && server == 3);
-            rig.now += 20 * MS;
-            rig.end(id, 0, AttemptOutcome::Success, 20 * MS);
+            let endpoint = sent_to(&actions).expect("an endpoint is free");
+            served += u32::from(index >= 200 && endpoint == 3);
+            balancer.now += 20 * MS;
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, 20 * MS);
         }
         served
     };
-    // 50 calls a second over 8 servers, at 0.25 to 0.55 of its capacity for 4 s: some 10.
-    let (plain, eased) = (calls_to_the_cold_one(2.0), calls_to_the_cold_one(4.0));
-    assert!((7..=13).contains(&plain), "{plain}");
-    assert!((plain * 3 / 2..=plain * 5 / 2).contains(&eased), "{eased} against {plain}");
-}
-
-/// Whether the idle connections to the server of the only send were closed right before it.
-fn on_new_connection(actions: &[Action]) -> bool {
-    let place = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
-    let (close, send) =
-        (place(&|a| matches!(a, Action::CloseIdle(_))), place(&|a| matches!(a, Action::Send { .. })));
-    close.is_some_and(|close| close < send.expect("sent"))
-}
-
-/// Calls spaced so that each server's connection has been idle for seconds; whether it was replaced.
-fn sparse_call(rig: &mut Rig, class: usize, outcome: AttemptOutcome) -> bool {
-    sparse_call_to(rig, class, outcome).1
-}
-
-fn sparse_call_to(rig: &mut Rig, class: usize, outcome: AttemptOutcome) -> (u32, bool) {
-    rig.now += SECOND;
-    let (id, actions) = rig.demand(class);
-    rig.now += 20 * MS;
-    if sent(&rig.end(id, 0, outcome, 20 * MS)).is_some() {
-        rig.end(id, 1, AttemptOutcome::Success, 20 * MS);
-    }
-    (sent(&actions).expect("sent"), on_new_connection(&actions))
-}
-
-#[test]
-fn connections_that_idled_too_long_are_replaced_and_do_not_trip_servers() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    (0..12)
-        .for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, AttemptOutcome::Success), "sound while idle"));
-    let fail = |rig: &mut Rig| sparse_call_to(rig, SAFE, AttemptOutcome::Reset).0;
-    let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut rig)).collect();
-    // A connection on which a call failed is closed already; every other one is replaced before it is used.
+    // 50 requests a second over 8 endpoints, at a relative capacity of 0.25 to 0.55 for 4 s: some 10.
+    let (default_limit, raised_limit) = (requests_to_cold_endpoint(2.0), requests_to_cold_endpoint(4.0));
+    assert!((7..=13).contains(&default_limit), "{default_limit}");
+    assert!(
+        (default_limit * 3 / 2..=default_limit * 5 / 2).contains(&raised_limit),
+        "{raised_limit} against {default_limit}"
+    );
+}
+
+/// Whether the idle connections to the endpoint of the only attempt were closed right before it was sent.
+fn uses_new_connection(actions: &[Action]) -> bool {
+    let position = |wanted: &dyn Fn(&Action) -> bool| actions.iter().position(wanted);
+    let (close, send) = (
+        position(&|action| matches!(action, Action::CloseIdle(_))),
+        position(&|action| matches!(action, Action::Send { .. })),
+    );
+    close.is_some_and(|close| close < send.expect("the request was sent"))
+}
+
+/// Sends a request after a pause so long that the connection of its endpoint has been idle for seconds.
+/// Returns whether that connection was replaced.
+fn send_sparse_request(balancer: &mut TestBalancer, class: usize, outcome: AttemptOutcome) -> bool {
+    send_sparse_request_and_get_endpoint(balancer, class, outcome).1
+}
+
+/// Like [`send_sparse_request`]; returns the endpoint of the first attempt as well.
+fn send_sparse_request_and_get_endpoint(
+    balancer: &mut TestBalancer,
+    class: usize,
+    outcome: AttemptOutcome,
+) -> (u32, bool) {
+    balancer.now += SECOND;
+    let (id, actions) = balancer.request(class);
+    balancer.now += 20 * MS;
+    if sent_to(&balancer.end_attempt(id, 0, outcome, 20 * MS)).is_some() {
+        balancer.end_attempt(id, 1, AttemptOutcome::Success, 20 * MS);
+    }
+    (sent_to(&actions).expect("the request was sent"), uses_new_connection(&actions))
+}
+
+#[test]
+fn connections_idle_for_too_long_are_replaced_and_do_not_trip_endpoints() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    (0..12).for_each(|_| {
+        assert!(
+            !send_sparse_request(&mut balancer, NON_IDEMPOTENT, AttemptOutcome::Success),
+            "no connection has failed yet"
+        )
+    });
+    let fail = |balancer: &mut TestBalancer| {
+        send_sparse_request_and_get_endpoint(balancer, IDEMPOTENT, AttemptOutcome::Reset).0
+    };
+    let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut balancer)).collect();
+    // A connection on which a request failed is closed already; every other one is replaced before it is
+    // used.
     for _ in 0..12 {
-        let (server, replaced) = sparse_call_to(&mut rig, UNSAFE, AttemptOutcome::Success);
-        assert!(replaced || closed.remove(&server), "server {server} on a connection that would fail");
+        let (endpoint, replaced) =
+            send_sparse_request_and_get_endpoint(&mut balancer, NON_IDEMPOTENT, AttemptOutcome::Success);
+        assert!(
+            replaced || closed.remove(&endpoint),
+            "request to endpoint {endpoint} on a connection that would fail"
+        );
     }
-    let servers: std::collections::BTreeSet<_> = (0..8).filter_map(|_| rig.serve(SAFE, MS)).collect();
-    assert_eq!(servers.len(), 4, "none is tripped: {servers:?}");
+    let endpoints: std::collections::BTreeSet<_> =
+        (0..8).filter_map(|_| balancer.serve(IDEMPOTENT, MS)).collect();
+    assert_eq!(endpoints.len(), 4, "no breaker is open: {endpoints:?}");
 }
 
 #[test]
 fn idle_connections_are_kept_where_new_ones_fail_as_well() {
-    let mut rig = Rig::new(settings(), &zones(1, 1));
-    let mut call = |outcome| sparse_call(&mut rig, UNSAFE, outcome);
-    (0..12).for_each(|_| assert!(!call(AttemptOutcome::Success)));
-    // The first fails on an idle connection, the others on new ones.
-    (0..7).for_each(|_| assert!(!call(AttemptOutcome::Reset)));
-    assert!(!call(AttemptOutcome::Success), "on a new one");
-    assert!(!call(AttemptOutcome::Success), "a new one would be no better");
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 1));
+    let mut request = |outcome| send_sparse_request(&mut balancer, NON_IDEMPOTENT, outcome);
+    (0..12).for_each(|_| assert!(!request(AttemptOutcome::Success)));
+    // The first request fails on an idle connection, the others on new ones.
+    (0..7).for_each(|_| assert!(!request(AttemptOutcome::Reset)));
+    assert!(!request(AttemptOutcome::Success), "on a new connection");
+    assert!(!request(AttemptOutcome::Success), "a new connection would be no better");
 }
 
-/// Calls that take a third of their aim by nature were shed on calm days, and nothing was gained by it.
+/// Requests whose usual latency is a third of their objective were shed under normal load, and nothing was
+/// gained by it.
 #[test]
-fn calls_that_take_a_third_of_their_aim_in_calm_times_are_not_shed() {
-    let mut rig = Rig::new(settings(), &zones(1, 12));
-    let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
+fn requests_that_take_a_third_of_their_objective_under_normal_load_are_not_shed() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 12));
+    let (mut in_flight, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..2000 {
-        rig.now += 10 * MS;
-        while held.front().is_some_and(|(_, sent)| rig.now - sent >= 180 * MS) {
-            let (id, at): (RequestId, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+        balancer.now += 10 * MS;
+        while in_flight.front().is_some_and(|(_, sent_at)| balancer.now - sent_at >= 180 * MS) {
+            let (id, sent_at): (RequestId, u64) = in_flight.pop_front().expect("a request is in flight");
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
         }
-        let (id, actions) = rig.demand(SAFE);
-        refusals += u32::from(step > 200 && refused(&actions)); // in the first seconds, no rate is known yet
-        held.push_back((id, rig.now));
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        rejections += u32::from(step > 200 && is_rejected(&actions)); // the rate is unknown at first
+        in_flight.push_back((id, balancer.now));
     }
-    assert_eq!(refusals, 0);
+    assert_eq!(rejections, 0);
 }
 
-/// With hundreds of balancers each holds too few calls to reach a load threshold, while all its calls are late.
+/// With hundreds of balancers, each has too few requests in flight to reach a load threshold, while all of
+/// its requests are late.
 #[test]
-fn small_caller_sends_the_surplus_of_a_late_zone_across_and_no_more() {
-    let mut rig = Rig::new(settings(), &zones(2, 12));
+fn low_traffic_balancer_sends_the_surplus_of_a_late_zone_across_and_no_more() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 12));
     let mut crossed = [0, 0, 0];
     for step in 0..1200 {
         let (phase, pause) = (step / 400, 400 * MS);
-        let (id, actions) = rig.demand(SAFE);
-        let server = sent(&actions).expect("sent");
-        crossed[phase] += u32::from(server >= 12);
-        // In the second phase the own zone is late; the other is as late with what it gets in the third.
-        let took = match (phase, server < 12) {
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        let endpoint = sent_to(&actions).expect("the request was sent");
+        crossed[phase] += u32::from(endpoint >= 12);
+        // In the second phase the own zone is late; in the third, the other zone is as late under the
+        // requests that it gets.
+        let latency = match (phase, endpoint < 12) {
             (0, _) => 50 * MS,
             (1, false) => 50 * MS,
             _ => 250 * MS,
         };
-        rig.now += took;
-        rig.end(id, 0, AttemptOutcome::Success, took);
-        rig.now += pause;
+        balancer.now += latency;
+        balancer.end_attempt(id, 0, AttemptOutcome::Success, latency);
+        balancer.now += pause;
     }
-    assert_eq!(crossed[0], 0, "nothing crosses in calm times");
+    assert_eq!(crossed[0], 0, "nothing crosses zones under normal load");
     assert!(crossed[1] > 200, "{crossed:?}");
-    assert!(crossed[2] < 60, "it does not help there: {crossed:?}");
+    assert!(crossed[2] < 60, "crossing zones does not help: {crossed:?}");
 }
 
-/// A server that accepts fewer connections than usual cost each call beyond them the time of a failed connection.
+/// An endpoint that accepts fewer connections than usual cost each request beyond them the time of a failed
+/// connection.
 #[test]
-fn server_that_took_no_more_connections_is_at_its_limit_with_those_it_has() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(40);
-    let hold = |rig: &mut Rig| -> (u32, RequestId) {
-        let (id, actions) = rig.demand(SAFE);
-        (sent(&actions).expect("sent"), id)
+fn endpoint_that_refuses_connections_is_at_its_limit_with_the_open_ones() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(40);
+    let send = |balancer: &mut TestBalancer| -> (u32, RequestId) {
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        (sent_to(&actions).expect("the request was sent"), id)
     };
-    let held: Vec<_> = (0..4).map(|_| hold(&mut rig)).collect();
-    let (tight, last) = held[3];
-    rig.now += 30 * MS;
-    rig.end(last, 0, AttemptOutcome::ConnectFailed, 250 * MS);
-    rig.now += 30 * MS;
-    let next: Vec<_> = (0..4).map(|_| hold(&mut rig).0).collect();
-    assert!(next.iter().all(|&server| server != tight), "it lets us have no more");
-    let (_, first) = *held.iter().find(|(server, _)| *server == tight).expect("sent there before");
-    rig.end(first, 0, AttemptOutcome::Success, 60 * MS);
-    assert_eq!(hold(&mut rig).0, tight, "its connection is free again");
-}
-
-/// What a process refused says nothing of the one that replaced it.
-#[test]
-fn restarted_server_is_not_held_to_the_connections_of_its_predecessor() {
-    let mut rig = Rig::new(Settings { warm_up_time: SECOND, ..settings() }, &zones(1, 2));
-    rig.warm_up(40);
-    // Both hold calls; server 1 takes no further connection.
-    let held: Vec<_> = (0..8).map(|_| rig.demand(SAFE)).collect();
-    let at_one = |held: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
-        held.iter().filter(|(_, actions)| sent(actions) == Some(1)).map(|(id, _)| *id).collect()
+    let requests: Vec<_> = (0..4).map(|_| send(&mut balancer)).collect();
+    let (at_limit, last) = requests[3];
+    balancer.now += 30 * MS;
+    balancer.end_attempt(last, 0, AttemptOutcome::ConnectFailed, 250 * MS);
+    balancer.now += 30 * MS;
+    let next: Vec<_> = (0..4).map(|_| send(&mut balancer).0).collect();
+    assert!(next.iter().all(|&endpoint| endpoint != at_limit), "the endpoint accepts no more connections");
+    let (_, first) = *requests
+        .iter()
+        .find(|(endpoint, _)| *endpoint == at_limit)
+        .expect("a request was sent there before");
+    balancer.end_attempt(first, 0, AttemptOutcome::Success, 60 * MS);
+    assert_eq!(send(&mut balancer).0, at_limit, "its connection is free again");
+}
+
+/// Connections that one process refused say nothing about the process that replaced it.
+#[test]
+fn restarted_endpoint_is_not_limited_to_the_connections_of_its_predecessor() {
+    let mut balancer =
+        TestBalancer::new(Settings { warm_up_time: SECOND, ..settings() }, &endpoints_in_zones(1, 2));
+    balancer.warm_up(40);
+    // Both endpoints have requests in flight; endpoint 1 accepts no further connection.
+    let requests: Vec<_> = (0..8).map(|_| balancer.request(IDEMPOTENT)).collect();
+    let sent_to_endpoint_1 = |requests: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
+        requests.iter().filter(|(_, actions)| sent_to(actions) == Some(1)).map(|(id, _)| *id).collect()
     };
-    let tight = at_one(&held);
-    tight.iter().for_each(|&id| drop(rig.end(id, 0, AttemptOutcome::ConnectFailed, MS)));
-    rig.now += 60 * MS;
-    let next: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
-    assert!(at_one(&next).is_empty(), "it takes none");
-    let warm = EndpointEntry { started: Some(1), ..entry(1, 0) };
-    rig.now += 2 * SECOND;
-    rig.tell(Event::EndpointsChanged(&[warm]));
-    let again: Vec<_> = (0..4).map(|_| rig.demand(SAFE)).collect();
-    assert!(!at_one(&again).is_empty(), "the new process takes calls");
-}
-
-/// With hundreds of balancers each gets a few requests a second: too few answers in a second to tell a jam, and
-/// all of them together sent on until nothing was answered in time.
-#[test]
-fn caller_with_few_calls_sheds_in_a_jam() {
+    let at_limit = sent_to_endpoint_1(&requests);
+    at_limit.iter().for_each(|&id| drop(balancer.end_attempt(id, 0, AttemptOutcome::ConnectFailed, MS)));
+    balancer.now += 60 * MS;
+    let next: Vec<_> = (0..4).map(|_| balancer.request(IDEMPOTENT)).collect();
+    assert!(sent_to_endpoint_1(&next).is_empty(), "endpoint 1 accepts no connection");
+    let warm = EndpointEntry { started: Some(1), ..endpoint_entry(1, 0) };
+    balancer.now += 2 * SECOND;
+    balancer.handle(Event::EndpointsChanged(&[warm]));
+    let again: Vec<_> = (0..4).map(|_| balancer.request(IDEMPOTENT)).collect();
+    assert!(!sent_to_endpoint_1(&again).is_empty(), "the new process accepts requests");
+}
+
+/// With hundreds of balancers, each gets a few requests a second: too few answers in a second to detect an
+/// overload. All of them together sent on until nothing was answered in time.
+#[test]
+fn low_traffic_balancer_sheds_under_overload() {
     let long =
         |class: RequestClass| RequestClass { latency_objective: 2 * SECOND, deadline: 8 * SECOND, ..class };
     let settings = Settings { classes: settings().classes.into_iter().map(long).collect(), ..settings() };
-    let mut rig = Rig::new(settings, &zones(1, 12));
-    let (mut held, mut refusals) = (std::collections::VecDeque::new(), 0);
+    let mut balancer = TestBalancer::new(settings, &endpoints_in_zones(1, 12));
+    let (mut in_flight, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
-        // Three a second; answers take a quarter of a second, and in the jam three of the aim's two seconds.
-        let took = if step < 100 { 250 * MS } else { 3 * SECOND };
-        rig.now += 333 * MS;
-        while held.front().is_some_and(|&(_, _, due)| rig.now >= due) {
-            let (id, at, _): (RequestId, u64, u64) = held.pop_front().expect("one is out");
-            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+        // Three requests a second; answers take a quarter of a second, and under overload three seconds, at
+        // an objective of two.
+        let latency = if step < 100 { 250 * MS } else { 3 * SECOND };
+        balancer.now += 333 * MS;
+        while in_flight.front().is_some_and(|&(_, _, due)| balancer.now >= due) {
+            let (id, sent_at, _): (RequestId, u64, u64) =
+                in_flight.pop_front().expect("a request is in flight");
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
         }
-        let id = RequestId(rig.next_id);
-        rig.next_id += 1;
-        let demand =
-            IncomingRequest { class: SAFE, tenant: 0, time_left: 8 * SECOND, work: None, streaming: false };
-        let actions = rig.tell(Event::Request(id, demand));
-        refusals += u32::from(refused(&actions));
-        assert!(step >= 100 || refusals == 0, "refused in calm times");
-        if sent(&actions).is_some() {
-            held.push_back((id, rig.now, rig.now + took));
+        let id = RequestId(balancer.next_id);
+        balancer.next_id += 1;
+        let incoming = IncomingRequest {
+            class: IDEMPOTENT,
+            tenant: 0,
+            time_left: 8 * SECOND,
+            work: None,
+            streaming: false,
+        };
+        let actions = balancer.handle(Event::Request(id, incoming));
+        rejections += u32::from(is_rejected(&actions));
+        assert!(step >= 100 || rejections == 0, "rejected under normal load");
+        if sent_to(&actions).is_some() {
+            in_flight.push_back((id, balancer.now, balancer.now + latency));
         }
     }
-    assert!(refusals > 20, "{refusals} of 200");
+    assert!(rejections > 20, "{rejections} of 200 requests were rejected");
 }
 
-/// A caller with few calls finds each dead server of a lost zone by itself, and crossed to it meanwhile.
+/// A balancer with little traffic detected each dead endpoint of a lost zone separately, and kept sending
+/// requests to that zone meanwhile.
 #[test]
-fn zone_where_half_of_all_calls_fail_gets_no_more_of_them() {
-    let mut rig = Rig::new(settings(), &zones(3, 20));
-    rig.warm_up(60);
-    // The own zone is left for its own failures; of the others, zone 1 is dead and zone 2 is sound.
-    let mut to_dead = [0, 0];
-    for call in 0..240 {
-        let (id, actions) = rig.demand(UNSAFE);
-        let Some(server) = sent(&actions) else { continue };
-        rig.now += 20 * MS;
-        let outcome = match server / 20 {
-            0 if call % 4 == 0 => AttemptOutcome::Error,
+fn zone_where_half_of_all_requests_fail_gets_no_more_of_them() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 20));
+    balancer.warm_up(60);
+    // The own zone is avoided for its failures; of the others, zone 1 is dead and zone 2 is healthy.
+    let mut to_dead_zone = [0, 0];
+    for index in 0..240 {
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
+        let Some(endpoint) = sent_to(&actions) else { continue };
+        balancer.now += 20 * MS;
+        let outcome = match endpoint / 20 {
+            0 if index % 4 == 0 => AttemptOutcome::Error,
             1 => AttemptOutcome::ConnectFailed,
             _ => AttemptOutcome::Success,
         };
-        rig.end(id, 0, outcome, 20 * MS);
-        to_dead[call / 120] += u32::from(server / 20 == 1);
+        balancer.end_attempt(id, 0, outcome, 20 * MS);
+        to_dead_zone[index / 120] += u32::from(endpoint / 20 == 1);
     }
-    assert!(to_dead[1] <= 3, "{to_dead:?}: a lost zone is found by all calls to it together");
+    assert!(to_dead_zone[1] <= 3, "{to_dead_zone:?}: a lost zone is detected by all requests to it together");
 }
 
-/// A connection that was closed as idle is none that could fail: nothing is to be replaced, or blamed.
+/// A connection that was closed as idle can no longer fail: none needs to be replaced, and no failure is
+/// attributed to idleness.
 #[test]
-fn connections_closed_as_idle_are_new_ones() {
-    let mut rig = Rig::new(Settings { idle_timeout: SECOND, ..settings() }, &zones(1, 4));
-    (0..12).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, AttemptOutcome::Success)));
-    (0..2).for_each(|_| assert!(!sparse_call(&mut rig, SAFE, AttemptOutcome::Reset)));
-    (0..4).for_each(|_| assert!(!sparse_call(&mut rig, UNSAFE, AttemptOutcome::Success), "closed long ago"));
+fn connections_closed_as_idle_are_not_replaced_again() {
+    let mut balancer =
+        TestBalancer::new(Settings { idle_timeout: SECOND, ..settings() }, &endpoints_in_zones(1, 4));
+    (0..12).for_each(|_| assert!(!send_sparse_request(&mut balancer, IDEMPOTENT, AttemptOutcome::Success)));
+    (0..2).for_each(|_| assert!(!send_sparse_request(&mut balancer, IDEMPOTENT, AttemptOutcome::Reset)));
+    (0..4).for_each(|_| {
+        assert!(
+            !send_sparse_request(&mut balancer, NON_IDEMPOTENT, AttemptOutcome::Success),
+            "the idle connections were closed long ago"
+        )
+    });
 }
 
-/// Calls with much work passed for failures of their servers, and breakers of sound ones opened.
+/// Requests with much work were sent for failures of their endpoints, and breakers of healthy endpoints
+/// opened.
 #[test]
-fn heavy_calls_do_not_trip_a_sound_server() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    // Latency of 20 ms on average, 10 ms off on average.
-    for call in 0..400 {
-        rig.serve(UNSAFE, if call % 2 == 0 { 10 * MS } else { 30 * MS });
+fn heavy_requests_do_not_trip_a_healthy_endpoint() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    // Latency of 20 ms on average, with a mean deviation of 10 ms.
+    for index in 0..400 {
+        balancer.serve(NON_IDEMPOTENT, if index % 2 == 0 { 10 * MS } else { 30 * MS });
     }
-    let (mut marks, ids) = (Vec::new(), (0..6).map(|_| rig.demand(UNSAFE)).collect::<Vec<_>>());
+    let (mut timers, ids) =
+        (Vec::new(), (0..6).map(|_| balancer.request(NON_IDEMPOTENT)).collect::<Vec<_>>());
     for (_, actions) in &ids {
-        marks.extend(actions.iter().filter_map(|action| match action {
-            Action::SetTimer { token, after } => Some((*token, rig.now + after)),
+        timers.extend(actions.iter().filter_map(|action| match action {
+            Action::SetTimer { token, after } => Some((*token, balancer.now + after)),
             _ => None,
         }));
     }
-    // Seventeen deviations above the mean, then all are answered.
-    let answered = rig.now + 190 * MS;
+    // Seventeen deviations above the mean, then all requests are answered.
+    let answered = balancer.now + 190 * MS;
     let mut logs = Vec::new();
-    while let Some(at) = marks.iter().position(|&(_, due)| due < answered) {
-        let (token, due) = marks.swap_remove(at);
-        rig.now = rig.now.max(due);
-        for action in rig.tell(Event::Timer(token)) {
+    while let Some(position) = timers.iter().position(|&(_, due)| due < answered) {
+        let (token, due) = timers.swap_remove(position);
+        balancer.now = balancer.now.max(due);
+        for action in balancer.handle(Event::Timer(token)) {
             match action {
-                Action::SetTimer { token, after } => marks.push((token, rig.now + after)),
+                Action::SetTimer { token, after } => timers.push((token, balancer.now + after)),
                 Action::Log(text) => logs.push(text),
                 _ => {}
             }
@@ -765,117 +888,131 @@
     assert!(logs.iter().all(|text| !text.contains("breaker")), "{logs:?}");
 }
 
-/// Where servers are ever new, all that were ever listed filled the memory, and each list took longer.
+/// Where endpoints are replaced all the time, all endpoints ever listed stayed in memory, and each list took
+/// longer to apply.
 #[test]
-fn servers_that_are_gone_are_forgotten() {
-    let mut rig = Rig::new(settings(), &zones(3, 1));
+fn removed_endpoints_are_forgotten() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 1));
     let mut size = Vec::new();
     for round in 1..200 {
-        // One attempt is out at a server that goes; its end still finds what it belongs to.
-        let (id, actions) = rig.demand(KEYED_ZONE);
-        let first = sent(&actions).expect("sent");
-        let list: Vec<EndpointEntry> = (0..3).map(|zone| entry(3 * round + u32::from(zone), zone)).collect();
-        rig.tell(Event::EndpointList(&list));
-        rig.now += 20 * MS;
-        // The budget for retries does not grant each.
-        if let Some(again) = sent(&rig.end(id, 0, AttemptOutcome::Error, 20 * MS)) {
-            assert_eq!(again % 3, first % 3, "the window of its key is that of its zone");
-            rig.end(id, 1, AttemptOutcome::Success, 20 * MS);
+        // One attempt is in flight at an endpoint that is removed; its end still finds the endpoint.
+        let (id, actions) = balancer.request(KEYED_ZONE);
+        let first_endpoint = sent_to(&actions).expect("the request was sent");
+        let list: Vec<EndpointEntry> =
+            (0..3).map(|zone| endpoint_entry(3 * round + u32::from(zone), zone)).collect();
+        balancer.handle(Event::EndpointList(&list));
+        balancer.now += 20 * MS;
+        // The retry budget does not grant every retry.
+        if let Some(retry_endpoint) = sent_to(&balancer.end_attempt(id, 0, AttemptOutcome::Error, 20 * MS)) {
+            assert_eq!(retry_endpoint % 3, first_endpoint % 3, "the retry stays in the zone of its key");
+            balancer.end_attempt(id, 1, AttemptOutcome::Success, 20 * MS);
         }
-        size.push(format!("{:?}", rig.balancer).len());
+        size.push(format!("{:?}", balancer.load_balancer).len());
     }
     assert!(size[198] < 2 * size[4], "{} then {}", size[4], size[198]);
 }
 
-/// When a balancer of a large fleet that must ask asks next, after this event.
-fn asks_within(rig: &mut Rig, event: Event<'_>) -> u64 {
-    let actions = rig.tell(event);
-    let wait = |action: &Action| match action {
+/// Passes an event to a balancer that polls discovery. Returns the time until it asks for the list next.
+fn time_to_next_poll(balancer: &mut TestBalancer, event: Event<'_>) -> u64 {
+    let actions = balancer.handle(event);
+    let delay_of = |action: &Action| match action {
         Action::SetTimer { after, .. } => Some(*after),
         _ => None,
     };
-    actions.iter().find_map(wait).expect("a timer for the next call")
+    actions.iter().find_map(delay_of).expect("a timer for the next poll of discovery")
 }
 
-/// Most of the waits that end within a tenth of a second.
-fn most_in_step(mut waits: Vec<u64>) -> usize {
+/// Largest number of waits that end within the same tenth of a second.
+fn max_in_step(mut waits: Vec<u64>) -> usize {
     waits.sort();
-    let within = |(at, wait): (usize, &u64)| waits.partition_point(|other| *other < wait + 100 * MS) - at;
-    waits.iter().enumerate().map(within).max().unwrap_or(0)
-}
-
-/// Guards the rule on drains where lists are asked for: what discovery has counts as told 6 s after it can be
-/// reached. A silent call takes 1 s (a watch 3 s), a connect that hangs 0.5 s, an answer 1 s: `net/discovery.rs`.
-/// A hangup leaves 4 s. And nobody may be in step: after a failure that all see at once, at a start, at a hangup.
-#[test]
-fn lists_are_asked_for_in_time_and_not_by_all_at_once() {
-    const FLEET: usize = 870;
-    const SILENT: u64 = SECOND;
-    const SILENT_WATCH: u64 = 3 * SECOND;
-    const CONNECT_HANGS: u64 = SECOND / 2;
-    const ANSWER: u64 = SECOND;
-    let settings = Settings { polls_discovery: true, replicas: FLEET as u32, ..settings() };
-    let (mut first, mut failed, mut moved) = (Vec::new(), vec![Vec::new(); 12], Vec::new());
-    for seed in 0..FLEET as u64 {
-        let balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
-        let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
-        first.push(asks_within(&mut rig, Event::EndpointList(&zones(1, 2))));
+    let count_within =
+        |(position, wait): (usize, &u64)| waits.partition_point(|other| *other < wait + 100 * MS) - position;
+    waits.iter().enumerate().map(count_within).max().unwrap_or(0)
+}
+
+/// Guards the rule on drains where discovery is polled: a balancer counts as notified of a change 6 s after
+/// discovery is reachable. A poll without an answer takes 1 s to fail (a watch 3 s), a connect that hangs 0.5
+/// s, and an answer up to 1 s: `proxy/discovery.rs`. A hangup signal leaves 4 s. And balancers must not poll
+/// in step, neither after a failure that all of them see at once, nor at a start, nor at a hangup signal.
+#[test]
+fn lists_are_polled_in_time_and_not_by_all_at_once() {
+    const FLEET_SIZE: usize = 870;
+    const POLL_TIMEOUT: u64 = SECOND;
+    const WATCH_TIMEOUT: u64 = 3 * SECOND;
+    const CONNECT_TIMEOUT: u64 = SECOND / 2;
+    const ANSWER_TIME: u64 = SECOND;
+    let settings = Settings { polls_discovery: true, replicas: FLEET_SIZE as u32, ..settings() };
+    let (mut first, mut failed, mut after_discovery_moved) = (Vec::new(), vec![Vec::new(); 12], Vec::new());
+    for seed in 0..FLEET_SIZE as u64 {
+        let load_balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
+        let mut balancer = TestBalancer { load_balancer, now: SECOND, next_id: 0 };
+        first.push(time_to_next_poll(&mut balancer, Event::EndpointList(&endpoints_in_zones(1, 2))));
         for waits in &mut failed {
-            waits.push(asks_within(&mut rig, Event::DiscoveryFailed));
+            waits.push(time_to_next_poll(&mut balancer, Event::DiscoveryFailed));
         }
-        moved.push(asks_within(&mut rig, Event::DiscoveryMoved));
-        let after_move = asks_within(&mut rig, Event::DiscoveryFailed);
-        assert!(after_move <= 350 * MS, "the failures of the service before count for the new one");
+        after_discovery_moved.push(time_to_next_poll(&mut balancer, Event::DiscoveryMoved));
+        let after_move = time_to_next_poll(&mut balancer, Event::DiscoveryFailed);
+        assert!(after_move <= 350 * MS, "failures of the previous service count for the new one");
     }
     let longest = |waits: &[u64]| *waits.iter().max().unwrap();
     let waits: Vec<u64> = failed.iter().map(|waits| longest(waits)).collect();
-    let retried = waits[0] + CONNECT_HANGS + waits[1] + ANSWER;
-    assert!(SILENT_WATCH + retried < 6 * SECOND, "after a watch that fell silent: {waits:?}");
-    assert!(longest(&first) + SILENT + retried < 6 * SECOND, "at a start: {} {waits:?}", longest(&first));
-    assert!(longest(&moved) + SILENT + retried < 4 * SECOND, "at a hangup: {} {waits:?}", longest(&moved));
+    let retried = waits[0] + CONNECT_TIMEOUT + waits[1] + ANSWER_TIME;
+    assert!(WATCH_TIMEOUT + retried < 6 * SECOND, "after a watch without an answer: {waits:?}");
+    assert!(
+        longest(&first) + POLL_TIMEOUT + retried < 6 * SECOND,
+        "at a start: {} {waits:?}",
+        longest(&first)
+    );
+    assert!(
+        longest(&after_discovery_moved) + POLL_TIMEOUT + retried < 4 * SECOND,
+        "at a hangup signal: {} {waits:?}",
+        longest(&after_discovery_moved)
+    );
     for pair in waits.windows(2) {
-        let sum = SILENT + pair[0] + CONNECT_HANGS + pair[1] + ANSWER;
+        let sum = POLL_TIMEOUT + pair[0] + CONNECT_TIMEOUT + pair[1] + ANSWER_TIME;
         assert!(sum < 6 * SECOND, "after an outage: {waits:?}");
     }
-    assert!(most_in_step(first) < FLEET / 10, "at a start");
-    assert!(most_in_step(moved) < FLEET / 3, "at a hangup");
-    assert!(most_in_step(failed[0].clone()) < FLEET / 3, "at the first failure");
-    assert!(most_in_step(failed[11].clone()) < FLEET / 8, "in an outage");
-}
-
-/// What a fleet of balancers asks of one discovery service, in windows of a tenth of a second, from its return on:
-/// it was away for so long, and each call to it took so long to fail. All watches break as it goes.
-fn calls_at_the_return(fleet: u64, away: u64, fails_after: u64) -> Vec<usize> {
-    let settings = Settings { polls_discovery: true, replicas: fleet as u32, ..settings() };
-    let mut calls = Vec::new();
-    for seed in 0..fleet {
-        let balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
-        let mut rig = Rig { balancer, now: SECOND, next_id: 0 };
-        asks_within(&mut rig, Event::EndpointList(&zones(1, 2)));
-        let back = rig.now + away;
+    assert!(max_in_step(first) < FLEET_SIZE / 10, "at a start");
+    assert!(max_in_step(after_discovery_moved) < FLEET_SIZE / 3, "at a hangup signal");
+    assert!(max_in_step(failed[0].clone()) < FLEET_SIZE / 3, "at the first failure");
+    assert!(max_in_step(failed[11].clone()) < FLEET_SIZE / 8, "in an outage");
+}
+
+/// Polls of one discovery service by a fleet of balancers, counted in windows of a tenth of a second from its
+/// return on. The service was unreachable for `outage`, and each poll took `fails_after` to fail. All
+/// watches break when the outage begins.
+fn polls_after_outage(fleet_size: u64, outage: u64, fails_after: u64) -> Vec<usize> {
+    let settings = Settings { polls_discovery: true, replicas: fleet_size as u32, ..settings() };
+    let mut polls = Vec::new();
+    for seed in 0..fleet_size {
+        let load_balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
+        let mut balancer = TestBalancer { load_balancer, now: SECOND, next_id: 0 };
+        time_to_next_poll(&mut balancer, Event::EndpointList(&endpoints_in_zones(1, 2)));
+        let return_time = balancer.now + outage;
         loop {
-            rig.now += asks_within(&mut rig, Event::DiscoveryFailed);
-            if rig.now >= back {
+            balancer.now += time_to_next_poll(&mut balancer, Event::DiscoveryFailed);
+            if balancer.now >= return_time {
                 break;
             }
-            rig.now += fails_after;
+            balancer.now += fails_after;
         }
-        let window = ((rig.now - back) / (100 * MS)) as usize;
-        calls.resize(calls.len().max(window + 1), 0);
-        calls[window] += 1;
+        let window = ((balancer.now - return_time) / (100 * MS)) as usize;
+        polls.resize(polls.len().max(window + 1), 0);
+        polls[window] += 1;
     }
-    calls
+    polls
 }
 
-/// Guards discovery at its return: it must not find all balancers at its door, whether it refused calls or hung.
+/// Guards discovery against polls from all balancers at once when it returns, whether it refused connections
+/// or hung.
 #[test]
-fn a_fleet_comes_back_to_discovery_in_no_step() {
-    for away in [2, 8, 60].map(|seconds| seconds * SECOND) {
+fn a_fleet_does_not_reconnect_to_discovery_in_step() {
+    for outage in [2, 8, 60].map(|seconds| seconds * SECOND) {
         for fails_after in [0, SECOND] {
-            let calls = calls_at_the_return(870, away, fails_after);
-            assert_eq!(calls.iter().sum::<usize>(), 870);
-            assert!(calls.len() <= 26, "told within 2.6 s: {calls:?}");
-            assert!(calls.iter().all(|&calls| calls < 870 / 5), "{calls:?}");
+            let polls = polls_after_outage(870, outage, fails_after);
+            assert_eq!(polls.iter().sum::<usize>(), 870);
+            assert!(polls.len() <= 26, "notified within 2.6 s: {polls:?}");
+            assert!(polls.iter().all(|&polls| polls < 870 / 5), "{polls:?}");
         }
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,155 +1,169 @@
-//! The steps of the mechanism and the four rules, on the module alone.
+//! Tests of endpoint selection, circuit breakers, retries, slow start and load shedding, and of the four
+//! rules that every decision keeps, on the decision module alone.
 
 mod common;
 use balancer::decision::*;
 use common::*;
 use std::collections::BTreeMap;
 
-fn counts(servers: impl IntoIterator<Item = u32>) -> BTreeMap<u32, u32> {
+/// How many times each endpoint occurs.
+fn counts(endpoints: impl IntoIterator<Item = u32>) -> BTreeMap<u32, u32> {
     let mut counts = BTreeMap::new();
-    for server in servers {
-        *counts.entry(server).or_insert(0) += 1;
+    for endpoint in endpoints {
+        *counts.entry(endpoint).or_insert(0) += 1;
     }
     counts
 }
 
 #[test]
-fn healthy_own_zone_keeps_all_calls_and_gives_even_turns() {
-    let mut rig = Rig::new(settings(), &zones(3, 4));
-    let turns = counts((0..400).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 3]);
-    assert!(turns.values().all(|&n| (90..=110).contains(&n)), "{turns:?}");
+fn healthy_own_zone_keeps_all_requests_and_spreads_them_evenly() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
+    let selections = counts((0..400).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    assert_eq!(selections.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert!(selections.values().all(|&count| (90..=110).contains(&count)), "{selections:?}");
 }
 
-/// Guards small fleets: a zone of one sound server is no zone in trouble.
+/// Guards small fleets: a zone with a single healthy endpoint is not in trouble.
 #[test]
-fn zone_is_left_only_when_none_of_its_servers_is_healthy() {
+fn other_zones_are_used_only_when_no_endpoint_of_the_own_zone_is_healthy() {
     for own in [1, 0] {
-        let mut list = zones(3, 4);
+        let mut list = endpoints_in_zones(3, 4);
         list.retain(|entry| entry.zone.0 != 0 || entry.endpoint.0 < own);
-        let mut rig = Rig::new(settings(), &list);
-        let turns = counts((0..90).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-        assert_eq!(turns.len(), if own == 1 { 1 } else { 8 }, "{turns:?}");
+        let mut balancer = TestBalancer::new(settings(), &list);
+        let selections = counts((0..90).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+        assert_eq!(selections.len(), if own == 1 { 1 } else { 8 }, "{selections:?}");
     }
 }
 
-/// Guards work against being shed for answers that are spoilt: they come as fast as others, and nothing waits.
+/// Guards against load shedding because of failed answers: they come as fast as others, and no requests queue
+/// up.
 #[test]
-fn failed_answers_are_no_jam() {
-    let mut rig = Rig::new(settings(), &zones(3, 4));
-    let mut open = std::collections::VecDeque::new();
-    for call in 0..600 {
-        rig.now += 10 * MS;
-        let (id, actions) = rig.demand(UNSAFE);
-        assert!(!refused(&actions), "call {call}");
-        open.push_back(id);
-        if open.len() > 14 {
-            let outcome = if call % 2 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success };
-            rig.end(open.pop_front().unwrap(), 0, outcome, 140 * MS);
+fn failed_answers_do_not_start_load_shedding() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
+    let mut in_flight = std::collections::VecDeque::new();
+    for request in 0..600 {
+        balancer.now += 10 * MS;
+        let (id, actions) = balancer.request(NON_IDEMPOTENT);
+        assert!(!is_rejected(&actions), "request {request} was rejected");
+        in_flight.push_back(id);
+        if in_flight.len() > 14 {
+            let outcome = if request % 2 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Success };
+            balancer.end_attempt(in_flight.pop_front().unwrap(), 0, outcome, 140 * MS);
         }
     }
 }
 
 #[test]
-fn blackout_of_half_the_zone_leaves_it() {
-    let mut rig = Rig::new(settings(), &zones(3, 4));
-    rig.warm_up(40);
+fn zone_with_half_of_its_endpoints_failing_sends_requests_elsewhere() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
+    balancer.warm_up(40);
     for _ in 0..60 {
-        rig.run(SAFE, |server| if server < 2 { AttemptOutcome::Error } else { AttemptOutcome::Success });
+        balancer.run_attempts(IDEMPOTENT, |endpoint| {
+            if endpoint < 2 { AttemptOutcome::Error } else { AttemptOutcome::Success }
+        });
     }
-    let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, 5 * MS)));
-    assert!(turns.keys().any(|&server| server >= 4), "{turns:?}");
+    let selections = counts((0..60).filter_map(|_| balancer.serve(NON_IDEMPOTENT, 5 * MS)));
+    assert!(selections.keys().any(|&endpoint| endpoint >= 4), "{selections:?}");
 }
 
 #[test]
-fn zone_that_holds_twice_its_calm_calls_is_left() {
-    let mut rig = Rig::new(settings(), &zones(3, 4));
-    rig.warm_up(200);
-    let servers: Vec<u32> = (0..40).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
-    assert!(servers[..4].iter().all(|&server| server < 4), "{servers:?}");
-    assert!(servers.iter().any(|&server| server >= 4), "{servers:?}");
+fn zone_with_twice_its_usual_requests_in_flight_sends_requests_elsewhere() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
+    balancer.warm_up(200);
+    let endpoints: Vec<u32> = (0..40).filter_map(|_| sent_to(&balancer.request(IDEMPOTENT).1)).collect();
+    assert!(endpoints[..4].iter().all(|&endpoint| endpoint < 4), "{endpoints:?}");
+    assert!(endpoints.iter().any(|&endpoint| endpoint >= 4), "{endpoints:?}");
 }
 
 #[test]
-fn fully_tripped_zone_is_dropped_by_avoidance() {
-    let mut rig = Rig::new(settings(), &zones(3, 3));
-    rig.warm_up(40);
-    rig.now += 2 * SECOND; // dead for so long that no answer tells otherwise
+fn zone_with_all_breakers_open_is_avoided() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 3));
+    balancer.warm_up(40);
+    balancer.now += 2 * SECOND; // long enough that no earlier answer counts any more
     for _ in 0..40 {
-        rig.run(
-            SAFE,
-            |server| if server < 3 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success },
-        );
+        balancer.run_attempts(IDEMPOTENT, |endpoint| {
+            if endpoint < 3 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success }
+        });
     }
-    // Unsafe calls are no trials, so that what is left are the ordinary picks.
-    let turns = counts((0..60).filter_map(|_| rig.serve(UNSAFE, MS)));
-    assert!(turns.keys().all(|&server| server >= 3), "{turns:?}");
-    assert!(turns.keys().any(|&server| server < 6) && turns.keys().any(|&server| server >= 6), "{turns:?}");
+    // Non-idempotent requests are never sent as trials to a tripped endpoint, so only ordinary selection
+    // shows.
+    let selections = counts((0..60).filter_map(|_| balancer.serve(NON_IDEMPOTENT, MS)));
+    assert!(selections.keys().all(|&endpoint| endpoint >= 3), "{selections:?}");
+    assert!(
+        selections.keys().any(|&endpoint| endpoint < 6) && selections.keys().any(|&endpoint| endpoint >= 6),
+        "{selections:?}"
+    );
 }
 
 #[test]
-fn server_at_its_limit_is_passed_over() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
-    let held = sent(&rig.demand(SAFE).1).expect("a server is free");
-    let turns = counts((0..12).filter_map(|_| rig.serve(SAFE, MS)));
-    assert!(!turns.contains_key(&held), "{held} in {turns:?}");
+fn endpoint_at_its_in_flight_limit_is_skipped() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
+    let busy = sent_to(&balancer.request(IDEMPOTENT).1).expect("an endpoint is free");
+    let selections = counts((0..12).filter_map(|_| balancer.serve(IDEMPOTENT, MS)));
+    assert!(!selections.contains_key(&busy), "endpoint {busy} is at its limit: {selections:?}");
 }
 
 #[test]
-fn all_at_the_limit_still_sends_at_once() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(50);
-    let sends = (0..4).filter(|_| sent(&rig.demand(UNSAFE).1).is_some()).count();
+fn requests_are_sent_at_once_when_all_endpoints_are_at_their_limit() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(50);
+    let sends = (0..4).filter(|_| sent_to(&balancer.request(NON_IDEMPOTENT).1).is_some()).count();
     assert_eq!(sends, 4);
 }
 
 #[test]
-fn breaker_opens_after_failures_in_a_row_and_closes_by_a_trial() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
+fn breaker_opens_after_failures_in_a_row_and_closes_after_a_trial() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success });
+        balancer.run_attempts(IDEMPOTENT, |endpoint| {
+            if endpoint == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success }
+        });
     }
-    let open = counts((0..20).filter_map(|_| rig.serve(UNSAFE, MS)));
-    assert!(!open.contains_key(&2), "{open:?}");
-    rig.now += 10 * SECOND;
-    let healed = counts((0..40).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    assert!(healed.contains_key(&2), "{healed:?}");
+    let while_open = counts((0..20).filter_map(|_| balancer.serve(NON_IDEMPOTENT, MS)));
+    assert!(!while_open.contains_key(&2), "{while_open:?}");
+    balancer.now += 10 * SECOND;
+    let closed = counts((0..40).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    assert!(closed.contains_key(&2), "{closed:?}");
 }
 
 #[test]
 fn half_open_breaker_lets_one_trial_out() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
     for _ in 0..20 {
-        rig.run(SAFE, |server| if server == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success });
+        balancer.run_attempts(IDEMPOTENT, |endpoint| {
+            if endpoint == 2 { AttemptOutcome::Reset } else { AttemptOutcome::Success }
+        });
     }
-    rig.now += 10 * SECOND;
-    let first: Vec<u32> = (0..8).filter_map(|_| sent(&rig.demand(SAFE).1)).collect();
-    assert_eq!(first.iter().filter(|&&server| server == 2).count(), 1, "{first:?}");
+    balancer.now += 10 * SECOND;
+    let first: Vec<u32> = (0..8).filter_map(|_| sent_to(&balancer.request(IDEMPOTENT).1)).collect();
+    assert_eq!(first.iter().filter(|&&endpoint| endpoint == 2).count(), 1, "{first:?}");
 }
 
 #[test]
-fn refusals_as_full_do_not_trip_a_breaker() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(50);
+fn rejections_do_not_trip_a_breaker() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(50);
     for _ in 0..30 {
-        rig.run(SAFE, |server| if server == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success });
+        balancer.run_attempts(IDEMPOTENT, |endpoint| {
+            if endpoint == 1 { AttemptOutcome::Rejected } else { AttemptOutcome::Success }
+        });
     }
-    rig.now += SECOND / 2;
-    let turns = counts((0..10).filter_map(|_| rig.serve(UNSAFE, 20 * MS)));
-    assert!(turns.contains_key(&1), "{turns:?}");
+    balancer.now += SECOND / 2;
+    let selections = counts((0..10).filter_map(|_| balancer.serve(NON_IDEMPOTENT, 20 * MS)));
+    assert!(selections.contains_key(&1), "{selections:?}");
 }
 
 #[test]
 fn rule_1_every_request_is_answered_once() {
-    let mut rig = Rig::new(settings(), &zones(3, 2));
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 2));
     for outcome in
         [AttemptOutcome::Error, AttemptOutcome::Timeout, AttemptOutcome::Rejected, AttemptOutcome::NotSent]
     {
-        for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-            let (tried, answer) = rig.run(class, |_| outcome);
+        for class in [IDEMPOTENT, NON_IDEMPOTENT, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
+            let (tried, answer) = balancer.run_attempts(class, |_| outcome);
             assert!(tried.len() <= 4);
             assert!(
                 matches!(answer, Some(Action::Reject { .. } | Action::Fail(_))),
@@ -160,288 +174,296 @@
 }
 
 #[test]
-fn rule_1_nothing_to_send_to_is_refused_at_once() {
-    let mut rig = Rig::new(settings(), &[]);
-    assert!(refused(&rig.demand(UNSAFE).1));
+fn rule_1_request_without_any_endpoint_is_rejected_at_once() {
+    let mut balancer = TestBalancer::new(settings(), &[]);
+    assert!(is_rejected(&balancer.request(NON_IDEMPOTENT).1));
 }
 
 #[test]
-fn rule_2_unsafe_work_that_may_have_run_is_failed_not_refused_or_repeated() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    let (tried, answer) = rig.run(UNSAFE, |_| AttemptOutcome::Reset);
+fn rule_2_non_idempotent_request_that_may_have_run_fails_and_is_not_rejected_or_retried() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    let (tried, answer) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Reset);
     assert_eq!((tried.len(), answer), (1, Some(Action::Fail(RequestId(0)))));
-    let (tried, _) = rig.run(UNSAFE, |_| AttemptOutcome::Rejected);
+    let (tried, _) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Rejected);
     assert_eq!(tried.len(), 4);
 }
 
 #[test]
-fn rule_2_keyed_work_is_repeated_inside_its_group_and_window_only() {
-    let mut rig = Rig::new(settings(), &zones(3, 4));
-    let (tried, _) = rig.run(KEYED_ZONE, |_| AttemptOutcome::Error);
-    assert!(tried.len() > 1 && tried.iter().all(|server| server / 4 == tried[0] / 4), "{tried:?}");
-    let (tried, _) = rig.run(KEYED_CELL, |_| AttemptOutcome::Error);
-    assert!(tried.len() > 1 && tried.iter().all(|server| server % 2 == tried[0] % 2), "{tried:?}");
-    let (id, _) = rig.demand(KEYED_ALL);
-    rig.now += SECOND + MS;
-    assert_eq!(rig.end(id, 0, AttemptOutcome::Error, SECOND + MS), [Action::Fail(id)]);
+fn rule_2_keyed_request_is_retried_inside_its_group_and_window_only() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
+    let (tried, _) = balancer.run_attempts(KEYED_ZONE, |_| AttemptOutcome::Error);
+    assert!(tried.len() > 1 && tried.iter().all(|endpoint| endpoint / 4 == tried[0] / 4), "{tried:?}");
+    let (tried, _) = balancer.run_attempts(KEYED_CELL, |_| AttemptOutcome::Error);
+    assert!(tried.len() > 1 && tried.iter().all(|endpoint| endpoint % 2 == tried[0] % 2), "{tried:?}");
+    let (id, _) = balancer.request(KEYED_ALL);
+    balancer.now += SECOND + MS;
+    assert_eq!(balancer.end_attempt(id, 0, AttemptOutcome::Error, SECOND + MS), [Action::Fail(id)]);
 }
 
 #[test]
-fn rule_3_drained_and_gone_servers_get_nothing_new() {
-    let mut rig = Rig::new(settings(), &zones(1, 3));
-    let mut drained = entry(1, 0);
+fn rule_3_draining_and_removed_endpoints_get_no_new_requests() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 3));
+    let mut drained = endpoint_entry(1, 0);
     drained.state = EndpointState::Draining;
-    rig.tell(Event::EndpointsChanged(&[drained]));
-    rig.tell(Event::EndpointList(&[
-        entry(0, 0),
-        EndpointEntry { state: EndpointState::Draining, ..entry(1, 0) },
+    balancer.handle(Event::EndpointsChanged(&[drained]));
+    balancer.handle(Event::EndpointList(&[
+        endpoint_entry(0, 0),
+        EndpointEntry { state: EndpointState::Draining, ..endpoint_entry(1, 0) },
     ]));
-    let turns = counts((0..30).filter_map(|_| sent(&rig.demand(UNSAFE).1)));
-    assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0]);
+    let selections = counts((0..30).filter_map(|_| sent_to(&balancer.request(NON_IDEMPOTENT).1)));
+    assert_eq!(selections.keys().copied().collect::<Vec<_>>(), [0]);
 }
 
 #[test]
-fn rule_4_cold_server_gets_its_warm_share_of_calls_times_its_warmth_at_most() {
-    let mut list = zones(1, 4);
-    let mut rig = Rig::new(settings(), &list);
-    rig.warm_up(500);
-    list[3].started = Some(rig.now);
-    rig.tell(Event::EndpointsChanged(&list[3..]));
-    let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    let cold = turns.get(&3).copied().unwrap_or(0);
-    assert!((1..=11).contains(&cold), "{turns:?}");
+fn rule_4_cold_endpoint_gets_at_most_its_warm_share_times_its_relative_capacity() {
+    let mut list = endpoints_in_zones(1, 4);
+    let mut balancer = TestBalancer::new(settings(), &list);
+    balancer.warm_up(500);
+    list[3].started = Some(balancer.now);
+    balancer.handle(Event::EndpointsChanged(&list[3..]));
+    let selections = counts((0..100).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    let cold = selections.get(&3).copied().unwrap_or(0);
+    assert!((1..=11).contains(&cold), "{selections:?}");
 }
 
 #[test]
-fn rule_4_zone_back_cold_as_a_whole_is_spared_by_the_fallback_too() {
-    let mut list = zones(3, 4);
-    let mut rig = Rig::new(settings(), &list);
-    rig.warm_up(500);
-    for server in &mut list[..4] {
-        server.started = Some(rig.now);
+fn rule_4_zone_restarted_cold_as_a_whole_is_spared_by_the_fallback_too() {
+    let mut list = endpoints_in_zones(3, 4);
+    let mut balancer = TestBalancer::new(settings(), &list);
+    balancer.warm_up(500);
+    for endpoint in &mut list[..4] {
+        endpoint.started = Some(balancer.now);
     }
-    rig.tell(Event::EndpointList(&list));
-    let turns = counts((0..100).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    let cold: u32 = turns.range(..4).map(|(_, n)| n).sum();
-    assert!((1..=45).contains(&cold), "{turns:?}");
-    assert_eq!(turns.values().sum::<u32>(), 100);
+    balancer.handle(Event::EndpointList(&list));
+    let selections = counts((0..100).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    let cold: u32 = selections.range(..4).map(|(_, count)| count).sum();
+    assert!((1..=45).contains(&cold), "{selections:?}");
+    assert_eq!(selections.values().sum::<u32>(), 100);
 }
 
 #[test]
-fn safe_work_is_retried_elsewhere_within_the_retry_budget() {
-    let mut rig = Rig::new(settings(), &zones(1, 8));
-    let (tried, _) = rig.run(SAFE, |_| AttemptOutcome::Error);
+fn idempotent_request_is_retried_elsewhere_within_the_retry_budget() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 8));
+    let (tried, _) = balancer.run_attempts(IDEMPOTENT, |_| AttemptOutcome::Error);
     assert_eq!(tried.len(), 4);
     assert!(tried.windows(2).all(|pair| pair[0] != pair[1]), "{tried:?}");
-    let attempts: usize = (0..200).map(|_| rig.run(SAFE, |_| AttemptOutcome::Error).0.len()).sum();
+    let attempts: usize =
+        (0..200).map(|_| balancer.run_attempts(IDEMPOTENT, |_| AttemptOutcome::Error).0.len()).sum();
     assert!((200..=260).contains(&attempts), "{attempts} attempts for 200 requests");
 }
 
 #[test]
-fn discovery_is_asked_once_and_again_after_a_jittered_wait() {
-    let mut rig =
-        Rig { balancer: balancer::decision::LoadBalancer::new(asked(), 5, 0).unwrap(), now: 0, next_id: 0 };
-    let first = rig.tell(Event::EndpointList(&zones(1, 2)));
+fn discovery_is_watched_once_and_again_after_a_jittered_backoff() {
+    let mut balancer = TestBalancer {
+        load_balancer: balancer::decision::LoadBalancer::new(polling_settings(), 5, 0).unwrap(),
+        now: 0,
+        next_id: 0,
+    };
+    let first = balancer.handle(Event::EndpointList(&endpoints_in_zones(1, 2)));
     let [Action::SetTimer { token, .. }] = first[..] else { panic!("{first:?}") };
-    assert_eq!(rig.tell(Event::Timer(token)), [Action::WatchEndpoints]);
-    assert_eq!(rig.tell(Event::EndpointsChanged(&[])), []);
-    let again = rig.tell(Event::DiscoveryFailed);
+    assert_eq!(balancer.handle(Event::Timer(token)), [Action::WatchEndpoints]);
+    assert_eq!(balancer.handle(Event::EndpointsChanged(&[])), []);
+    let again = balancer.handle(Event::DiscoveryFailed);
     assert!(
         matches!(again[..], [Action::SetTimer { after, .. }, Action::Log(_)] if after <= 350 * MS),
         "{again:?}"
     );
 }
 
-fn asked() -> Settings {
+fn polling_settings() -> Settings {
     Settings { polls_discovery: true, ..settings() }
 }
 
 #[test]
-fn client_that_left_gets_no_answer_and_its_attempt_is_cancelled() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    let (id, _) = rig.demand(SAFE);
-    assert_eq!(rig.tell(Event::ClientDisconnected(id)), [Action::Cancel { id, attempt: 0 }]);
-    assert_eq!(rig.tell(Event::ClientDisconnected(id)), []);
-    assert_eq!(rig.end(id, 0, AttemptOutcome::Cancelled, MS), []);
+fn disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    let (id, _) = balancer.request(IDEMPOTENT);
+    assert_eq!(balancer.handle(Event::ClientDisconnected(id)), [Action::Cancel { id, attempt: 0 }]);
+    assert_eq!(balancer.handle(Event::ClientDisconnected(id)), []);
+    assert_eq!(balancer.end_attempt(id, 0, AttemptOutcome::Cancelled, MS), []);
 }
 
 #[test]
-fn overload_sheds_the_lowest_worth_first() {
-    let mut rig = Rig::new(settings(), &zones(1, 4));
-    rig.warm_up(100);
-    let mut out = std::collections::VecDeque::new();
+fn overload_sheds_the_lowest_priority_first() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
+    balancer.warm_up(100);
+    let mut in_flight = std::collections::VecDeque::new();
     let mut served = [0, 0];
-    // 400 requests a second of each class; 100 answers a second.
+    // 400 requests a second of each class, and 100 answers a second.
     for step in 0..2000 {
-        rig.now += 5 * MS;
-        for class in [SAFE, UNSAFE, SAFE, UNSAFE] {
-            let (id, actions) = rig.demand(class);
-            if sent(&actions).is_some() {
-                out.push_back((id, rig.now));
+        balancer.now += 5 * MS;
+        for class in [IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT] {
+            let (id, actions) = balancer.request(class);
+            if sent_to(&actions).is_some() {
+                in_flight.push_back((id, balancer.now));
                 served[class] += u32::from(step > 400);
             }
         }
-        if let (0, Some((id, at))) = (step % 2, out.front().copied()) {
-            out.pop_front();
-            rig.end(id, 0, AttemptOutcome::Success, rig.now - at);
+        if let (0, Some((id, sent_at))) = (step % 2, in_flight.front().copied()) {
+            in_flight.pop_front();
+            balancer.end_attempt(id, 0, AttemptOutcome::Success, balancer.now - sent_at);
         }
     }
-    assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
-    assert!(out.len() < 100, "{} held at 100 answers a second and an aim of 500 ms", out.len());
+    assert!(served[IDEMPOTENT] * 10 < served[NON_IDEMPOTENT], "{served:?}");
+    assert!(
+        in_flight.len() < 100,
+        "{} in flight at 100 answers a second and a latency objective of 500 ms",
+        in_flight.len()
+    );
 }
 
 #[test]
-fn unequal_servers_take_turns_by_size() {
-    let mut list = zones(1, 4);
+fn requests_are_spread_by_endpoint_capacity() {
+    let mut list = endpoints_in_zones(1, 4);
     list[0].capacity = 0.5;
-    let mut rig = Rig::new(settings(), &list);
-    let turns = counts((0..350).filter_map(|_| rig.serve(SAFE, 20 * MS)));
-    assert!((40..=60).contains(&turns[&0]) && (90..=110).contains(&turns[&1]), "{turns:?}");
+    let mut balancer = TestBalancer::new(settings(), &list);
+    let selections = counts((0..350).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    assert!((40..=60).contains(&selections[&0]) && (90..=110).contains(&selections[&1]), "{selections:?}");
 }
 
 #[test]
-fn log_lines_tell_what_happens_without_flooding() {
-    let log = |actions: &[Action], part: &str| {
-        actions.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(part))).count()
+fn log_lines_report_each_change_once_or_twice() {
+    let count_lines = |actions: &[Action], phrase: &str| {
+        actions.iter().filter(|action| matches!(action, Action::Log(text) if text.contains(phrase))).count()
     };
-    let mut rig = Rig::new(settings(), &zones(2, 4));
-    rig.warm_up(100);
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 4));
+    balancer.warm_up(100);
     let mut all = Vec::new();
     for _ in 0..100 {
-        let (id, mut actions) = rig.demand(SAFE);
+        let (id, mut actions) = balancer.request(IDEMPOTENT);
         for attempt in 0..4 {
             all.extend(actions.clone());
-            let Some(server) = sent(&actions) else { break };
-            rig.now += 10 * MS;
-            let outcome = if server < 4 { AttemptOutcome::Error } else { AttemptOutcome::Success };
-            actions = rig.end(id, attempt, outcome, 10 * MS);
+            let Some(endpoint) = sent_to(&actions) else { break };
+            balancer.now += 10 * MS;
+            let outcome = if endpoint < 4 { AttemptOutcome::Error } else { AttemptOutcome::Success };
+            actions = balancer.end_attempt(id, attempt, outcome, 10 * MS);
         }
         all.extend(actions);
     }
-    let lines = [log(&all, "breaker of endpoint"), log(&all, "zone left")];
-    assert!(lines.iter().all(|n| (1..=2).contains(n)), "{lines:?}");
-    let failed = rig.tell(Event::DiscoveryFailed);
-    assert_eq!(log(&failed, "discovery failed 1 times"), 1);
+    let lines = [count_lines(&all, "breaker of endpoint"), count_lines(&all, "zone left")];
+    assert!(lines.iter().all(|count| (1..=2).contains(count)), "{lines:?}");
+    let failed = balancer.handle(Event::DiscoveryFailed);
+    assert_eq!(count_lines(&failed, "discovery failed 1 times"), 1);
 }
 
-/// Guards restarts during a release: a balancer that knows nothing yet still uses servers that are all cold.
+/// Guards restarts during a release: a balancer without statistics still uses a fleet in which every endpoint
+/// is cold.
 #[test]
-fn fresh_balancer_uses_a_fleet_that_is_cold() {
-    let mut list = zones(3, 1);
+fn new_balancer_uses_a_cold_fleet() {
+    let mut list = endpoints_in_zones(3, 1);
     list.iter_mut().for_each(|entry| entry.started = Some(SECOND / 2));
-    let mut rig = Rig::new(settings(), &list);
-    let served = (0..200).filter_map(|_| rig.serve(SAFE, 20 * MS)).count();
-    assert!(served > 40, "{served} of 200 calls in 4 s, at a quarter of the capacity and more");
+    let mut balancer = TestBalancer::new(settings(), &list);
+    let served = (0..200).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)).count();
+    assert!(served > 40, "{served} of 200 requests served in 4 s, at a quarter of the capacity or more");
 }
 
-/// Guards an upstream under repair: no path of the module leads to it, and the list does not put it back.
+/// Guards an endpoint under repair: no path of the module sends to it, and no endpoint list brings it back.
 #[test]
-fn a_server_out_by_hand_is_sent_nothing_on_any_path() {
-    let list = zones(1, 2);
-    let mut rig = Rig::new(settings(), &list);
-    rig.tell(Event::Offline(EndpointId(0)));
-    assert_eq!(rig.balancer.avoided(), 1);
+fn an_offline_endpoint_gets_no_requests_on_any_path() {
+    let list = endpoints_in_zones(1, 2);
+    let mut balancer = TestBalancer::new(settings(), &list);
+    balancer.handle(Event::Offline(EndpointId(0)));
+    assert_eq!(balancer.load_balancer.avoided(), 1);
     for _ in 0..20 {
-        // Each is repeated as often as may be.
-        let (tried, _) = rig.run(SAFE, |_| AttemptOutcome::Rejected);
-        assert!(tried.iter().all(|server| *server == 1), "{tried:?}");
-        rig.now += SECOND;
-        rig.tell(Event::EndpointList(&list));
-        rig.tell(Event::EndpointsChanged(&list[..1]));
+        // Each request is retried as often as the settings allow.
+        let (tried, _) = balancer.run_attempts(IDEMPOTENT, |_| AttemptOutcome::Rejected);
+        assert!(tried.iter().all(|endpoint| *endpoint == 1), "{tried:?}");
+        balancer.now += SECOND;
+        balancer.handle(Event::EndpointList(&list));
+        balancer.handle(Event::EndpointsChanged(&list[..1]));
     }
-    rig.tell(Event::Offline(EndpointId(1)));
-    let (_, actions) = rig.demand(SAFE);
-    assert!(sent(&actions).is_none() && refused(&actions));
+    balancer.handle(Event::Offline(EndpointId(1)));
+    let (_, actions) = balancer.request(IDEMPOTENT);
+    assert!(sent_to(&actions).is_none() && is_rejected(&actions));
 }
 
 #[test]
-fn a_server_out_by_hand_is_out_when_it_is_listed_again() {
-    let list = zones(1, 2);
-    let mut rig = Rig::new(settings(), &list[1..]);
-    rig.tell(Event::Offline(EndpointId(0)));
-    rig.tell(Event::EndpointList(&list));
-    rig.warm_up(20);
-    assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS) == Some(1)));
-    rig.tell(Event::EndpointList(&list[1..]));
-    rig.tell(Event::EndpointList(&list));
-    assert!((0..20).all(|_| rig.serve(SAFE, 20 * MS) == Some(1)));
-}
-
-/// Guards a server that comes back cold though the list tells nothing of a restart.
+fn an_offline_endpoint_stays_offline_when_it_is_listed_again() {
+    let list = endpoints_in_zones(1, 2);
+    let mut balancer = TestBalancer::new(settings(), &list[1..]);
+    balancer.handle(Event::Offline(EndpointId(0)));
+    balancer.handle(Event::EndpointList(&list));
+    balancer.warm_up(20);
+    assert!((0..20).all(|_| balancer.serve(IDEMPOTENT, 20 * MS) == Some(1)));
+    balancer.handle(Event::EndpointList(&list[1..]));
+    balancer.handle(Event::EndpointList(&list));
+    assert!((0..20).all(|_| balancer.serve(IDEMPOTENT, 20 * MS) == Some(1)));
+}
+
+/// Guards an endpoint that comes back cold although discovery reports no restart.
 #[test]
-fn a_server_put_back_is_ramped_as_cold() {
-    let list = zones(1, 2);
-    let mut rig = Rig::new(settings(), &list);
-    rig.warm_up(200);
-    let share = |rig: &mut Rig| (0..200).filter(|_| rig.serve(SAFE, 20 * MS) == Some(0)).count();
-    let before = share(&mut rig);
-    rig.tell(Event::Offline(EndpointId(0)));
-    rig.tell(Event::Online(EndpointId(0)));
-    let cold = share(&mut rig);
-    assert!(cold > 0 && cold < before / 2, "{before} of 200 calls before, {cold} right after");
-    rig.now += 10 * SECOND;
-    rig.tell(Event::Online(EndpointId(0)));
-    assert!(share(&mut rig) > before / 2, "once more is nothing new");
-}
-
-/// Guards a request whose start is gone against being sent again without it.
+fn an_endpoint_back_online_warms_up_as_a_cold_one() {
+    let list = endpoints_in_zones(1, 2);
+    let mut balancer = TestBalancer::new(settings(), &list);
+    balancer.warm_up(200);
+    let share = |balancer: &mut TestBalancer| {
+        (0..200).filter(|_| balancer.serve(IDEMPOTENT, 20 * MS) == Some(0)).count()
+    };
+    let before = share(&mut balancer);
+    balancer.handle(Event::Offline(EndpointId(0)));
+    balancer.handle(Event::Online(EndpointId(0)));
+    let cold = share(&mut balancer);
+    assert!(cold > 0 && cold < before / 2, "{before} of 200 requests before, {cold} right after");
+    balancer.now += 10 * SECOND;
+    balancer.handle(Event::Online(EndpointId(0)));
+    assert!(share(&mut balancer) > before / 2, "bringing it online again does not restart the warm-up");
+}
+
+/// Guards a request whose body has been consumed in part against a retry without that part.
 #[test]
-fn a_request_that_is_spent_is_not_repeated() {
-    let mut rig = Rig::new(settings(), &zones(1, 3));
-    for (outcome, spent) in [(AttemptOutcome::ConnectFailed, true), (AttemptOutcome::ConnectFailed, false)] {
-        let (id, actions) = rig.demand(SAFE);
-        assert!(sent(&actions).is_some());
-        let end = AttemptEnd {
-            attempt: 0,
-            outcome,
-            elapsed: MS,
-            request_closed: false,
-            body_consumed: spent,
-            load: None,
-        };
-        let actions = rig.tell(Event::AttemptEnded(id, end));
-        assert_eq!((sent(&actions).is_some(), refused(&actions)), (!spent, spent));
+fn a_request_with_a_consumed_body_is_not_retried() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 3));
+    for (outcome, body_consumed) in
+        [(AttemptOutcome::ConnectFailed, true), (AttemptOutcome::ConnectFailed, false)]
+    {
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        assert!(sent_to(&actions).is_some());
+        let end =
+            AttemptEnd { attempt: 0, outcome, elapsed: MS, request_closed: false, body_consumed, load: None };
+        let actions = balancer.handle(Event::AttemptEnded(id, end));
+        assert_eq!((sent_to(&actions).is_some(), is_rejected(&actions)), (!body_consumed, body_consumed));
     }
 }
 
-/// Guards a server against being held late for a request that its caller is slow to write.
+/// Guards an endpoint against counting as late while the client is still writing its request.
 #[test]
-fn a_request_that_is_still_coming_is_never_late() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(50);
-    let timers = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
-    for (streamed, expected) in [(false, 1), (true, 0)] {
-        let demand = IncomingRequest {
-            class: SAFE,
-            tenant: 0,
-            time_left: 2 * SECOND,
-            work: None,
-            streaming: streamed,
-        };
-        rig.next_id += 1;
-        let actions = rig.tell(Event::Request(RequestId(rig.next_id + 1000), demand));
-        assert!(sent(&actions).is_some());
-        assert_eq!(timers(&actions), expected, "streamed: {streamed}");
+fn a_request_still_streaming_never_makes_its_endpoint_late() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(50);
+    let timer_count = |actions: &[Action]| {
+        actions.iter().filter(|action| matches!(action, Action::SetTimer { .. })).count()
+    };
+    for (streaming, expected) in [(false, 1), (true, 0)] {
+        let incoming =
+            IncomingRequest { class: IDEMPOTENT, tenant: 0, time_left: 2 * SECOND, work: None, streaming };
+        balancer.next_id += 1;
+        let actions = balancer.handle(Event::Request(RequestId(balancer.next_id + 1000), incoming));
+        assert!(sent_to(&actions).is_some());
+        assert_eq!(timer_count(&actions), expected, "streaming: {streaming}");
     }
 }
 
-/// Guards a server that passes long answers on against being taken for full, and others against one that breaks
-/// them off.
+/// Guards an endpoint that streams long answers against counting as full, and other endpoints against one
+/// that breaks off its answers.
 #[test]
-fn an_answer_that_has_begun_holds_no_turn_and_counts_if_it_breaks() {
-    let mut rig = Rig::new(settings(), &zones(1, 2));
-    rig.warm_up(100);
-    let mut begun = Vec::new();
+fn a_started_response_is_not_in_flight_and_counts_as_a_failure_if_it_breaks_off() {
+    let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
+    balancer.warm_up(100);
+    let mut started = Vec::new();
     for _ in 0..20 {
-        let (id, actions) = rig.demand(SAFE);
-        begun.push((id, sent(&actions).expect("a server")));
-        rig.now += 20 * MS;
-        rig.tell(Event::ResponseStarted(id, 0));
+        let (id, actions) = balancer.request(IDEMPOTENT);
+        started.push((id, sent_to(&actions).expect("an endpoint was selected")));
+        balancer.now += 20 * MS;
+        balancer.handle(Event::ResponseStarted(id, 0));
     }
-    let to = |server: u32| begun.iter().filter(|(_, at)| *at == server).count();
-    assert_eq!((to(0), to(1)), (10, 10), "even turns, however many answers go on");
-    for &(id, server) in &begun {
-        let outcome = if server == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
+    let sent_count = |endpoint: u32| started.iter().filter(|(_, selected)| *selected == endpoint).count();
+    assert_eq!(
+        (sent_count(0), sent_count(1)),
+        (10, 10),
+        "an even share, however many responses are still streaming"
+    );
+    for &(id, endpoint) in &started {
+        let outcome = if endpoint == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         let end = AttemptEnd {
             attempt: 0,
             outcome,
@@ -450,8 +472,12 @@
             body_consumed: false,
             load: None,
         };
-        assert_eq!(sent(&rig.tell(Event::AttemptEnded(id, end))), None, "it is the caller's by now");
+        assert_eq!(
+            sent_to(&balancer.handle(Event::AttemptEnded(id, end))),
+            None,
+            "its response went to the client already"
+        );
     }
-    assert_eq!(rig.balancer.avoided(), 1, "its breaker is open");
-    assert_eq!(rig.serve(SAFE, 20 * MS), Some(1));
+    assert_eq!(balancer.load_balancer.avoided(), 1, "its breaker is open");
+    assert_eq!(balancer.serve(IDEMPOTENT, 20 * MS), Some(1));
 }
