--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal event orders never break rules 1 to 3, never panic, and give the same actions again.
+//! Property tests: random legal sequences of events never break rules 1 to 3, never panic, and always give
+//! the same actions.
 
 mod common;
 use balancer::decision::*;
@@ -6,36 +7,68 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
+/// A random event, or a wait. `pick` selects one of those that the event can refer to now.
 #[derive(Clone, Debug)]
 enum Step {
-    IncomingRequest { class: usize, time_left: u64 },
-    AttemptEnd { pick: usize, outcome: usize },
-    Leave { pick: usize },
-    List { server: u32, lifecycle: u8, size: f32, fresh: bool, whole: bool },
-    Failed,
-    Moved,
-    Ring { pick: usize },
-    Noise { id: u32, attempt: u32, token: u64, load: f32 },
-    Probed { pick: usize, ok: bool, load: f32 },
-    Wait { time: u64 },
+    Request {
+        class: usize,
+        time_left: u64,
+    },
+    AttemptEnd {
+        pick: usize,
+        outcome: usize,
+    },
+    ClientDisconnected {
+        pick: usize,
+    },
+    EndpointList {
+        endpoint: u32,
+        state: u8,
+        capacity: f32,
+        restarted: bool,
+        complete: bool,
+    },
+    DiscoveryFailed,
+    DiscoveryMoved,
+    Timer {
+        pick: usize,
+    },
+    /// Events about ids that were never issued.
+    UnknownIds {
+        id: u32,
+        attempt: u32,
+        token: u64,
+        load: f32,
+    },
+    LoadQueryEnded {
+        pick: usize,
+        success: bool,
+        load: f32,
+    },
+    Wait {
+        time: u64,
+    },
 }
 
+/// Draws a step; the weights make requests and their ends frequent.
 fn step() -> impl Strategy<Value = Step> {
     let load = prop_oneof![Just(f32::NAN), Just(-1.0), 0.0f32..9.0];
-    let size = prop_oneof![Just(1.0f32), Just(0.0), Just(f32::NAN), Just(-3.0), 0.1f32..8.0];
+    let capacity = prop_oneof![Just(1.0f32), Just(0.0), Just(f32::NAN), Just(-3.0), 0.1f32..8.0];
     prop_oneof![
-        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::IncomingRequest { class, time_left: ms * MS }),
+        6 => (0usize..6, 1u64..3000).prop_map(|(class, ms)| Step::Request { class, time_left: ms * MS }),
         6 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::AttemptEnd { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
-        2 => (0u32..12, 0u8..3, size, any::<bool>(), prop::bool::weighted(0.1)).prop_map(
-            |(server, lifecycle, size, fresh, whole)| Step::List { server, lifecycle, size, fresh, whole }
+        1 => any::<usize>().prop_map(|pick| Step::ClientDisconnected { pick }),
+        2 => (0u32..12, 0u8..3, capacity, any::<bool>(), prop::bool::weighted(0.1)).prop_map(
+            |(endpoint, state, capacity, restarted, complete)|
+                Step::EndpointList { endpoint, state, capacity, restarted, complete }
         ),
-        4 => (any::<usize>(), any::<bool>(), load).prop_map(|(pick, ok, load)| Step::Probed { pick, ok, load }),
-        1 => Just(Step::Failed),
-        1 => Just(Step::Moved),
-        1 => any::<usize>().prop_map(|pick| Step::Ring { pick }),
+        4 => (any::<usize>(), any::<bool>(), load)
+            .prop_map(|(pick, success, load)| Step::LoadQueryEnded { pick, success, load }),
+        1 => Just(Step::DiscoveryFailed),
+        1 => Just(Step::DiscoveryMoved),
+        1 => any::<usize>().prop_map(|pick| Step::Timer { pick }),
         1 => (any::<u32>(), 0u32..5, any::<u64>(), any::<f32>())
-            .prop_map(|(id, attempt, token, load)| Step::Noise { id: id | 1 << 31, attempt, token, load }),
+            .prop_map(|(id, attempt, token, load)| Step::UnknownIds { id: id | 1 << 31, attempt, token, load }),
         4 => (0u64..300).prop_map(|ms| Step::Wait { time: ms * MS }),
     ]
 }
@@ -51,167 +84,195 @@
     AttemptOutcome::NotSent,
 ];
 
+/// A request of a client. An attempt is given as its endpoint and the time when it was sent.
 #[derive(Debug)]
-struct Call {
+struct Request {
     class: usize,
     attempts: u32,
-    out: Option<(u32, u64)>,
-    ran: Option<(u32, u64)>,
+    in_flight: Option<(u32, u64)>,
+    /// The first attempt that may have run.
+    first_run: Option<(u32, u64)>,
     answered: bool,
-    left: bool,
+    disconnected: bool,
 }
 
-/// The world around one balancer: what is legal next, and whether the rules held.
-struct World {
-    rig: Rig,
-    calls: BTreeMap<u32, Call>,
+/// The clients, the endpoints and discovery around one balancer: tracks which events are legal next, and
+/// checks every action against the rules.
+struct Simulation {
+    balancer: TestBalancer,
+    requests: BTreeMap<u32, Request>,
     listed: BTreeMap<u32, EndpointEntry>,
     timers: Vec<u64>,
-    probes: Vec<EndpointId>,
-    log: Vec<Action>,
+    load_queries: Vec<EndpointId>,
+    actions: Vec<Action>,
 }
 
-impl World {
+impl Simulation {
     fn new(settings: Settings) -> Self {
-        let list = zones(3, 3);
-        let rig = Rig { balancer: LoadBalancer::new(settings, 99, SECOND).unwrap(), now: SECOND, next_id: 0 };
+        let list = endpoints_in_zones(3, 3);
+        let balancer = TestBalancer {
+            load_balancer: LoadBalancer::new(settings, 99, SECOND).unwrap(),
+            now: SECOND,
+            next_id: 0,
+        };
         let listed = list.iter().map(|entry| (entry.endpoint.0, entry.clone())).collect();
-        let mut world = Self {
-            rig,
-            calls: BTreeMap::new(),
+        let mut simulation = Self {
+            balancer,
+            requests: BTreeMap::new(),
             listed,
             timers: Vec::new(),
-            probes: Vec::new(),
-            log: Vec::new(),
+            load_queries: Vec::new(),
+            actions: Vec::new(),
         };
-        world.tell(Event::EndpointList(&list));
-        world
+        simulation.handle(Event::EndpointList(&list));
+        simulation
     }
 
-    fn tell(&mut self, event: Event<'_>) {
-        for action in self.rig.tell(event) {
+    fn handle(&mut self, event: Event<'_>) {
+        for action in self.balancer.handle(event) {
             self.check(&action);
-            self.log.push(action);
+            self.actions.push(action);
         }
     }
 
     fn check(&mut self, action: &Action) {
-        let now = self.rig.now;
+        let now = self.balancer.now;
         match action {
-            Action::Send { id, endpoint: server, .. } => {
-                let call = self.calls.get_mut(&id.0).expect("a request that was given");
-                assert!(!call.answered && !call.left, "rule 1: sent after the end of {id:?}");
-                assert!(call.out.is_none(), "rule 2: two attempts out for {id:?}");
-                assert!(call.attempts < 4, "over the most attempts");
-                let entry = &self.listed[&server.0];
-                assert_eq!(entry.state, EndpointState::InService, "rule 3: sent to {server:?}");
-                if let Some((first, sent)) = call.ran {
+            Action::Send { id, endpoint, .. } => {
+                let request = self.requests.get_mut(&id.0).expect("the request was sent by a client");
+                assert!(!request.answered && !request.disconnected, "rule 1: sent after the end of {id:?}");
+                assert!(request.in_flight.is_none(), "rule 2: two attempts in flight for {id:?}");
+                assert!(request.attempts < 4, "{id:?} has more attempts than the limit");
+                let entry = &self.listed[&endpoint.0];
+                assert_eq!(entry.state, EndpointState::InService, "rule 3: sent to {endpoint:?}");
+                if let Some((first, sent_at)) = request.first_run {
                     let (first, window) = (&self.listed[&first], SECOND);
-                    match call.class {
-                        SAFE => {}
-                        UNSAFE => panic!("rule 2: unsafe {id:?} sent again"),
-                        _ if now - sent > window => panic!("rule 2: {id:?} sent after its window"),
-                        KEYED_ZONE => assert_eq!(first.zone, entry.zone, "rule 2: out of the zone"),
-                        KEYED_CELL => assert_eq!(first.cell, entry.cell, "rule 2: out of the cell"),
+                    match request.class {
+                        IDEMPOTENT => {}
+                        NON_IDEMPOTENT => panic!("rule 2: non-idempotent {id:?} sent again"),
+                        _ if now - sent_at > window => panic!("rule 2: {id:?} sent after its window"),
+                        KEYED_ZONE => {
+                            assert_eq!(first.zone, entry.zone, "rule 2: {id:?} sent out of its zone")
+                        }
+                        KEYED_CELL => {
+                            assert_eq!(first.cell, entry.cell, "rule 2: {id:?} sent out of its cell")
+                        }
                         _ => {}
                     }
                 }
-                call.attempts += 1;
-                call.out = Some((server.0, now));
+                request.attempts += 1;
+                request.in_flight = Some((endpoint.0, now));
             }
             Action::Reject { id, .. } | Action::Fail(id) => {
-                let call = self.calls.get_mut(&id.0).expect("a request that was given");
-                assert!(!call.answered && !call.left, "rule 1: a second answer for {id:?}");
-                assert!(call.out.is_none(), "rule 1: answered with an attempt out");
-                let refused = matches!(action, Action::Reject { .. });
-                let harmless = call.ran.is_none() || call.class == SAFE || call.class == KEYED_ALL;
-                assert!(!refused || harmless, "rule 2: {id:?} refused though it may have run");
-                call.answered = true;
+                let request = self.requests.get_mut(&id.0).expect("the request was sent by a client");
+                assert!(!request.answered && !request.disconnected, "rule 1: a second answer for {id:?}");
+                assert!(request.in_flight.is_none(), "rule 1: {id:?} answered with an attempt in flight");
+                let rejected = matches!(action, Action::Reject { .. });
+                let may_be_rejected =
+                    request.first_run.is_none() || request.class == IDEMPOTENT || request.class == KEYED_ALL;
+                assert!(!rejected || may_be_rejected, "rule 2: {id:?} rejected though it may have run");
+                request.answered = true;
             }
             Action::SetTimer { token, .. } => self.timers.push(*token),
-            Action::Cancel { id, attempt } => assert!(self.calls[&id.0].attempts > *attempt),
-            Action::QueryLoad(server) => {
-                assert_eq!(self.listed[&server.0].state, EndpointState::InService, "probed {server:?}");
-                self.probes.push(*server);
+            Action::Cancel { id, attempt } => assert!(self.requests[&id.0].attempts > *attempt),
+            Action::QueryLoad(endpoint) => {
+                assert_eq!(
+                    self.listed[&endpoint.0].state,
+                    EndpointState::InService,
+                    "load query to {endpoint:?}, which is not in service"
+                );
+                self.load_queries.push(*endpoint);
             }
-            Action::CloseIdle(server) => assert!(self.listed.contains_key(&server.0)),
+            Action::CloseIdle(endpoint) => assert!(self.listed.contains_key(&endpoint.0)),
             Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
-    fn out(&self, pick: usize) -> Option<u32> {
-        let out: Vec<u32> = self.calls.iter().filter(|(_, c)| c.out.is_some()).map(|(id, _)| *id).collect();
-        out.get(pick % out.len().max(1)).copied()
+    fn in_flight_request(&self, pick: usize) -> Option<u32> {
+        let in_flight: Vec<u32> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| request.in_flight.is_some())
+            .map(|(id, _)| *id)
+            .collect();
+        in_flight.get(pick % in_flight.len().max(1)).copied()
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Wait { time } => self.rig.now += time,
-            Step::Probed { pick, ok, load } => {
-                if self.probes.is_empty() {
+            Step::Wait { time } => self.balancer.now += time,
+            Step::LoadQueryEnded { pick, success, load } => {
+                if self.load_queries.is_empty() {
                     return;
                 }
-                let server = self.probes.swap_remove(pick % self.probes.len());
-                let outcome = if ok { AttemptOutcome::Success } else { AttemptOutcome::Timeout };
-                self.tell(Event::LoadQueryEnded(server, outcome, held(load).filter(|_| ok)));
+                let endpoint = self.load_queries.swap_remove(pick % self.load_queries.len());
+                let outcome = if success { AttemptOutcome::Success } else { AttemptOutcome::Timeout };
+                self.handle(Event::LoadQueryEnded(endpoint, outcome, load_report(load).filter(|_| success)));
             }
-            Step::Failed => self.tell(Event::DiscoveryFailed),
-            Step::Moved => self.tell(Event::DiscoveryMoved),
-            Step::Ring { pick } if !self.timers.is_empty() => {
+            Step::DiscoveryFailed => self.handle(Event::DiscoveryFailed),
+            Step::DiscoveryMoved => self.handle(Event::DiscoveryMoved),
+            Step::Timer { pick } if !self.timers.is_empty() => {
                 let token = self.timers[pick % self.timers.len()];
-                self.tell(Event::Timer(token));
+                self.handle(Event::Timer(token));
             }
-            Step::Ring { pick } => self.tell(Event::Timer(pick as u64)),
-            Step::IncomingRequest { class, time_left } => {
-                let id = self.rig.next_id;
-                self.rig.next_id += 1;
-                let call = Call { class, attempts: 0, out: None, ran: None, answered: false, left: false };
-                self.calls.insert(id, call);
-                let demand = IncomingRequest {
+            Step::Timer { pick } => self.handle(Event::Timer(pick as u64)),
+            Step::Request { class, time_left } => {
+                let id = self.balancer.next_id;
+                self.balancer.next_id += 1;
+                let request = Request {
+                    class,
+                    attempts: 0,
+                    in_flight: None,
+                    first_run: None,
+                    answered: false,
+                    disconnected: false,
+                };
+                self.requests.insert(id, request);
+                let incoming = IncomingRequest {
                     class,
                     tenant: class,
                     time_left,
                     work: Some(time_left),
                     streaming: false,
                 };
-                self.tell(Event::Request(RequestId(id), demand));
+                self.handle(Event::Request(RequestId(id), incoming));
             }
             Step::AttemptEnd { pick, outcome } => {
-                let Some(id) = self.out(pick) else { return };
-                self.end(id, OUTCOMES[outcome]);
+                let Some(id) = self.in_flight_request(pick) else { return };
+                self.end_attempt(id, OUTCOMES[outcome]);
             }
-            Step::Leave { pick } => {
-                let Some(id) = self.out(pick) else { return };
-                let call = self.calls.get_mut(&id).expect("it is out");
-                if !call.answered && !call.left {
-                    call.left = true;
-                    self.tell(Event::ClientDisconnected(RequestId(id)));
+            Step::ClientDisconnected { pick } => {
+                let Some(id) = self.in_flight_request(pick) else { return };
+                let request = self.requests.get_mut(&id).expect("an attempt is in flight");
+                if !request.answered && !request.disconnected {
+                    request.disconnected = true;
+                    self.handle(Event::ClientDisconnected(RequestId(id)));
                 }
             }
-            Step::List { server, lifecycle, size, fresh, whole } => {
-                let lifecycle = [EndpointState::Removed, EndpointState::InService, EndpointState::Draining]
-                    [lifecycle as usize];
-                let started = fresh.then_some(self.rig.now);
+            Step::EndpointList { endpoint, state, capacity, restarted, complete } => {
+                let state = [EndpointState::Removed, EndpointState::InService, EndpointState::Draining]
+                    [state as usize];
+                let started = restarted.then_some(self.balancer.now);
                 let entry = EndpointEntry {
-                    state: lifecycle,
-                    capacity: size,
+                    state,
+                    capacity,
                     started,
-                    ..entry(server, (server % 4) as u8)
+                    ..endpoint_entry(endpoint, (endpoint % 4) as u8)
                 };
-                let entry = self.listed.get(&server).map_or(entry.clone(), |old| EndpointEntry {
+                let entry = self.listed.get(&endpoint).map_or(entry.clone(), |old| EndpointEntry {
                     zone: old.zone,
                     cell: old.cell,
                     ..entry
                 });
-                if whole {
+                if complete {
                     self.listed.values_mut().for_each(|entry| entry.state = EndpointState::Removed);
                 }
-                self.listed.insert(server, entry.clone());
+                self.listed.insert(endpoint, entry.clone());
                 let event =
-                    if whole { Event::EndpointList(&[entry]) } else { Event::EndpointsChanged(&[entry]) };
-                self.tell(event);
+                    if complete { Event::EndpointList(&[entry]) } else { Event::EndpointsChanged(&[entry]) };
+                self.handle(event);
             }
-            Step::Noise { id, attempt, token, load } => {
+            Step::UnknownIds { id, attempt, token, load } => {
                 let id = RequestId(id);
                 let load = Some(LoadReport { figures: [load; 4], len: 4 });
                 let end = AttemptEnd {
@@ -222,25 +283,25 @@
                     body_consumed: false,
                     load,
                 };
-                self.tell(Event::AttemptEnded(id, end));
-                self.tell(Event::ClientDisconnected(id));
-                self.tell(Event::ResponseStarted(id, attempt));
-                self.tell(Event::Timer(token & !(1 << 63)));
+                self.handle(Event::AttemptEnded(id, end));
+                self.handle(Event::ClientDisconnected(id));
+                self.handle(Event::ResponseStarted(id, attempt));
+                self.handle(Event::Timer(token & !(1 << 63)));
             }
         }
     }
 
-    fn end(&mut self, id: u32, outcome: AttemptOutcome) {
-        let call = self.calls.get_mut(&id).expect("it was given");
-        let (server, sent) = call.out.take().expect("it is out");
+    fn end_attempt(&mut self, id: u32, outcome: AttemptOutcome) {
+        let request = self.requests.get_mut(&id).expect("the request was sent by a client");
+        let (endpoint, sent_at) = request.in_flight.take().expect("an attempt is in flight");
         if !outcome.never_ran() {
-            call.ran = call.ran.or(Some((server, sent)));
+            request.first_run = request.first_run.or(Some((endpoint, sent_at)));
         }
-        let attempt = call.attempts - 1;
-        call.answered |= outcome == AttemptOutcome::Success && !call.left;
-        let closed = call.answered || call.left;
-        let elapsed = self.rig.now - sent;
-        self.tell(Event::AttemptEnded(
+        let attempt = request.attempts - 1;
+        request.answered |= outcome == AttemptOutcome::Success && !request.disconnected;
+        let closed = request.answered || request.disconnected;
+        let elapsed = self.balancer.now - sent_at;
+        self.handle(Event::AttemptEnded(
             RequestId(id),
             AttemptEnd {
                 attempt,
@@ -254,15 +315,16 @@
     }
 }
 
-fn settings_of(kind: u8) -> Settings {
+/// A variant of the settings: each bit of `variant` toggles one of them.
+fn settings_variant(variant: u8) -> Settings {
     Settings {
-        tier: u32::from(kind & 1),
-        propagates_deadline: kind & 2 == 0,
-        polls_discovery: kind & 4 == 0,
-        replicas: if kind & 8 == 0 { 0 } else { 3 },
-        zone: ZoneId(if kind & 16 == 0 { 0 } else { 2 }),
+        tier: u32::from(variant & 1),
+        propagates_deadline: variant & 2 == 0,
+        polls_discovery: variant & 4 == 0,
+        replicas: if variant & 8 == 0 { 0 } else { 3 },
+        zone: ZoneId(if variant & 16 == 0 { 0 } else { 2 }),
         reported_in_flight: Some(0),
-        load_on_request: kind & 32 != 0,
+        load_on_request: variant & 32 != 0,
         tenants: vec![Tenant { quota_rps: 0.0 }, Tenant { quota_rps: 10.0 }],
         ..settings()
     }
@@ -277,30 +339,30 @@
     })]
 
     #[test]
-    fn rules_hold_on_random_legal_orders(kind in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
-        let mut world = World::new(settings_of(kind));
-        steps.iter().for_each(|step| world.play(step));
-        // Rule 1: when every attempt has ended by its deadline, every request has its answer.
+    fn rules_hold_on_random_legal_orders(variant in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
+        let mut simulation = Simulation::new(settings_variant(variant));
+        steps.iter().for_each(|step| simulation.apply(step));
+        // Rule 1: once every attempt has ended by its deadline, every request has its answer.
         loop {
-            // Every timer comes due in the end, and those that it sets in turn.
-            for token in std::mem::take(&mut world.timers) {
-                world.tell(Event::Timer(token));
+            // Every timer fires in the end, and so do the timers that are set then.
+            for token in std::mem::take(&mut simulation.timers) {
+                simulation.handle(Event::Timer(token));
             }
-            let Some(id) = world.out(0) else { break };
-            world.rig.now += 3 * SECOND;
-            world.end(id, AttemptOutcome::Timeout);
+            let Some(id) = simulation.in_flight_request(0) else { break };
+            simulation.balancer.now += 3 * SECOND;
+            simulation.end_attempt(id, AttemptOutcome::Timeout);
         }
-        for (id, call) in &world.calls {
-            prop_assert!(call.answered || call.left, "request {id} has no answer");
+        for (id, request) in &simulation.requests {
+            prop_assert!(request.answered || request.disconnected, "request {id} has no answer");
         }
     }
 
     #[test]
-    fn same_events_give_the_same_actions(kind in 0u8..64, steps in prop::collection::vec(step(), 1..200)) {
+    fn same_events_give_the_same_actions(variant in 0u8..64, steps in prop::collection::vec(step(), 1..200)) {
         let [first, second] = [(), ()].map(|()| {
-            let mut world = World::new(settings_of(kind));
-            steps.iter().for_each(|step| world.play(step));
-            world.log
+            let mut simulation = Simulation::new(settings_variant(variant));
+            steps.iter().for_each(|step| simulation.apply(step));
+            simulation.actions
         });
         prop_assert_eq!(first, second);
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,20 +1,21 @@
-//! Rule 4 over a whole fleet: what thirty balancers, each on its own, send to a cold server together.
+//! Rule 4 over a whole fleet: the requests that thirty independent balancers send to a cold endpoint
+//! together.
 
 mod common;
 use common::SECOND;
-use common::fleet::{Case, HEAVY, OVERLOAD, assert_kept, case};
+use common::fleet::{Case, HEAVY, OVERLOAD, assert_slow_start_limits, base_case};
 
-/// Seeds of each case, unless `SLOW_START_SEEDS` asks for more.
+/// Seeds of each case, unless `SLOW_START_SEEDS` is set.
 const SEEDS: u64 = 2;
 
 #[test]
-fn rule_4_one_cold_server() {
-    assert_kept(
+fn rule_4_one_cold_endpoint() {
+    assert_slow_start_limits(
         &[
-            case("plain"),
-            Case { failing: 0.1, restarted: 0.5, ..case("a tenth failing, half restarted") },
-            Case { unsent: 0.2, ..case("a fifth never sent") },
-            Case { burst: Some((0.1, 4.0)), ..case("a lull, then a burst") },
+            base_case("plain"),
+            Case { failure_rate: 0.1, restart_rate: 0.5, ..base_case("a tenth failing, half restarted") },
+            Case { not_sent_rate: 0.2, ..base_case("a fifth never sent") },
+            Case { burst: Some((0.1, 4.0)), ..base_case("a lull, then a burst") },
         ],
         SEEDS,
     );
@@ -22,13 +23,13 @@
 
 #[test]
 fn rule_4_heavy_requests() {
-    assert_kept(
+    assert_slow_start_limits(
         &[
-            Case { heavy: HEAVY, ..case("heavy") },
-            Case { heavy: HEAVY, hinted: true, ..case("heavy, work told") },
-            Case { heavy: HEAVY, window: 3 * SECOND, ..case("heavy, 3 s") },
-            Case { heavy: HEAVY, load: OVERLOAD, ..case("heavy, overload") },
-            Case { heavy: HEAVY, load: OVERLOAD, window: 3 * SECOND, ..case("heavy, overload, 3 s") },
+            Case { heavy: HEAVY, ..base_case("heavy") },
+            Case { heavy: HEAVY, work_hinted: true, ..base_case("heavy, with work hints") },
+            Case { heavy: HEAVY, window: 3 * SECOND, ..base_case("heavy, 3 s") },
+            Case { heavy: HEAVY, load: OVERLOAD, ..base_case("heavy, overload") },
+            Case { heavy: HEAVY, load: OVERLOAD, window: 3 * SECOND, ..base_case("heavy, overload, 3 s") },
         ],
         SEEDS,
     );
@@ -36,74 +37,83 @@
 
 #[test]
 fn rule_4_overload() {
-    assert_kept(
+    assert_slow_start_limits(
         &[
-            Case { load: OVERLOAD, ..case("overload") },
-            Case { load: OVERLOAD, restarted: 1.0, ..case("overload, all restarted") },
+            Case { load: OVERLOAD, ..base_case("overload") },
+            Case { load: OVERLOAD, restart_rate: 1.0, ..base_case("overload, all restarted") },
         ],
         SEEDS,
     );
 }
 
 #[test]
-fn rule_4_lists_that_come_late() {
-    let late = |name| Case { late: 3 * SECOND, drained: false, ..case(name) };
-    assert_kept(
+fn rule_4_endpoint_lists_that_arrive_late() {
+    let late = |name| Case { max_list_delay: 3 * SECOND, drained: false, ..base_case(name) };
+    assert_slow_start_limits(
         &[
-            late("told late"),
-            Case { load: OVERLOAD, ..late("told late, overload") },
-            Case { heavy: HEAVY, ..late("told late, heavy") },
+            late("notified late"),
+            Case { load: OVERLOAD, ..late("notified late, overload") },
+            Case { heavy: HEAVY, ..late("notified late, heavy") },
         ],
         SEEDS,
     );
 }
 
 #[test]
-fn rule_4_several_cold_servers_of_a_zone() {
-    assert_kept(
+fn rule_4_several_cold_endpoints_of_a_zone() {
+    assert_slow_start_limits(
         &[
-            Case { each: 13, cold: vec![0, 5], ..case("two of 39") },
-            Case { cold: vec![0, 1, 2], ..case("three of a zone of four") },
-            Case { cold: vec![0, 1, 2, 3], ..case("a zone of three") },
-            Case { cold: vec![0, 1, 2, 3], load: OVERLOAD, ..case("a zone of three, overload") },
+            Case { endpoints_per_zone: 13, cold_endpoints: vec![0, 5], ..base_case("two of 39") },
+            Case { cold_endpoints: vec![0, 1, 2], ..base_case("three of a zone of four") },
+            Case { cold_endpoints: vec![0, 1, 2, 3], ..base_case("a zone of three") },
+            Case {
+                cold_endpoints: vec![0, 1, 2, 3],
+                load: OVERLOAD,
+                ..base_case("a zone of three, overload")
+            },
         ],
         SEEDS,
     );
 }
 
 #[test]
-fn rule_4_calls_that_cross_from_many_zones() {
-    let eight = |name| Case { zones: 8, each: 3, ..case(name) };
-    assert_kept(
+fn rule_4_requests_that_cross_from_many_zones() {
+    let eight = |name| Case { zones: 8, endpoints_per_zone: 3, ..base_case(name) };
+    assert_slow_start_limits(
         &[
-            Case { cold: vec![0, 1, 2], load: (0.8, 0.9), ..eight("a zone of eight, busy") },
-            Case { cold: vec![0, 1, 2], load: OVERLOAD, ..eight("a zone of eight, overload") },
-            Case { cold: vec![0], load: OVERLOAD, ..eight("one server, eight zones, overload") },
+            Case { cold_endpoints: vec![0, 1, 2], load: (0.8, 0.9), ..eight("a zone of eight, busy") },
+            Case { cold_endpoints: vec![0, 1, 2], load: OVERLOAD, ..eight("a zone of eight, overload") },
+            Case { cold_endpoints: vec![0], load: OVERLOAD, ..eight("one endpoint, eight zones, overload") },
         ],
         SEEDS,
     );
 }
 
 #[test]
-fn rule_4_a_whole_fleet_that_is_cold() {
-    let fleet = |name| Case { cold: (0..12).collect(), ..case(name) };
-    assert_kept(
+fn rule_4_whole_cold_fleet() {
+    let fleet = |name| Case { cold_endpoints: (0..12).collect(), ..base_case(name) };
+    assert_slow_start_limits(
         &[
             fleet("whole fleet"),
             Case { load: OVERLOAD, ..fleet("whole fleet, overload") },
-            Case { restarted: 1.0, ..fleet("whole fleet, all restarted") },
+            Case { restart_rate: 1.0, ..fleet("whole fleet, all restarted") },
         ],
         SEEDS,
     );
 }
 
 #[test]
-fn rule_4_servers_that_are_asked_first() {
-    assert_kept(
+fn rule_4_endpoints_with_load_queries() {
+    assert_slow_start_limits(
         &[
-            Case { asked: true, ..case("asked") },
-            Case { asked: true, load: OVERLOAD, failing: 0.05, ..case("asked, overload") },
-            Case { asked: true, heavy: HEAVY, ..case("asked, heavy") },
+            Case { answers_load_queries: true, ..base_case("load queries") },
+            Case {
+                answers_load_queries: true,
+                load: OVERLOAD,
+                failure_rate: 0.05,
+                ..base_case("load queries, overload")
+            },
+            Case { answers_load_queries: true, heavy: HEAVY, ..base_case("load queries, heavy") },
         ],
         SEEDS,
     );
