--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -781,9 +781,10 @@
 /// overload. All of them together sent on until nothing was answered in time.
 #[test]
 fn low_traffic_balancer_sheds_under_overload() {
-    let long =
+    let with_long_objective =
         |class: RequestClass| RequestClass { latency_objective: 2 * SECOND, deadline: 8 * SECOND, ..class };
-    let settings = Settings { classes: settings().classes.into_iter().map(long).collect(), ..settings() };
+    let settings =
+        Settings { classes: settings().classes.into_iter().map(with_long_objective).collect(), ..settings() };
     let mut balancer = TestBalancer::new(settings, &endpoints_in_zones(1, 12));
     let (mut in_flight, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
@@ -893,7 +894,7 @@
 #[test]
 fn removed_endpoints_are_forgotten() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 1));
-    let mut size = Vec::new();
+    let mut debug_lengths = Vec::new();
     for round in 1..200 {
         // One attempt is in flight at an endpoint that is removed; its end still finds the endpoint.
         let (id, actions) = balancer.request(KEYED_ZONE);
@@ -907,9 +908,9 @@
             assert_eq!(retry_endpoint % 3, first_endpoint % 3, "the retry stays in the zone of its key");
             balancer.end_attempt(id, 1, AttemptOutcome::Success, 20 * MS);
         }
-        size.push(format!("{:?}", balancer.load_balancer).len());
+        debug_lengths.push(format!("{:?}", balancer.load_balancer).len());
     }
-    assert!(size[198] < 2 * size[4], "{} then {}", size[4], size[198]);
+    assert!(debug_lengths[198] < 2 * debug_lengths[4], "{} then {}", debug_lengths[4], debug_lengths[198]);
 }
 
 /// Passes an event to a balancer that polls discovery. Returns the time until it asks for the list next.
@@ -942,12 +943,13 @@
     const CONNECT_TIMEOUT: u64 = SECOND / 2;
     const ANSWER_TIME: u64 = SECOND;
     let settings = Settings { polls_discovery: true, replicas: FLEET_SIZE as u32, ..settings() };
-    let (mut first, mut failed, mut after_discovery_moved) = (Vec::new(), vec![Vec::new(); 12], Vec::new());
+    let (mut after_start, mut after_failures, mut after_discovery_moved) =
+        (Vec::new(), vec![Vec::new(); 12], Vec::new());
     for seed in 0..FLEET_SIZE as u64 {
         let load_balancer = balancer::decision::LoadBalancer::new(settings.clone(), seed, SECOND).unwrap();
         let mut balancer = TestBalancer { load_balancer, now: SECOND, next_id: 0 };
-        first.push(time_to_next_poll(&mut balancer, Event::EndpointList(&endpoints_in_zones(1, 2))));
-        for waits in &mut failed {
+        after_start.push(time_to_next_poll(&mut balancer, Event::EndpointList(&endpoints_in_zones(1, 2))));
+        for waits in &mut after_failures {
             waits.push(time_to_next_poll(&mut balancer, Event::DiscoveryFailed));
         }
         after_discovery_moved.push(time_to_next_poll(&mut balancer, Event::DiscoveryMoved));
@@ -955,16 +957,16 @@
         assert!(after_move <= 350 * MS, "failures of the previous service count for the new one");
     }
     let longest = |waits: &[u64]| *waits.iter().max().unwrap();
-    let waits: Vec<u64> = failed.iter().map(|waits| longest(waits)).collect();
-    let retried = waits[0] + CONNECT_TIMEOUT + waits[1] + ANSWER_TIME;
-    assert!(WATCH_TIMEOUT + retried < 6 * SECOND, "after a watch without an answer: {waits:?}");
+    let waits: Vec<u64> = after_failures.iter().map(|waits| longest(waits)).collect();
+    let retry_time = waits[0] + CONNECT_TIMEOUT + waits[1] + ANSWER_TIME;
+    assert!(WATCH_TIMEOUT + retry_time < 6 * SECOND, "after a watch without an answer: {waits:?}");
     assert!(
-        longest(&first) + POLL_TIMEOUT + retried < 6 * SECOND,
+        longest(&after_start) + POLL_TIMEOUT + retry_time < 6 * SECOND,
         "at a start: {} {waits:?}",
-        longest(&first)
+        longest(&after_start)
     );
     assert!(
-        longest(&after_discovery_moved) + POLL_TIMEOUT + retried < 4 * SECOND,
+        longest(&after_discovery_moved) + POLL_TIMEOUT + retry_time < 4 * SECOND,
         "at a hangup signal: {} {waits:?}",
         longest(&after_discovery_moved)
     );
@@ -972,10 +974,10 @@
         let sum = POLL_TIMEOUT + pair[0] + CONNECT_TIMEOUT + pair[1] + ANSWER_TIME;
         assert!(sum < 6 * SECOND, "after an outage: {waits:?}");
     }
-    assert!(max_in_step(first) < FLEET_SIZE / 10, "at a start");
+    assert!(max_in_step(after_start) < FLEET_SIZE / 10, "at a start");
     assert!(max_in_step(after_discovery_moved) < FLEET_SIZE / 3, "at a hangup signal");
-    assert!(max_in_step(failed[0].clone()) < FLEET_SIZE / 3, "at the first failure");
-    assert!(max_in_step(failed[11].clone()) < FLEET_SIZE / 8, "in an outage");
+    assert!(max_in_step(after_failures[0].clone()) < FLEET_SIZE / 3, "at the first failure");
+    assert!(max_in_step(after_failures[11].clone()) < FLEET_SIZE / 8, "in an outage");
 }
 
 /// Polls of one discovery service by a fleet of balancers, counted in windows of a tenth of a second from its
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -26,12 +26,12 @@
 /// Guards small fleets: a zone with a single healthy endpoint is not in trouble.
 #[test]
 fn other_zones_are_used_only_when_no_endpoint_of_the_own_zone_is_healthy() {
-    for own in [1, 0] {
+    for own_zone_endpoints in [1, 0] {
         let mut list = endpoints_in_zones(3, 4);
-        list.retain(|entry| entry.zone.0 != 0 || entry.endpoint.0 < own);
+        list.retain(|entry| entry.zone.0 != 0 || entry.endpoint.0 < own_zone_endpoints);
         let mut balancer = TestBalancer::new(settings(), &list);
         let selections = counts((0..90).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
-        assert_eq!(selections.len(), if own == 1 { 1 } else { 8 }, "{selections:?}");
+        assert_eq!(selections.len(), if own_zone_endpoints == 1 { 1 } else { 8 }, "{selections:?}");
     }
 }
 
@@ -124,8 +124,8 @@
     let while_open = counts((0..20).filter_map(|_| balancer.serve(NON_IDEMPOTENT, MS)));
     assert!(!while_open.contains_key(&2), "{while_open:?}");
     balancer.now += 10 * SECOND;
-    let closed = counts((0..40).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
-    assert!(closed.contains_key(&2), "{closed:?}");
+    let after_trial = counts((0..40).filter_map(|_| balancer.serve(IDEMPOTENT, 20 * MS)));
+    assert!(after_trial.contains_key(&2), "{after_trial:?}");
 }
 
 #[test]
@@ -328,19 +328,19 @@
     };
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 4));
     balancer.warm_up(100);
-    let mut all = Vec::new();
+    let mut all_actions = Vec::new();
     for _ in 0..100 {
         let (id, mut actions) = balancer.request(IDEMPOTENT);
         for attempt in 0..4 {
-            all.extend(actions.clone());
+            all_actions.extend(actions.clone());
             let Some(endpoint) = sent_to(&actions) else { break };
             balancer.now += 10 * MS;
             let outcome = if endpoint < 4 { AttemptOutcome::Error } else { AttemptOutcome::Success };
             actions = balancer.end_attempt(id, attempt, outcome, 10 * MS);
         }
-        all.extend(actions);
+        all_actions.extend(actions);
     }
-    let lines = [count_lines(&all, "breaker of endpoint"), count_lines(&all, "zone left")];
+    let lines = [count_lines(&all_actions, "breaker of endpoint"), count_lines(&all_actions, "zone left")];
     assert!(lines.iter().all(|count| (1..=2).contains(count)), "{lines:?}");
     let failed = balancer.handle(Event::DiscoveryFailed);
     assert_eq!(count_lines(&failed, "discovery failed 1 times"), 1);
--- a/tests/module_imports.rs
+++ b/tests/module_imports.rs
@@ -162,21 +162,21 @@
         index: usize,
         imports: &BTreeMap<usize, BTreeSet<usize>>,
         path: &mut Vec<usize>,
-        done: &mut BTreeSet<usize>,
+        visited: &mut BTreeSet<usize>,
     ) -> Option<Vec<usize>> {
         if let Some(start) = path.iter().position(|&earlier| earlier == index) {
             return Some(path[start..].to_vec());
         }
-        if !done.insert(index) {
+        if !visited.insert(index) {
             return None;
         }
         path.push(index);
-        let found = imports[&index].iter().find_map(|&next| visit(next, imports, path, done));
+        let found = imports[&index].iter().find_map(|&next| visit(next, imports, path, visited));
         path.pop();
         found
     }
-    let mut done = BTreeSet::new();
-    imports.keys().find_map(|&index| visit(index, imports, &mut Vec::new(), &mut done))
+    let mut visited = BTreeSet::new();
+    imports.keys().find_map(|&index| visit(index, imports, &mut Vec::new(), &mut visited))
 }
 
 fn source_root() -> PathBuf {
