--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -43,7 +43,7 @@
     pub limits: Limits,
     pub known: Listing,
     pub settings: Settings,
-    pub names: Names,
+    pub proxy_settings: ProxySettings,
 }
 
 /// How the descriptors are shared out.
@@ -59,7 +59,7 @@
 
 /// What the settings name and the decision module knows by position alone, and the figures of the sockets.
 #[derive(Debug)]
-pub struct Names {
+pub struct ProxySettings {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
@@ -88,13 +88,13 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct RawNames {
+struct RawProxySettings {
     classes: Vec<NamedEntry>,
     #[serde(default)]
     tenants: Vec<NamedEntry>,
     zones: Vec<String>,
-    limits: NameLimits,
-    telemetry: Option<Telemetry>,
+    limits: RawProxyLimits,
+    telemetry: Option<RawTelemetry>,
 }
 
 /// An entry of the settings of which only the name is read.
@@ -106,13 +106,13 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct NameLimits {
+struct RawProxyLimits {
     connect_timeout_ns: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Telemetry {
+struct RawTelemetry {
     #[serde(default)]
     fields: Vec<String>,
 }
@@ -142,7 +142,7 @@
     fn parse(text: &str, listen: Option<String>, discovery: Option<String>) -> Result<Self, String> {
         let raw: RawConfig = json("configuration", text)?;
         let settings = raw.settings.to_string();
-        let names: RawNames = json("settings", &settings)?;
+        let proxy_settings: RawProxySettings = json("settings", &settings)?;
         let settings = simulator::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
         settings.check().map_err(|error| format!("settings: {error}"))?;
         let admin = variable("LB_ADMIN_ADDR").or(raw.admin_addr).filter(|admin| !admin.is_empty());
@@ -168,12 +168,12 @@
             limits: Limits { clients, upstreams, memory: memory.saturating_mul(1 << 20) },
             known: raw.known,
             settings,
-            names: Names {
-                classes: names.classes.into_iter().map(|class| class.name).collect(),
-                tenants: names.tenants.into_iter().map(|tenant| tenant.name).collect(),
-                zones: names.zones,
-                report_fields: names.telemetry.map_or(Vec::new(), |telemetry| telemetry.fields),
-                connect_timeout: Duration::from_nanos(names.limits.connect_timeout_ns),
+            proxy_settings: ProxySettings {
+                classes: proxy_settings.classes.into_iter().map(|class| class.name).collect(),
+                tenants: proxy_settings.tenants.into_iter().map(|tenant| tenant.name).collect(),
+                zones: proxy_settings.zones,
+                report_fields: proxy_settings.telemetry.map_or(Vec::new(), |telemetry| telemetry.fields),
+                connect_timeout: Duration::from_nanos(proxy_settings.limits.connect_timeout_ns),
             },
         })
     }
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -108,7 +108,7 @@
         ExchangeContext {
             connection_source,
             address,
-            connect_timeout: self.config.names.connect_timeout,
+            connect_timeout: self.config.proxy_settings.connect_timeout,
             until,
             deadline: None,
             local_failure: Arc::default(),
@@ -204,7 +204,7 @@
     /// The load figures that came with an answer.
     pub(super) fn load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
         let report = response.headers().get("x-load-report")?;
-        load_report(report.as_bytes(), &self.config.names.report_fields)
+        load_report(report.as_bytes(), &self.config.proxy_settings.report_fields)
     }
 }
 
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -100,7 +100,7 @@
         }
         self.endpoints.insert(endpoint, upstream);
         let started = self.start_times.started(&target.uid, target.boot_ms, origin, reading.monotonic);
-        let zone = self.config.names.zones.iter().position(|zone| *zone == target.az);
+        let zone = self.config.proxy_settings.zones.iter().position(|zone| *zone == target.az);
         EndpointEntry {
             endpoint,
             zone: ZoneId(zone.and_then(|zone| u8::try_from(zone).ok()).unwrap_or(u8::MAX)),
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -40,7 +40,7 @@
         }
         let load = finished
             .response
-            .and_then(|response| load_report(response.body(), &self.config.names.report_fields));
+            .and_then(|response| load_report(response.body(), &self.config.proxy_settings.report_fields));
         self.tell(Event::LoadQueryEnded(endpoint, finished.outcome, load));
     }
 }
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -8,16 +8,16 @@
 impl Dispatcher {
     pub(super) fn on_shared_folder(&mut self, event: FolderEvent) {
         match event {
-            FolderEvent::Checked(state) => {
-                self.shared.iter_mut().for_each(SharedFolder::checked);
+            FolderEvent::CheckFinished(state) => {
+                self.shared.iter_mut().for_each(SharedFolder::finish_check);
                 self.on_folder_state(state);
             }
-            FolderEvent::Kept(request, offline) => {
+            FolderEvent::OrderPersisted(request, offline) => {
                 self.enforce(offline);
                 self.on_kept(&request.order);
                 request.answer.send(Verdict::Done).ok(); // one that left has its order all the same
             }
-            FolderEvent::NotKept(request) => {
+            FolderEvent::OrderNotPersisted(request) => {
                 request.answer.send(Verdict::NotKept).ok();
             }
         }
@@ -47,7 +47,7 @@
     pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
         let verdict = match &self.shared {
             _ if !self.was_listed(&request.order.uid) => Verdict::Unknown,
-            Some(shared) => return shared.keep(request),
+            Some(shared) => return shared.persist_order(request),
             None => Verdict::NotKept,
         };
         request.answer.send(verdict).ok();
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -55,7 +55,7 @@
     /// The class that a request's path names.
     pub fn class(&self, request: &Request<Incoming>) -> Option<usize> {
         let in_path = request.uri().path().split('/').nth(1)?;
-        self.config.names.classes.iter().position(|class| class == in_path)
+        self.config.proxy_settings.classes.iter().position(|class| class == in_path)
     }
 
     pub async fn reply(&self, request: Request<Incoming>, line: &ClientConnection) -> Response<ResponseBody> {
@@ -188,7 +188,7 @@
         request: &Request<Incoming>,
     ) -> Result<RequestParameters, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
-        let (headers, names) = (request.headers(), &self.config.names);
+        let (headers, names) = (request.headers(), &self.config.proxy_settings);
         let in_path = request.uri().path().split('/').nth(1).unwrap_or("");
         let class = self.class(request).ok_or((StatusCode::NOT_FOUND, "no such path\n"))?;
         if text(headers, "x-call-class") != Some(in_path) {
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -108,7 +108,7 @@
     let (discovery, discovery_at) = watch::channel(config.discovery);
     let (tell, told) = watch::channel(false);
 
-    let counters = Arc::new(metrics::Counters::new(&config.names.classes));
+    let counters = Arc::new(metrics::Counters::new(&config.proxy_settings.classes));
     let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), body_memory.clone());
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -21,17 +21,17 @@
     /// Look for changes that other processes made.
     Check,
     /// Carry an order out.
-    Keep(OrderRequest),
+    PersistOrder(OrderRequest),
 }
 
 /// What the thread reports.
 pub enum FolderEvent {
     /// A check ended.
-    Checked(FolderState),
+    CheckFinished(FolderState),
     /// An order is kept for the processes after this one; the list that holds now.
-    Kept(OrderRequest, OfflineList),
+    OrderPersisted(OrderRequest, OfflineList),
     /// An order could not be kept, and is not in force.
-    NotKept(OrderRequest),
+    OrderNotPersisted(OrderRequest),
 }
 
 /// What is shared, as it was seen last.
@@ -76,13 +76,13 @@
     }
 
     /// The report of a check has come.
-    pub fn checked(&mut self) {
+    pub fn finish_check(&mut self) {
         self.checking = false;
     }
 
     /// Carries an order out.
-    pub fn keep(&self, request: OrderRequest) {
-        self.jobs.send(Job::Keep(request)).ok();
+    pub fn persist_order(&self, request: OrderRequest) {
+        self.jobs.send(Job::PersistOrder(request)).ok();
     }
 }
 
@@ -100,8 +100,8 @@
     fn run(mut self, inbox: &Receiver<Job>, report: impl Fn(FolderEvent)) {
         for job in inbox {
             report(match job {
-                Job::Check => FolderEvent::Checked(self.check()),
-                Job::Keep(request) => self.keep(request),
+                Job::Check => FolderEvent::CheckFinished(self.check()),
+                Job::PersistOrder(request) => self.persist_order(request),
             });
         }
     }
@@ -155,18 +155,18 @@
         self.repair_fails = repaired.is_err();
     }
 
-    fn keep(&mut self, request: OrderRequest) -> FolderEvent {
+    fn persist_order(&mut self, request: OrderRequest) -> FolderEvent {
         if request.claim.is_claimed() {
-            return FolderEvent::NotKept(request); // given up while it waited for its turn
+            return FolderEvent::OrderNotPersisted(request); // given up while it waited for its turn
         }
         match self.endpoints.change(&request.order, &request.claim) {
-            Ok(list) => FolderEvent::Kept(request, list),
+            Ok(list) => FolderEvent::OrderPersisted(request, list),
             Err(error) => {
                 let uid = &request.order.uid;
                 crate::proxy::logging::log(format_args!(
                     "an order about upstream {uid} cannot be kept: {error}"
                 ));
-                FolderEvent::NotKept(request)
+                FolderEvent::OrderNotPersisted(request)
             }
         }
     }
