--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,10 +1,11 @@
-//! Hosts many instances of the decision module on the simulator's wire. Nothing is decided here.
+//! Runs instances of the decision module for the simulator: reads batches of events from standard input and writes
+//! the resulting actions to standard output.
 
 #![forbid(unsafe_code)]
 
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, EndpointEntry, Event, Time};
-use balancer::simulator::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES, WireError};
+use balancer::simulator::{self, BATCH_HEADER_SIZE, BatchHeader, MAX_TABLES, Record, Reply, WireError};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
@@ -20,17 +21,18 @@
     }
 }
 
+/// Answers each batch with a reply until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Box<dyn Error>> {
     let mut host = Host::default();
     let (mut body, mut frame) = (Vec::new(), Vec::new());
     while let Some(header) = read_header(&mut input)? {
         let header = BatchHeader::decode(&header)?;
         body.clear();
-        let got = input.by_ref().take(header.length as u64).read_to_end(&mut body)?;
-        if got < header.length {
+        let read = input.by_ref().take(header.length as u64).read_to_end(&mut body)?;
+        if read < header.length {
             return Err(format!("batch {}: truncated frame", header.sequence).into());
         }
-        for record in simulator::records(header, &body) {
+        for record in simulator::decode_records(header, &body) {
             let record = record.map_err(|error| format!("batch {}: {error}", header.sequence))?;
             host.apply(header.now, record);
         }
@@ -42,15 +44,15 @@
     Ok(())
 }
 
-/// The next header, or `None` where the input ends between frames.
-fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER]>, Box<dyn Error>> {
-    let mut header = [0; BATCH_HEADER];
+/// Reads the next batch header; `None` if the input ends before its first byte.
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER_SIZE]>, Box<dyn Error>> {
+    let mut header = [0; BATCH_HEADER_SIZE];
     let mut filled = 0;
-    while filled < BATCH_HEADER {
+    while filled < BATCH_HEADER_SIZE {
         match input.read(&mut header[filled..]) {
             Ok(0) if filled == 0 => return Ok(None),
             Ok(0) => return Err("truncated header".into()),
-            Ok(got) => filled += got,
+            Ok(read) => filled += read,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error.into()),
         }
@@ -58,19 +60,24 @@
     Ok(Some(header))
 }
 
+/// The running instances, and the reply to the current batch.
 #[derive(Default)]
 struct Host {
+    /// Instances by their number.
     instances: HashMap<u32, LoadBalancer>,
-    tables: [Vec<EndpointEntry>; TABLES],
+    /// Endpoint lists by their number, for later announcements.
+    tables: [Vec<EndpointEntry>; MAX_TABLES],
+    /// Actions of the current event, cleared by `flush`.
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
+    /// Applies one record and adds the resulting actions to the reply.
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
             Record::PowerOn { instance, seed, settings } => {
-                let balancer = simulator::settings(settings).and_then(|settings| {
+                let balancer = simulator::parse_settings(settings).and_then(|settings| {
                     LoadBalancer::new(settings, seed, now)
                         .map_err(|error| WireError::new(format!("settings: {error}")))
                 });
@@ -100,6 +107,7 @@
         }
     }
 
+    /// Moves the actions of an instance to the reply.
     fn flush(&mut self, instance: u32) {
         for action in self.actions.drain(..) {
             self.reply.push(instance, &action);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told at its start, from the environment and a JSON file.
+//! The configuration of a balancer, read from a JSON file and the environment.
 
 pub mod endpoint_listing;
 
@@ -14,50 +14,58 @@
 use std::os::fd::RawFd;
 use std::time::Duration;
 
-/// Connections taken beyond those that are served, to refuse their requests: left in the kernel's backlog,
-/// they would count as taken and get no answer.
+/// Client connections accepted beyond the limit, only to reject their requests: in the kernel's backlog they would
+/// be connected, but never get a response.
 pub const SURPLUS_CONNECTIONS: usize = 16;
-/// Connections of operators held at a time.
+/// Maximum number of open connections to the admin server.
 pub const ADMIN_CONNECTIONS: usize = 12;
-/// Descriptors that the door needs: its connections, one more that is just taken, its listener and its runtime.
+/// File descriptors of the admin server: its connections, one more that is being accepted, its listener and those of
+/// its runtime.
 pub const ADMIN_DESCRIPTORS: usize = ADMIN_CONNECTIONS + 6;
-/// Descriptors that are neither callers' nor upstreams': standard streams, listener, discovery, the runtime's,
-/// files that are open for a moment, and callers taken only to be refused.
-const RESERVED: usize = 16 + SURPLUS_CONNECTIONS;
-/// Part of the descriptors that callers hold for requests at most, as one over this.
-const CALLING: usize = 3;
-/// Less memory than this, in MB, cannot serve anybody.
-const LEAST_MEMORY: usize = 8;
-/// Fewer descriptors than this cannot serve anybody.
-const LEAST_SOCKETS: usize = 96;
-
-/// The whole configuration, checked.
+/// File descriptors used neither for served clients nor for upstreams: standard streams, listener, discovery, the
+/// runtime, files that are open briefly, and client connections accepted only to be rejected.
+const RESERVED_DESCRIPTORS: usize = 16 + SURPLUS_CONNECTIONS;
+/// Upstream connections use at most one file descriptor in this many.
+const UPSTREAM_SHARE_DIVISOR: usize = 3;
+/// Smallest `limits.memory_mb` with which requests can be served.
+const MIN_MEMORY_MB: usize = 8;
+/// Smallest `limits.sockets` with which requests can be served.
+const MIN_SOCKETS: usize = 96;
+
+/// The validated configuration of the process.
 pub struct Config {
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The descriptor of a listening socket that the platform holds, to be used instead of binding `listen`.
+    /// File descriptor of a listening socket inherited from the platform, used instead of binding `listen`.
     pub listen_fd: Option<RawFd>,
-    /// Where operators call, if they do.
+    /// The address of the admin server, if there is to be one.
     pub admin: Option<SocketAddr>,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
+    /// Seed of the decision module's random numbers; also part of the name under which the process announces itself.
     pub seed: u64,
     pub limits: Limits,
+    /// The endpoint list to start with, before discovery has answered.
     pub known: Listing,
+    /// Settings of the decision module.
     pub settings: Settings,
+    /// Settings that only the proxy uses.
     pub proxy_settings: ProxySettings,
 }
 
-/// How the descriptors are shared out.
+/// Limits on file descriptors and memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum number of client connections.
     pub clients: usize,
-    /// Connections to upstreams, idle ones included.
+    /// Maximum number of connections to upstreams, idle ones included.
     pub upstreams: usize,
-    /// Bytes of memory.
+    /// Memory limit in bytes.
     pub memory: usize,
 }
 
-/// What the settings name and the decision module knows by position alone, and the figures of the sockets.
+/// The settings that the proxy uses and the decision module does not: names that the decision module refers to by
+/// position, and the timeout of connecting.
 #[derive(Debug)]
 pub struct ProxySettings {
     pub classes: Vec<String>,
@@ -67,7 +75,7 @@
     pub connect_timeout: Duration,
 }
 
-/// The configuration file as it is written.
+/// The configuration file as written by the user.
 #[derive(Deserialize)]
 struct RawConfig {
     listen: Option<String>,
@@ -80,12 +88,14 @@
     settings: Value,
 }
 
+/// `limits` of the configuration file.
 #[derive(Deserialize)]
 struct RawLimits {
     memory_mb: usize,
     sockets: usize,
 }
 
+/// The keys of `settings` that only the proxy uses.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawProxySettings {
@@ -97,19 +107,21 @@
     telemetry: Option<RawTelemetry>,
 }
 
-/// An entry of the settings of which only the name is read.
+/// A class or tenant of the settings, of which only the name is read.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct NamedEntry {
     name: String,
 }
 
+/// The key of the settings' `Limits` that only the proxy uses.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawProxyLimits {
     connect_timeout_ns: u64,
 }
 
+/// The key of the settings' `Telemetry` that only the proxy uses.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawTelemetry {
@@ -120,49 +132,51 @@
 impl Config {
     /// Reads the file that `LB_CONFIG` names; the error is one line that names the field at fault.
     pub fn load() -> Result<Self, String> {
-        let path = path()?;
+        let path = config_path()?;
         let text =
-            retry_blocking(|| std::fs::read_to_string(&path)).map_err(|error| unreadable(&path, error))?;
-        Self::parse(&text, variable("LB_LISTEN"), variable("LB_DISCOVERY"))
+            retry_blocking(|| std::fs::read_to_string(&path)).map_err(|error| read_error(&path, error))?;
+        Self::parse(&text, environment_variable("LB_LISTEN"), environment_variable("LB_DISCOVERY"))
     }
 
-    /// Reads the file once more. What it says of discovery is newer than the environment.
-    pub async fn load_again() -> Result<Self, String> {
-        let path = path()?;
+    /// Reads the file again. Its `discovery` takes precedence over `LB_DISCOVERY`, which is older.
+    pub async fn reload() -> Result<Self, String> {
+        let path = config_path()?;
         let text =
-            retry(|| std::fs::read_to_string(&path)).await.map_err(|error| unreadable(&path, error))?;
-        Self::parse(&text, variable("LB_LISTEN"), None)
+            retry(|| std::fs::read_to_string(&path)).await.map_err(|error| read_error(&path, error))?;
+        Self::parse(&text, environment_variable("LB_LISTEN"), None)
     }
 
-    /// Whether another process of this balancer, or an operator, may have to be followed.
-    pub fn shares(&self) -> bool {
+    /// Whether the process needs the shared folder: operators may give orders, or another process of this balancer may
+    /// run at the same time.
+    pub fn uses_shared_folder(&self) -> bool {
         self.admin.is_some() || self.listen_fd.is_some()
     }
 
     fn parse(text: &str, listen: Option<String>, discovery: Option<String>) -> Result<Self, String> {
-        let raw: RawConfig = json("configuration", text)?;
+        let raw: RawConfig = parse_json("configuration", text)?;
         let settings = raw.settings.to_string();
-        let proxy_settings: RawProxySettings = json("settings", &settings)?;
-        let settings = simulator::settings(settings.as_bytes()).map_err(|error| error.to_string())?;
+        let proxy_settings: RawProxySettings = parse_json("settings", &settings)?;
+        let settings = simulator::parse_settings(settings.as_bytes()).map_err(|error| error.to_string())?;
         settings.check().map_err(|error| format!("settings: {error}"))?;
-        let admin = variable("LB_ADMIN_ADDR").or(raw.admin_addr).filter(|admin| !admin.is_empty());
+        let admin =
+            environment_variable("LB_ADMIN_ADDR").or(raw.admin_addr).filter(|admin| !admin.is_empty());
         let sockets = raw.limits.sockets;
-        if sockets < LEAST_SOCKETS {
-            return Err(format!("`limits.sockets` is {sockets}, fewer than {LEAST_SOCKETS}"));
+        if sockets < MIN_SOCKETS {
+            return Err(format!("`limits.sockets` is {sockets}, less than the minimum of {MIN_SOCKETS}"));
         }
         let memory = raw.limits.memory_mb;
-        if memory < LEAST_MEMORY {
-            return Err(format!("`limits.memory_mb` is {memory}, less than {LEAST_MEMORY}"));
+        if memory < MIN_MEMORY_MB {
+            return Err(format!("`limits.memory_mb` is {memory}, less than the minimum of {MIN_MEMORY_MB}"));
         }
-        // Every caller that waits has an attempt out; callers that do not only hold a place.
-        let reserved = RESERVED + admin.as_ref().map_or(0, |_| ADMIN_DESCRIPTORS);
-        let upstreams = (sockets / CALLING).min((sockets - reserved) / 2);
+        // Every client that waits for a response needs an upstream connection; an idle client needs only its own.
+        let reserved = RESERVED_DESCRIPTORS + admin.as_ref().map_or(0, |_| ADMIN_DESCRIPTORS);
+        let upstreams = (sockets / UPSTREAM_SHARE_DIVISOR).min((sockets - reserved) / 2);
         let clients = sockets - reserved - upstreams;
         Ok(Self {
-            listen: address("listen", listen.or(raw.listen))?,
-            listen_fd: variable("LB_LISTEN_FD").map(|fd| descriptor(&fd)).transpose()?,
-            discovery: address("discovery", discovery.or(raw.discovery))?,
-            admin: admin.map(|admin| address("admin_addr", Some(admin))).transpose()?,
+            listen: parse_address("listen", listen.or(raw.listen))?,
+            listen_fd: environment_variable("LB_LISTEN_FD").map(|fd| parse_descriptor(&fd)).transpose()?,
+            discovery: parse_address("discovery", discovery.or(raw.discovery))?,
+            admin: admin.map(|admin| parse_address("admin_addr", Some(admin))).transpose()?,
             seed: u64::from_str_radix(&raw.seed, 16)
                 .map_err(|_| format!("`seed` is not a hexadecimal number: {:?}", raw.seed))?,
             limits: Limits { clients, upstreams, memory: memory.saturating_mul(1 << 20) },
@@ -179,31 +193,31 @@
     }
 }
 
-fn path() -> Result<String, String> {
-    variable("LB_CONFIG").ok_or_else(|| "`LB_CONFIG` is not set".to_owned())
+fn config_path() -> Result<String, String> {
+    environment_variable("LB_CONFIG").ok_or_else(|| "`LB_CONFIG` is not set".to_owned())
 }
 
-fn unreadable(path: &str, error: io::Error) -> String {
+fn read_error(path: &str, error: io::Error) -> String {
     format!("`LB_CONFIG` {path}: {error}")
 }
 
-fn variable(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn json<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, String> {
+fn parse_json<T: DeserializeOwned>(subject: &str, text: &str) -> Result<T, String> {
     let mut text = serde_json::Deserializer::from_str(text);
-    let value = serde_path_to_error::deserialize(&mut text).map_err(|error| format!("{what}: {error}"))?;
-    text.end().map_err(|error| format!("{what}: {error}"))?;
+    let value = serde_path_to_error::deserialize(&mut text).map_err(|error| format!("{subject}: {error}"))?;
+    text.end().map_err(|error| format!("{subject}: {error}"))?;
     Ok(value)
 }
 
-fn descriptor(text: &str) -> Result<RawFd, String> {
+fn parse_descriptor(text: &str) -> Result<RawFd, String> {
     let fd = text.parse().ok().filter(|fd| *fd >= 0);
-    fd.ok_or_else(|| format!("`LB_LISTEN_FD` is not the number of a descriptor: {text:?}"))
+    fd.ok_or_else(|| format!("`LB_LISTEN_FD` is not a file descriptor number: {text:?}"))
 }
 
-fn address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
+fn parse_address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("`{field}` is missing"))?;
-    text.parse().map_err(|_| format!("`{field}` is not an address with a port: {text:?}"))
+    text.parse().map_err(|_| format!("`{field}` is not an IP address with a port: {text:?}"))
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -43,7 +43,7 @@
 /// Takes over a new configuration: where discovery is. All else needs a new start. One that is not sound
 /// changes nothing.
 async fn reload(discovery: watch::Sender<SocketAddr>) {
-    match Config::load_again().await {
+    match Config::reload().await {
         Ok(config) => {
             logging::log(format_args!("configuration read again, discovery at {}", config.discovery));
             discovery.send_replace(config.discovery);
@@ -109,7 +109,8 @@
     let (tell, told) = watch::channel(false);
 
     let counters = Arc::new(metrics::Counters::new(&config.proxy_settings.classes));
-    let shared = config.shares().then(|| open_shared_folder(&config, events.clone())).transpose()?;
+    let shared =
+        config.uses_shared_folder().then(|| open_shared_folder(&config, events.clone())).transpose()?;
     let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODIES);
     let parts = (counters.clone(), body_memory.clone());
     let dispatcher =
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: bytes to events, actions to bytes. Nothing is decided here.
+//! The simulator's wire format: decodes batches of events and encodes replies with actions.
 
 use crate::decision::{
     Action, AttemptEnd, AttemptOutcome, DeduplicationGroup, Duration, EndpointEntry, EndpointId,
@@ -8,22 +8,25 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// Bytes of a batch header.
-pub const BATCH_HEADER: usize = 20;
-/// Bytes of a reply header.
-pub const REPLY_HEADER: usize = 12;
+/// Size of a batch header in bytes.
+pub const BATCH_HEADER_SIZE: usize = 20;
+/// Size of a reply header in bytes.
+pub const REPLY_HEADER_SIZE: usize = 12;
+/// Size of an event record in bytes.
 const EVENT_SIZE: usize = 48;
+/// Size of an action record in bytes.
 const ACTION_SIZE: usize = 24;
+/// Size of an endpoint entry in bytes.
 const ENTRY_SIZE: usize = 22;
-/// Numbered lists that may be held at a time.
-pub const TABLES: usize = 16;
+/// Maximum number of endpoint lists that are stored at a time.
+pub const MAX_TABLES: usize = 16;
 
-/// What is wrong with a frame.
+/// Malformed input: a frame that cannot be decoded, or invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError(String);
 
 impl WireError {
-    /// An error of this text.
+    /// Creates an error with this message.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
@@ -40,19 +43,19 @@
 /// The header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// The clock.
+    /// The simulated time.
     pub now: Time,
-    /// Bytes after the header.
+    /// Number of bytes after the header.
     pub length: usize,
     /// Number of records.
     pub records: usize,
-    /// Number of the batch.
+    /// Sequence number, repeated in the reply.
     pub sequence: u32,
 }
 
 impl BatchHeader {
     /// Reads a header and checks that its records fit its length.
-    pub fn decode(bytes: &[u8; BATCH_HEADER]) -> Result<Self, WireError> {
+    pub fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<Self, WireError> {
         let header = Self {
             now: u64_at(bytes, 0),
             length: u32_at(bytes, 8) as usize,
@@ -61,7 +64,7 @@
         };
         if header.records * EVENT_SIZE > header.length {
             return Err(WireError::new(format!(
-                "batch {}: {} records do not fit {} bytes",
+                "batch {}: {} records do not fit into {} bytes",
                 header.sequence, header.records, header.length
             )));
         }
@@ -69,73 +72,87 @@
     }
 }
 
-/// One event record.
+/// A decoded event record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts, with the text of its settings.
+    /// An instance starts.
     PowerOn {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
         /// Seed of its random numbers.
         seed: u64,
-        /// Its settings as JSON text.
+        /// Its settings in JSON.
         settings: &'a [u8],
     },
-    /// An instance is gone.
+    /// An instance ends.
     Retire(u32),
-    /// A numbered list of servers.
+    /// The number and entries of an endpoint list.
     Table(usize, Vec<EndpointEntry>),
-    /// Discovery tells an instance of the numbered list.
+    /// Discovery announces an endpoint list to an instance.
     Announce {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
         /// Number of the list.
         table: usize,
-        /// Only the entries that changed.
+        /// Whether the list holds only the entries that changed.
         delta: bool,
     },
-    /// Anything else is an event of the module.
+    /// The number of an instance and an event for it.
     Event(u32, Event<'static>),
-    /// Nothing that the module acts on.
+    /// An event that the decision module does not use.
     Ignored,
 }
 
-fn array_at<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
+fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut out = [0; N];
-    out.copy_from_slice(&bytes[at..at + N]);
+    out.copy_from_slice(&bytes[offset..offset + N]);
     out
 }
 
-fn u16_at(bytes: &[u8], at: usize) -> u16 {
-    u16::from_le_bytes(array_at(bytes, at))
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes(array_at(bytes, offset))
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(array_at(bytes, at))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(array_at(bytes, offset))
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(array_at(bytes, at))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(array_at(bytes, offset))
 }
 
-fn f32_at(bytes: &[u8], at: usize) -> f32 {
-    f32::from_le_bytes(array_at(bytes, at))
+fn f32_at(bytes: &[u8], offset: usize) -> f32 {
+    f32::from_le_bytes(array_at(bytes, offset))
 }
 
-/// The records of a batch, in order. `body` is what follows the header.
-pub fn records(header: BatchHeader, body: &[u8]) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
+/// Decodes the records of a batch, in order. `body` holds the bytes after the header.
+pub fn decode_records(
+    header: BatchHeader,
+    body: &[u8],
+) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
     let (records, tail) = body.split_at(header.records * EVENT_SIZE);
     records.chunks_exact(EVENT_SIZE).map(move |record| decode_record(record, tail))
 }
 
-fn tail_part<'a>(record: &[u8], at: usize, unit: usize, tail: &'a [u8]) -> Result<&'a [u8], WireError> {
-    let offset = u32_at(record, at) as usize;
-    let length = u32_at(record, at + 4) as usize * unit;
+/// The part of the tail that a record refers to. The field at `field_offset` holds the part's offset in the tail and
+/// the number of its items.
+fn tail_part<'a>(
+    record: &[u8],
+    field_offset: usize,
+    item_size: usize,
+    tail: &'a [u8],
+) -> Result<&'a [u8], WireError> {
+    let offset = u32_at(record, field_offset) as usize;
+    let length = u32_at(record, field_offset + 4) as usize * item_size;
     tail.get(offset..offset + length).ok_or_else(|| {
-        WireError::new(format!("offset {offset} and length {length} lie outside a tail of {}", tail.len()))
+        WireError::new(format!(
+            "offset {offset} and length {length} lie outside a tail of {} bytes",
+            tail.len()
+        ))
     })
 }
 
+/// Decodes one record; `tail` holds the data of variable length that follows the records.
 fn decode_record<'a>(record: &[u8], tail: &'a [u8]) -> Result<Record<'a>, WireError> {
     let instance = u32_at(record, 1);
     let id = RequestId(u32_at(record, 5));
@@ -145,12 +162,12 @@
             return Ok(Record::PowerOn { instance, seed: u64_at(record, 5), settings });
         }
         1 => match record[13] {
-            form @ 0..=2 => {
-                let table = table_number(u32_at(record, 9))?;
-                return Ok(Record::Announce { instance, table, delta: form == 0 });
+            kind @ 0..=2 => {
+                let table = decode_table_number(u32_at(record, 9))?;
+                return Ok(Record::Announce { instance, table, delta: kind == 0 });
             }
             3 => Event::DiscoveryFailed,
-            form => return Err(WireError::new(format!("unknown form {form} of ANNOUNCE"))),
+            kind => return Err(WireError::new(format!("unknown form {kind} of ANNOUNCE"))),
         },
         2 => Event::Request(
             id,
@@ -167,38 +184,42 @@
             id,
             AttemptEnd {
                 attempt: record[18] as u32,
-                outcome: outcome(record[23])?,
+                outcome: decode_outcome(record[23])?,
                 elapsed: u64_at(record, 9),
                 request_closed: record[17] != 0,
                 body_consumed: false,
-                load: load_report(record, 24)?,
+                load: decode_load_report(record, 24)?,
             },
         ),
         5 => Event::ClientDisconnected(id),
         6 => Event::Timer(u64_at(record, 5)),
         7 => Event::LoadQueryEnded(
             EndpointId(u32_at(record, 5)),
-            outcome(record[9])?,
-            load_report(record, 18)?,
+            decode_outcome(record[9])?,
+            decode_load_report(record, 18)?,
         ),
         8 => return Ok(Record::Ignored),
         9 => return Ok(Record::Retire(instance)),
         10 => {
             let entries = tail_part(record, 5, ENTRY_SIZE, tail)?;
-            let entries = entries.chunks_exact(ENTRY_SIZE).map(entry).collect::<Result<_, _>>()?;
-            return Ok(Record::Table(table_number(u32_at(record, 1))?, entries));
+            let entries = entries.chunks_exact(ENTRY_SIZE).map(decode_entry).collect::<Result<_, _>>()?;
+            return Ok(Record::Table(decode_table_number(u32_at(record, 1))?, entries));
         }
         code => return Err(WireError::new(format!("unknown event code {code}"))),
     };
     Ok(Record::Event(instance, event))
 }
 
-fn table_number(number: u32) -> Result<usize, WireError> {
+fn decode_table_number(number: u32) -> Result<usize, WireError> {
     let table = number as usize;
-    if table < TABLES { Ok(table) } else { Err(WireError::new(format!("list number {number} is over 15"))) }
+    if table < MAX_TABLES {
+        Ok(table)
+    } else {
+        Err(WireError::new(format!("endpoint list number {number} is over 15")))
+    }
 }
 
-fn outcome(code: u8) -> Result<AttemptOutcome, WireError> {
+fn decode_outcome(code: u8) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
         0 => AttemptOutcome::Success,
         1 => AttemptOutcome::Error,
@@ -212,20 +233,20 @@
     })
 }
 
-fn load_report(record: &[u8], at: usize) -> Result<Option<LoadReport>, WireError> {
-    let len = record[at] as usize;
+fn decode_load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
+    let len = record[offset] as usize;
     if len > 4 {
-        return Err(WireError::new(format!("load report of {len} values")));
+        return Err(WireError::new(format!("load report of {len} values, over the maximum of 4")));
     }
     let mut report = LoadReport { len, ..LoadReport::default() };
-    for (i, figure) in report.figures.iter_mut().enumerate().take(len) {
-        *figure = f32_at(record, at + 1 + 4 * i);
+    for (index, figure) in report.figures.iter_mut().enumerate().take(len) {
+        *figure = f32_at(record, offset + 1 + 4 * index);
     }
     Ok((len > 0).then_some(report))
 }
 
-fn entry(bytes: &[u8]) -> Result<EndpointEntry, WireError> {
-    let lifecycle = match bytes[9] {
+fn decode_entry(bytes: &[u8]) -> Result<EndpointEntry, WireError> {
+    let state = match bytes[9] {
         0 => EndpointState::Removed,
         1 => EndpointState::InService,
         2 => EndpointState::Draining,
@@ -236,13 +257,13 @@
         endpoint: EndpointId(u32_at(bytes, 0)),
         zone: ZoneId(bytes[4]),
         cell: u16_at(bytes, 7),
-        state: lifecycle,
+        state,
         capacity: f32_at(bytes, 10),
         started: (started != 0).then_some(started),
     })
 }
 
-/// A reply under construction.
+/// The reply to a batch, to which actions are added one by one.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -255,13 +276,13 @@
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
             Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
-            Action::Send { id, endpoint: server, until, .. } => {
-                self.record(3, instance, &[&id.0, &server.0, until])
+            Action::Send { id, endpoint, until, .. } => {
+                self.record(3, instance, &[&id.0, &endpoint.0, until])
             }
             Action::Log(text) => self.text(4, instance, text),
             Action::Fail(id) => self.record(6, instance, &[&id.0]),
-            Action::QueryLoad(server) => self.record(10, instance, &[&server.0]),
-            Action::CloseIdle(server) => self.record(2, instance, &[&server.0]),
+            Action::QueryLoad(endpoint) => self.record(10, instance, &[&endpoint.0]),
+            Action::CloseIdle(endpoint) => self.record(2, instance, &[&endpoint.0]),
             Action::WatchEndpoints => self.record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
                 self.record(11, instance, &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)]);
@@ -269,17 +290,19 @@
         }
     }
 
-    /// Says that an instance cannot go on.
+    /// Reports that an instance has failed to start.
     pub fn fault(&mut self, instance: u32, text: &str) {
         self.text(9, instance, text);
     }
 
+    /// Adds a record that refers to a text in the tail.
     fn text(&mut self, code: u8, instance: u32, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
         self.record(code, instance, &[&offset, &(text.len() as u32)]);
     }
 
+    /// Adds a record, padded to its fixed size.
     fn record(&mut self, code: u8, instance: u32, fields: &[&dyn Field]) {
         let start = self.records.len();
         self.records.push(code);
@@ -290,11 +313,11 @@
         self.records.resize(start + ACTION_SIZE, 0);
     }
 
-    /// Writes the whole frame to `out` and empties the reply.
+    /// Appends the whole frame to `out` and clears the reply.
     pub fn finish(&mut self, sequence: u32, out: &mut Vec<u8>) {
         let length = self.records.len() + self.tail.len();
         let count = self.records.len() / ACTION_SIZE;
-        out.reserve(REPLY_HEADER + length);
+        out.reserve(REPLY_HEADER_SIZE + length);
         for value in [length as u32, count as u32, sequence] {
             out.extend_from_slice(&value.to_le_bytes());
         }
@@ -303,21 +326,23 @@
     }
 }
 
+/// A value that is written to an action record, in little-endian order.
 trait Field {
     fn write(&self, out: &mut Vec<u8>);
 }
 
-macro_rules! fields {
-    ($($t:ty),*) => {$(
-        impl Field for $t {
+macro_rules! impl_field {
+    ($($integer:ty),*) => {$(
+        impl Field for $integer {
             fn write(&self, out: &mut Vec<u8>) {
                 out.extend_from_slice(&self.to_le_bytes());
             }
         }
     )*};
 }
-fields!(u8, u32, u64);
+impl_field!(u8, u32, u64);
 
+/// The settings in JSON, as the simulator and the configuration file write them.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawSettings {
@@ -430,13 +455,13 @@
     quota_rps: f64,
 }
 
-/// Reads the settings that an instance starts with. The error names the key that is at fault.
-pub fn settings(text: &[u8]) -> Result<Settings, WireError> {
+/// Parses the settings of an instance from JSON. An error names the invalid or missing key.
+pub fn parse_settings(text: &[u8]) -> Result<Settings, WireError> {
     let error = |error: &dyn fmt::Display| WireError::new(format!("settings: {error}"));
     let mut text = serde_json::Deserializer::from_slice(text);
     let raw: RawSettings = serde_path_to_error::deserialize(&mut text).map_err(|e| error(&e))?;
     text.end().map_err(|e| error(&e))?;
-    let classes = raw.classes.into_iter().map(class).collect::<Result<Vec<_>, _>>()?;
+    let classes = raw.classes.into_iter().map(request_class).collect::<Result<Vec<_>, _>>()?;
     let polls_discovery = matches!(raw.discovery, RawDiscovery::Ask);
     if polls_discovery && raw.safety.ask_within_ns.is_none() {
         return Err(WireError::new("settings: missing field `AskWithinNs`"));
@@ -446,14 +471,14 @@
         raw.telemetry.map_or((Vec::new(), None), |telemetry| (telemetry.fields, telemetry.via));
     Ok(Settings {
         classes,
-        tenants: raw.tenants.into_iter().map(|t| Tenant { quota_rps: t.quota_rps }).collect(),
+        tenants: raw.tenants.into_iter().map(|tenant| Tenant { quota_rps: tenant.quota_rps }).collect(),
         over_quota_weight: raw.over_share_worth.unwrap_or(1.0),
         weight_by_work: matches!(raw.value_by, RawValueBy::Work),
         zone: ZoneId(raw.zone),
         zones: raw.zones.len(),
         replicas: raw.siblings,
         tier: raw.layer,
-        propagates_deadline: raw.family_info.and_then(|f| f.passes_deadline).unwrap_or(true),
+        propagates_deadline: raw.family_info.and_then(|family| family.passes_deadline).unwrap_or(true),
         polls_discovery,
         poll_within: raw.safety.ask_within_ns.unwrap_or(0),
         may_cancel: raw.limits.cancelling,
@@ -470,8 +495,8 @@
     })
 }
 
-fn class(raw: RawClass) -> Result<RequestClass, WireError> {
-    let effect = match raw.effect {
+fn request_class(raw: RawClass) -> Result<RequestClass, WireError> {
+    let idempotency = match raw.effect {
         RawEffect::ReadLike => Idempotency::Idempotent,
         RawEffect::NonIdempotent => Idempotency::NonIdempotent,
         RawEffect::IdempotencyKey => {
@@ -488,7 +513,7 @@
         latency_objective: raw.aim_ns,
         objective_stretch: raw.aim_stretch.unwrap_or(0.0),
         deadline: raw.deadline_ns,
-        idempotency: effect,
+        idempotency,
         late_weight: raw.late_worth.unwrap_or(0.0),
         priority_weight: raw.value,
     })
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use balancer::decision::*;
-use balancer::simulator::{self, BATCH_HEADER, BatchHeader, Record, Reply};
+use balancer::simulator::{self, BATCH_HEADER_SIZE, BatchHeader, Record, Reply};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -31,8 +31,8 @@
 }
 
 fn decode(frame: &[u8]) -> Vec<Record<'_>> {
-    let header = BatchHeader::decode(frame[..BATCH_HEADER].try_into().unwrap()).unwrap();
-    simulator::records(header, &frame[BATCH_HEADER..]).collect::<Result<_, _>>().unwrap()
+    let header = BatchHeader::decode(frame[..BATCH_HEADER_SIZE].try_into().unwrap()).unwrap();
+    simulator::decode_records(header, &frame[BATCH_HEADER_SIZE..]).collect::<Result<_, _>>().unwrap()
 }
 
 #[test]
@@ -142,7 +142,7 @@
 
 #[test]
 fn settings_read_what_decisions_need_and_ignore_the_rest() {
-    let settings = simulator::settings(SETTINGS.as_bytes()).unwrap();
+    let settings = simulator::parse_settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[1].idempotency, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.replicas, settings.zones, settings.max_attempts), (4, 2, 4));
@@ -150,14 +150,14 @@
     assert!(settings.polls_discovery && settings.propagates_deadline);
     assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay where nothing is said");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
-    assert_eq!(simulator::settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
+    assert_eq!(simulator::parse_settings(text.as_bytes()).unwrap().idle_timeout, 5_000_000_000);
 }
 
 #[test]
 fn settings_that_lack_a_key_name_it() {
     for key in ["Siblings", "TryLimit", "StartCapacity", "AimNs", "AskWithinNs", "WindowNs"] {
         let text = SETTINGS.replace(&format!("\"{key}\""), "\"Other\"");
-        let error = simulator::settings(text.as_bytes()).unwrap_err().to_string();
+        let error = simulator::parse_settings(text.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
 }
@@ -321,6 +321,6 @@
         assert!(!output.status.success() && error.contains(text), "{text}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
         // Cut inside its header, a batch has no number yet.
-        assert!(input.len() < BATCH_HEADER || error.contains("batch "), "{text}: {error}");
+        assert!(input.len() < BATCH_HEADER_SIZE || error.contains("batch "), "{text}: {error}");
     }
 }
