--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: a watch on discovery that is taken up again whenever it ends.
+//! The discovery client: watches the endpoint list, and starts the next watch whenever one ends.
 
 use crate::config::Config;
 use crate::config::endpoint_listing::Listing;
@@ -20,196 +20,221 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::io::InspectReader;
 
-/// How long a watch may wait. Nothing but the end of its wait shows that one has fallen silent, and what it misses
-/// counts as told 6 s after it fell silent, or 2 s after its wait if that is later: a short wait leaves the most
-/// time to ask again. Where all ask one service, a watch that goes on costs that next to nothing, a new call does.
-const WAIT: Duration = Duration::from_secs(2);
-/// Silence after which a call has failed, counted from the end of its wait, and from each piece of its answer.
-/// An agent on the own machine answers at once, one service for all takes calls in turn.
-const SILENCE_PUSHED: Duration = Duration::from_millis(500);
-const SILENCE_ASKED: Duration = Duration::from_millis(1000);
-/// How long an answer may take from its first byte on, and a connection to come up.
-const MOST_ANSWER: Duration = Duration::from_millis(1500);
-const CONNECT: Duration = Duration::from_millis(500);
-/// First wait after a failed call, doubling up to a cap.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// Wait before the next call where nothing was new: an agent that does not wait would be asked in a loop.
-/// Short enough for the watch to go on.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A list is never this large: guards the memory.
-const MOST_BYTES: usize = 8 << 20;
+/// How long discovery may delay the response to a watch until something changes. A watch whose connection has gone
+/// silent is noticed only after this wait, and a balancer counts as notified of a change that it missed 6 s after the
+/// connection fell silent, or 2 s after the end of the wait if that is later: a short wait leaves the most time to send
+/// another request. To continue a watch costs a discovery service shared by all balancers next to nothing, unlike a new
+/// request.
+const WATCH_WAIT: Duration = Duration::from_secs(2);
+/// Time without a byte from discovery, after the wait of a request or within its response, after which the request has
+/// failed. An agent on the same machine responds at once; a service shared by all balancers handles requests in turn.
+const PUSH_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// As [`PUSH_IDLE_TIMEOUT`], where discovery is polled.
+const POLL_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum time from the first to the last byte of a response.
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1500);
+/// How long connecting to discovery may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The first pause after a failure, doubled with each further one, and the longest.
+const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
+/// Pause before the next request after a response without changes: an agent that responds at once instead of waiting
+/// would otherwise get requests in a tight loop. Short enough for the watch to count as continuous.
+const UNCHANGED_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum size of a response, far above that of any list, to bound the memory it takes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Tells the driver of every change, for ever. Another address ends what was asked of the one before, and its
-/// whole list is asked for first: versions of two services cannot be compared. `told` turns true once the
-/// first call has ended, where lists are pushed: what the agent has counts as told from the start.
-pub async fn follow(
+/// Sends every change of the endpoint list to the dispatcher, for as long as the process runs. When the address
+/// changes, the current request is dropped and the full list is requested from the new address, as revisions of two
+/// services cannot be compared. `discovery_attempted` turns true once the first request has ended, or at once where
+/// discovery is polled: an agent that pushes lists counts as having notified the balancer of its list from the start.
+pub async fn run(
     config: Arc<Config>,
     events: UnboundedSender<DispatcherMessage>,
-    mut subscribed: UnboundedReceiver<()>,
+    mut subscriptions: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
-    told: watch::Sender<bool>,
+    discovery_attempted: watch::Sender<bool>,
 ) {
-    let asked = config.settings.polls_discovery;
-    told.send_replace(asked);
-    let mut known = Some(config.known.rev);
+    let polls_discovery = config.settings.polls_discovery;
+    discovery_attempted.send_replace(polls_discovery);
+    let mut known_revision = Some(config.known.rev);
     loop {
         let address = *addresses.borrow_and_update();
-        let follower = Follower { asked, events: &events, told: &told };
+        let watcher =
+            EndpointWatcher { polls_discovery, events: &events, discovery_attempted: &discovery_attempted };
         tokio::select! {
             biased;
             changed = addresses.changed() => if changed.is_err() { return },
-            () = follower.follow(address, known, &mut subscribed) => return,
+            () = watcher.watch_address(address, known_revision, &mut subscriptions) => return,
         }
-        known = None;
+        known_revision = None;
     }
 }
 
-struct Follower<'a> {
-    /// Lists come only when asked for.
-    asked: bool,
+/// Watches the endpoint list for the dispatcher.
+struct EndpointWatcher<'a> {
+    /// Lists come only when requested, from a service that all balancers share.
+    polls_discovery: bool,
     events: &'a UnboundedSender<DispatcherMessage>,
-    told: &'a watch::Sender<bool>,
+    discovery_attempted: &'a watch::Sender<bool>,
 }
 
-impl Follower<'_> {
-    /// Follows one discovery service until nobody wants to hear of it, from a version or from the whole list on.
-    /// Where it must be asked, the first call begins when the decision module wants one, and so does the next after
-    /// a failure: all that ask one service must not do so at once. What was missed, at the start and after a
-    /// failure, is asked for without a wait: the silence of such a call is found soonest.
-    async fn follow(&self, address: SocketAddr, known: Option<u64>, subscribed: &mut UnboundedReceiver<()>) {
-        let silence = if self.asked { SILENCE_ASKED } else { SILENCE_PUSHED };
-        let mut watch = Watch { address, silence, open: None };
-        let (mut rev, mut whole, mut failures) = (known.unwrap_or(0), known.is_none(), 0_u32);
-        let mut missed = true;
-        if self.asked {
-            let is_wanted = match whole {
-                true => self.wanted_after(DispatcherMessage::DiscoveryMoved, subscribed).await,
-                false => subscribed.recv().await.is_some(),
+impl EndpointWatcher<'_> {
+    /// Watches the discovery service at one address, from a known revision or from the full list on, until the
+    /// dispatcher has stopped. Where discovery is polled, the first request and each one after a failure are sent when
+    /// the decision module subscribes, so that the balancers that share the service do not send theirs at once.
+    /// Changes that may have been missed, at the start and after a failure, are requested without a wait: a silent
+    /// connection is noticed soonest that way.
+    async fn watch_address(
+        &self,
+        address: SocketAddr,
+        known_revision: Option<u64>,
+        subscriptions: &mut UnboundedReceiver<()>,
+    ) {
+        let idle_timeout = if self.polls_discovery { POLL_IDLE_TIMEOUT } else { PUSH_IDLE_TIMEOUT };
+        let mut client = DiscoveryClient { address, idle_timeout, connection: None };
+        let (mut revision, mut needs_full_list, mut failures) =
+            (known_revision.unwrap_or(0), known_revision.is_none(), 0_u32);
+        let mut may_have_missed = true;
+        if self.polls_discovery {
+            let is_subscribed = match needs_full_list {
+                true => self.await_subscription(DispatcherMessage::DiscoveryMoved, subscriptions).await,
+                false => subscriptions.recv().await.is_some(),
             };
-            if !is_wanted {
+            if !is_subscribed {
                 return;
             }
         }
         loop {
-            let wait = if missed || whole { Duration::ZERO } else { WAIT };
-            let path = match whole {
+            let wait = if may_have_missed || needs_full_list { Duration::ZERO } else { WATCH_WAIT };
+            let path = match needs_full_list {
                 true => "/v1/servers".to_owned(),
-                false => format!("/v1/servers?after={rev}&wait_ms={}", wait.as_millis()),
+                false => format!("/v1/servers?after={revision}&wait_ms={}", wait.as_millis()),
             };
-            match watch.call(&path, wait).await {
-                // A version that goes back means another discovery: only the whole list tells what it has.
-                Ok(listing) if listing.rev < rev && !listing.all => whole = true,
+            match client.fetch(&path, wait).await {
+                // A lower revision means that the service was replaced: its state is known from the full list alone.
+                Ok(listing) if listing.rev < revision && !listing.all => needs_full_list = true,
                 Ok(listing) => {
                     if failures > 0 {
                         crate::proxy::logging::log(format_args!(
-                            "discovery answers again after {failures} failures"
+                            "discovery at {address} answers again after {failures} failures"
                         ));
                     }
-                    let idle = listing.rev == rev && !missed;
-                    (rev, whole, missed, failures) = (listing.rev, false, false, 0);
+                    let is_unchanged = listing.rev == revision && !may_have_missed;
+                    (revision, needs_full_list, may_have_missed, failures) = (listing.rev, false, false, 0);
                     if self.events.send(DispatcherMessage::EndpointList(listing)).is_err() {
                         return;
                     }
-                    self.told.send_replace(true);
-                    if idle {
-                        sleep(PAUSE).await;
+                    self.discovery_attempted.send_replace(true);
+                    if is_unchanged {
+                        sleep(UNCHANGED_PAUSE).await;
                     }
                 }
                 Err(error) => {
-                    watch.open = None;
+                    client.connection = None;
                     if failures == 0 {
-                        crate::proxy::logging::log(format_args!("discovery failed: {error}"));
+                        crate::proxy::logging::log(format_args!("discovery failed at {address}: {error}"));
                     }
-                    self.told.send_replace(true); // there is nothing to wait for
-                    (missed, failures) = (true, failures.saturating_add(1));
-                    if self.asked {
-                        if !self.wanted_after(DispatcherMessage::DiscoveryFailed, subscribed).await {
+                    // Requests need not wait for a list that may never come.
+                    self.discovery_attempted.send_replace(true);
+                    (may_have_missed, failures) = (true, failures.saturating_add(1));
+                    if self.polls_discovery {
+                        if !self.await_subscription(DispatcherMessage::DiscoveryFailed, subscriptions).await {
                             return;
                         }
                     } else {
-                        sleep((BACKOFF.0 * (1 << failures.min(8))).min(BACKOFF.1)).await;
+                        sleep((BACKOFF_RANGE.0 * (1 << failures.min(8))).min(BACKOFF_RANGE.1)).await;
                     }
                 }
             }
         }
     }
 
-    /// Tells the driver, and waits until the decision module wants a call. What it wanted before, it wanted of a
-    /// call that is over. Returns whether there is anybody still.
-    async fn wanted_after(&self, input: DispatcherMessage, subscribed: &mut UnboundedReceiver<()>) -> bool {
-        while subscribed.try_recv().is_ok() {}
-        self.events.send(input).is_ok() && subscribed.recv().await.is_some()
+    /// Sends a message to the dispatcher and waits until the decision module subscribes. Subscriptions from before are
+    /// dropped, as they belong to the request that has ended. Returns false if the dispatcher has stopped.
+    async fn await_subscription(
+        &self,
+        message: DispatcherMessage,
+        subscriptions: &mut UnboundedReceiver<()>,
+    ) -> bool {
+        while subscriptions.try_recv().is_ok() {}
+        self.events.send(message).is_ok() && subscriptions.recv().await.is_some()
     }
 }
 
-struct Watch {
+/// A client of the discovery service at one address, which reuses its connection.
+struct DiscoveryClient {
     address: SocketAddr,
-    silence: Duration,
-    open: Option<Open>,
+    idle_timeout: Duration,
+    connection: Option<DiscoveryConnection>,
 }
 
 /// A connection to discovery.
-struct Open {
+struct DiscoveryConnection {
     sender: SendRequest<Empty<Bytes>>,
-    /// Changes with each piece that comes.
-    heard: watch::Receiver<()>,
+    /// Changes whenever bytes are received.
+    received: watch::Receiver<()>,
 }
 
-type Failure = Box<dyn Error + Send + Sync>;
+/// Why a request to discovery failed.
+type DiscoveryError = Box<dyn Error + Send + Sync>;
 
-impl Open {
-    async fn new(address: SocketAddr) -> Result<Self, Failure> {
-        let end = Instant::now() + CONNECT;
+impl DiscoveryConnection {
+    /// Connects to discovery.
+    async fn new(address: SocketAddr) -> Result<Self, DiscoveryError> {
+        let end = Instant::now() + CONNECT_TIMEOUT;
         let connect_deadline =
             ConnectDeadline { end, end_after_local_failure: end, local_failure: &AtomicBool::default() };
-        // There is no other to compare it with.
+        // There are no other peers whose reachability could be compared.
         let tcp = connect(address, connect_deadline, &Reachability::default()).await?;
-        let (hear, heard) = watch::channel(());
-        let tcp = InspectReader::new(tcp, move |_: &[u8]| hear.send_replace(()));
-        let (sender, connection) = handshake(TokioIo::new(tcp)).await?;
-        tokio::spawn(connection);
-        Ok(Self { sender, heard })
+        let (notify_received, received) = watch::channel(());
+        let tcp = InspectReader::new(tcp, move |_: &[u8]| notify_received.send_replace(()));
+        let (sender, connection_task) = handshake(TokioIo::new(tcp)).await?;
+        tokio::spawn(connection_task);
+        Ok(Self { sender, received })
     }
 
-    async fn exchange(&mut self, address: SocketAddr, path: &str) -> Result<Listing, Failure> {
+    /// Sends a request and reads the list in its response.
+    async fn exchange(&mut self, address: SocketAddr, path: &str) -> Result<Listing, DiscoveryError> {
         self.sender.ready().await?;
         let request = Request::get(path).header("Host", address.to_string()).body(Empty::<Bytes>::new())?;
         let response = self.sender.send_request(request).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BYTES).collect().await?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await?.to_bytes();
         if !status.is_success() {
-            return Err(format!("status {status}").into());
+            return Err(format!("response status {status}").into());
         }
         Ok(serde_json::from_slice(&body)?)
     }
 }
 
-impl Watch {
-    /// Asks, and gives up after a silence: beyond the wait, or within the answer.
-    async fn call(&mut self, path: &str, wait: Duration) -> Result<Listing, Failure> {
-        let mut open = match self.open.take() {
-            // The agent may have closed it since.
-            Some(open) if !open.sender.is_closed() => open,
-            _ => Open::new(self.address).await?,
+impl DiscoveryClient {
+    /// Sends a request, connecting first if needed. Fails if nothing is received for the idle timeout after `wait` or
+    /// within the response, or if the response takes too long.
+    async fn fetch(&mut self, path: &str, wait: Duration) -> Result<Listing, DiscoveryError> {
+        let mut connection = match self.connection.take() {
+            // Discovery may have closed the connection since the last request.
+            Some(connection) if !connection.sender.is_closed() => connection,
+            _ => DiscoveryConnection::new(self.address).await?,
         };
-        let (mut until, mut most) = (Instant::now() + wait + self.silence, None);
-        let mut heard = open.heard.clone();
-        heard.mark_unchanged();
+        let (mut timeout_at, mut response_deadline) = (Instant::now() + wait + self.idle_timeout, None);
+        let mut received = connection.received.clone();
+        received.mark_unchanged();
         let listing = {
-            let mut exchange = pin!(open.exchange(self.address, path));
+            let mut exchange = pin!(connection.exchange(self.address, path));
             loop {
                 tokio::select! {
                     biased;
-                    done = exchange.as_mut() => break done?,
-                    Ok(()) = heard.changed() => {
+                    result = exchange.as_mut() => break result?,
+                    Ok(()) = received.changed() => {
                         let now = Instant::now();
-                        until = (now + self.silence).min(*most.get_or_insert(now + MOST_ANSWER));
+                        timeout_at = (now + self.idle_timeout)
+                            .min(*response_deadline.get_or_insert(now + MAX_RESPONSE_TIME));
                     }
-                    () = sleep_until(until) => return Err("no answer in time".into()),
+                    () = sleep_until(timeout_at) => return Err("no response in time".into()),
                 }
             }
         };
-        self.open = Some(open);
+        self.connection = Some(connection);
         Ok(listing)
     }
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -120,7 +120,7 @@
         admin::open(address, admin::AdminContext { counters, ready, dispatcher })?;
     }
     let mut driving = tokio::spawn(dispatcher.run(inbox));
-    tokio::spawn(discovery::follow(config.clone(), events.clone(), subscribed, discovery_at, tell));
+    tokio::spawn(discovery::run(config.clone(), events.clone(), subscribed, discovery_at, tell));
     let server = downstream::DownstreamServer::new(config, events, (is_ready, told), counters, body_memory);
     let mut serving = tokio::spawn(server.run(listener, stopping));
 
