--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer on real sockets: reads the configuration, starts the parts, ends on a signal.
+//! The balancer process: loads the configuration and runs the proxy until a signal stops it.
 
 #![deny(unsafe_code)]
 
@@ -13,7 +13,7 @@
 fn main() -> ExitCode {
     let outcome = config::Config::load().and_then(|config| {
         let runtime = retry_blocking(|| Builder::new_current_thread().enable_all().build())
-            .map_err(|error| format!("cannot start the runtime: {error}"))?;
+            .map_err(|error| format!("cannot start the asynchronous runtime: {error}"))?;
         runtime.block_on(proxy::run(config))
     });
     match outcome {
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' door: a second address, on a thread and a runtime of its own, so that no load of callers can
-//! keep an operator waiting. It decides nothing and holds nothing: it reads figures and asks the driver.
+//! The admin server: serves operators on a second address, with a thread and a runtime of its own, so that the load of
+//! clients cannot delay an operator. It keeps no state: it reads the counters and sends orders to the dispatcher.
 
 use super::metrics::Counters;
 use super::orders::{Order, OrderClaim, OrderRequest, Verdict};
@@ -26,67 +26,75 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the head of a call may take.
-const HEAD_PATIENCE: Duration = Duration::from_millis(2500);
-/// How long the driver may take over an order: an answer is owed within a second.
-const ORDER_PATIENCE: Duration = Duration::from_millis(800);
-/// What the admin server reads its figures from, and where it sends orders.
+/// How long receiving the head of a request may take.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long the dispatcher may take to carry out an order: an operator gets an answer within a second.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// The state that the admin server reports, and the channel that it sends orders to.
 pub struct AdminContext {
     pub counters: Arc<Counters>,
+    /// Turns true once an endpoint is in service.
     pub ready: watch::Receiver<bool>,
     pub dispatcher: UnboundedSender<DispatcherMessage>,
 }
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// Listens, and serves for as long as the process runs.
-pub fn open(address: SocketAddr, door: AdminContext) -> Result<(), String> {
-    let failed = |error| format!("`admin_addr` {address}: {error}");
-    let listener = retry_blocking(|| std::net::TcpListener::bind(address)).map_err(failed)?;
-    listener.set_nonblocking(true).map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+/// Listens on the address and starts the thread of the admin server, which runs as long as the process.
+pub fn start(address: SocketAddr, context: AdminContext) -> Result<(), String> {
+    let start_error = |error| format!("`admin_addr` {address}: {error}");
+    let listener = retry_blocking(|| std::net::TcpListener::bind(address)).map_err(start_error)?;
+    listener.set_nonblocking(true).map_err(start_error)?;
+    let address = listener.local_addr().map_err(start_error)?;
     let runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = retry_blocking(runtime).map_err(failed)?;
-    let serving = move || {
+    let runtime = retry_blocking(runtime).map_err(start_error)?;
+    let run_server = move || {
         runtime.block_on(async {
             match retry(|| TcpListener::from_std(listener.try_clone()?)).await {
-                Ok(listener) => serve(listener, Arc::new(door)).await,
-                Err(error) => {
-                    crate::proxy::logging::log(format_args!("the operators' door stays shut: {error}"))
-                }
+                Ok(listener) => serve(listener, Arc::new(context)).await,
+                Err(error) => crate::proxy::logging::log(format_args!(
+                    "operators cannot be served on {address}: {error}"
+                )),
             }
         });
     };
-    std::thread::Builder::new().name("admin".into()).spawn(serving).map_err(failed)?;
+    std::thread::Builder::new().name("admin".into()).spawn(run_server).map_err(start_error)?;
     crate::proxy::logging::log(format_args!("operators are served on {address}"));
     Ok(())
 }
 
-/// A connection to the admin server, and whether it has sent a request.
+/// An open connection to the admin server.
 struct AdminConnection {
     task: JoinHandle<()>,
-    asked: Arc<AtomicBool>,
+    /// Whether a request has been received.
+    has_request: Arc<AtomicBool>,
 }
 
-async fn serve(listener: TcpListener, door: Arc<AdminContext>) {
-    let mut held: VecDeque<AdminConnection> = VecDeque::new();
+/// Accepts connections and serves each in a task of its own.
+async fn serve(listener: TcpListener, context: Arc<AdminContext>) {
+    let mut connections: VecDeque<AdminConnection> = VecDeque::new();
     let mut backoff = Backoff::default();
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => {
                 backoff = Backoff::default();
-                held.retain(|held| !held.task.is_finished());
-                if held.len() >= ADMIN_CONNECTIONS {
-                    // The one that has kept its call to itself for longest makes room for a caller.
-                    let silent = held.iter().position(|held| !held.asked.load(Ordering::Relaxed));
-                    if let Some(AdminConnection { task, .. }) = held.remove(silent.unwrap_or(0)) {
+                connections.retain(|connection| !connection.task.is_finished());
+                if connections.len() >= ADMIN_CONNECTIONS {
+                    // The oldest connection without a request makes room for the new one, or else the oldest of all.
+                    let oldest_without_request = connections
+                        .iter()
+                        .position(|connection| !connection.has_request.load(Ordering::Relaxed));
+                    if let Some(AdminConnection { task, .. }) =
+                        connections.remove(oldest_without_request.unwrap_or(0))
+                    {
                         task.abort();
-                        task.await.ok(); // its descriptor is free with this, not before
+                        task.await.ok(); // its descriptor is closed only once the task has ended
                     }
                 }
-                let asked = Arc::new(AtomicBool::new(false));
-                let task = tokio::spawn(connection(tcp, door.clone(), asked.clone()));
-                held.push_back(AdminConnection { task, asked });
+                let has_request = Arc::new(AtomicBool::new(false));
+                let task = tokio::spawn(serve_connection(tcp, context.clone(), has_request.clone()));
+                connections.push_back(AdminConnection { task, has_request });
             }
             Err(error) => {
                 crate::proxy::logging::log(format_args!("cannot take an operator's connection: {error}"));
@@ -96,77 +104,83 @@
     }
 }
 
-async fn connection(tcp: TcpStream, door: Arc<AdminContext>, asked: Arc<AtomicBool>) {
+/// Serves the one request of a connection.
+async fn serve_connection(tcp: TcpStream, context: Arc<AdminContext>, has_request: Arc<AtomicBool>) {
     let service = service_fn(async |request: Request<Incoming>| {
-        asked.store(true, Ordering::Relaxed);
-        Ok::<_, Infallible>(reply(request.method(), request.uri().path(), &door).await)
+        has_request.store(true, Ordering::Relaxed);
+        Ok::<_, Infallible>(respond(request.method(), request.uri().path(), &context).await)
     });
-    let served = http1::Builder::new()
+    let connection = http1::Builder::new()
         .keep_alive(false)
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_PATIENCE)
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(tcp), service);
-    served.await.ok(); // a caller that leaves or never asks needs nothing
+    connection.await.ok(); // nothing to do if the operator disconnects or sends no request
 }
 
-async fn reply(method: &Method, path: &str, door: &AdminContext) -> AdminResponse {
-    let parts: Vec<&str> = path.split('/').skip(1).collect();
-    let (allowed, known) = match parts[..] {
+/// Finds the response to a request by its method and path.
+async fn respond(method: &Method, path: &str, context: &AdminContext) -> AdminResponse {
+    let segments: Vec<&str> = path.split('/').skip(1).collect();
+    let (allowed, is_known) = match segments[..] {
         ["control", "ready" | "counters"] => (Method::GET, true),
         ["control", "upstreams", id, "offline" | "online"] => (Method::POST, !id.is_empty()),
         _ => (Method::GET, false),
     };
-    if !known {
-        return text(StatusCode::NOT_FOUND, "no such path\n");
+    if !is_known {
+        return text_response(StatusCode::NOT_FOUND, "no such path\n");
     }
     if *method != allowed {
-        let mut reply = text(StatusCode::METHOD_NOT_ALLOWED, "not the method of this path\n");
+        let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "not the method of this path\n");
         let allowed = HeaderValue::from_str(allowed.as_str());
-        allowed.into_iter().for_each(|allowed| drop(reply.headers_mut().insert(ALLOW, allowed)));
-        return reply;
+        allowed.into_iter().for_each(|allowed| drop(response.headers_mut().insert(ALLOW, allowed)));
+        return response;
     }
-    match parts[..] {
-        ["control", "ready"] => match *door.ready.borrow() {
-            true => text(StatusCode::OK, "ready\n"),
-            false => text(StatusCode::SERVICE_UNAVAILABLE, "no upstream is listed yet\n"),
+    match segments[..] {
+        ["control", "ready"] => match *context.ready.borrow() {
+            true => text_response(StatusCode::OK, "ready\n"),
+            false => text_response(StatusCode::SERVICE_UNAVAILABLE, "no upstream is listed yet\n"),
         },
-        ["control", "upstreams", id, order] => order_about(id, order == "offline", door).await,
+        ["control", "upstreams", id, action] => handle_order(id, action == "offline", context).await,
         _ => {
-            let mut reply = Response::new(Full::from(door.counters.report().to_string()));
-            reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-            reply
+            let mut response = Response::new(Full::from(context.counters.report().to_string()));
+            response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            response
         }
     }
 }
 
-async fn order_about(id: &str, offline: bool, door: &AdminContext) -> AdminResponse {
+/// Gives an order about an endpoint and responds with its result.
+async fn handle_order(id: &str, offline: bool, context: &AdminContext) -> AdminResponse {
     let order = Order { uid: id.to_owned(), offline };
-    match verdict_on(order, door).await {
-        Some(Verdict::Done) => text(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
-        Some(Verdict::Unknown) => text(StatusCode::NOT_FOUND, "no such upstream was ever listed\n"),
-        Some(Verdict::NotKept) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
-        None => text(StatusCode::SERVICE_UNAVAILABLE, "not in force\n"),
+    match submit_order(order, context).await {
+        Some(Verdict::Done) => text_response(StatusCode::OK, if offline { "offline\n" } else { "online\n" }),
+        Some(Verdict::Unknown) => text_response(StatusCode::NOT_FOUND, "no such upstream was ever listed\n"),
+        Some(Verdict::NotKept) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n"),
+        None => text_response(StatusCode::SERVICE_UNAVAILABLE, "not in force\n"),
     }
 }
 
-/// What becomes of an order; `None` if that takes too long, and then it never comes into force.
-async fn verdict_on(order: Order, door: &AdminContext) -> Option<Verdict> {
+/// Sends an order to the dispatcher and waits for its verdict. `None` if that takes too long; the order is then never
+/// carried out.
+async fn submit_order(order: Order, context: &AdminContext) -> Option<Verdict> {
     let claim = OrderClaim::default();
-    let (answer, mut answered) = oneshot::channel();
-    door.dispatcher
+    let (answer, mut answer_receiver) = oneshot::channel();
+    context
+        .dispatcher
         .send(DispatcherMessage::OperatorOrder(OrderRequest { order, claim: claim.clone(), answer }))
         .ok();
-    if let Ok(verdict) = timeout(ORDER_PATIENCE, &mut answered).await {
+    if let Ok(verdict) = timeout(ORDER_TIMEOUT, &mut answer_receiver).await {
         return verdict.ok();
     }
     if claim.claim() {
         return None;
     }
-    answered.await.ok() // it is just being committed: neither yes nor no would be true before the end of that
+    answer_receiver.await.ok() // the order is being committed: its result is not known before that ends
 }
 
-fn text(status: StatusCode, text: &'static str) -> AdminResponse {
-    let mut reply = Response::new(Full::from(text));
-    *reply.status_mut() = status;
-    reply
+/// A response with a plain text body.
+fn text_response(status: StatusCode, text: &'static str) -> AdminResponse {
+    let mut response = Response::new(Full::from(text));
+    *response.status_mut() = status;
+    response
 }
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -49,7 +49,7 @@
 /// discovery is polled: an agent that pushes lists counts as having notified the balancer of its list from the start.
 pub async fn run(
     config: Arc<Config>,
-    events: UnboundedSender<DispatcherMessage>,
+    dispatcher: UnboundedSender<DispatcherMessage>,
     mut subscriptions: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
     discovery_attempted: watch::Sender<bool>,
@@ -59,8 +59,11 @@
     let mut known_revision = Some(config.known.rev);
     loop {
         let address = *addresses.borrow_and_update();
-        let watcher =
-            EndpointWatcher { polls_discovery, events: &events, discovery_attempted: &discovery_attempted };
+        let watcher = EndpointWatcher {
+            polls_discovery,
+            dispatcher: &dispatcher,
+            discovery_attempted: &discovery_attempted,
+        };
         tokio::select! {
             biased;
             changed = addresses.changed() => if changed.is_err() { return },
@@ -74,7 +77,7 @@
 struct EndpointWatcher<'a> {
     /// Lists come only when requested, from a service that all balancers share.
     polls_discovery: bool,
-    events: &'a UnboundedSender<DispatcherMessage>,
+    dispatcher: &'a UnboundedSender<DispatcherMessage>,
     discovery_attempted: &'a watch::Sender<bool>,
 }
 
@@ -121,7 +124,7 @@
                     }
                     let is_unchanged = listing.rev == revision && !may_have_missed;
                     (revision, needs_full_list, may_have_missed, failures) = (listing.rev, false, false, 0);
-                    if self.events.send(DispatcherMessage::EndpointList(listing)).is_err() {
+                    if self.dispatcher.send(DispatcherMessage::EndpointList(listing)).is_err() {
                         return;
                     }
                     self.discovery_attempted.send_replace(true);
@@ -157,7 +160,7 @@
         subscriptions: &mut UnboundedReceiver<()>,
     ) -> bool {
         while subscriptions.try_recv().is_ok() {}
-        self.events.send(message).is_ok() && subscriptions.recv().await.is_some()
+        self.dispatcher.send(message).is_ok() && subscriptions.recv().await.is_some()
     }
 }
 
--- a/src/proxy/durable_file.rs
+++ b/src/proxy/durable_file.rs
@@ -1,4 +1,4 @@
-//! Small files that have to survive the process: replaced whole or not at all, and locked against other processes.
+//! Small files that outlive the process: replaced atomically, and locked against other processes.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Write};
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Time between two tries to take a lock.
-const LOCK_RETRY: Duration = Duration::from_millis(5);
-/// Tries of a call that signals keep interrupting.
-const MAX_INTERRUPTIONS: usize = 16;
+/// Pause between two attempts to acquire a lock.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of attempts at a system call that signals keep interrupting.
+const MAX_INTERRUPTED_ATTEMPTS: usize = 16;
 
-/// The step of a file operation that failed.
+/// A step of a file operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileStep {
     Open,
@@ -34,13 +34,14 @@
 }
 
 impl FileError {
-    fn at(step: FileStep, path: &Path) -> impl FnOnce(io::Error) -> Self {
+    /// Converts the I/O error of a step on a file.
+    fn from_io(step: FileStep, path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self { step, path, source }
     }
 }
 
-/// Why a lock could not be taken.
+/// Why a lock could not be acquired.
 #[derive(Debug, Error)]
 pub enum LockError {
     #[error("another process holds the lock")]
@@ -54,59 +55,61 @@
     match retry_interrupted(|| fs::read(path)) {
         Ok(contents) => Ok(Some(contents)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
-        Err(error) => Err(FileError::at(FileStep::Read, path)(error)),
+        Err(error) => Err(FileError::from_io(FileStep::Read, path)(error)),
     }
 }
 
-/// Replaces a file through a temporary one beside it, and returns once the new contents would survive. If the last
-/// step (`FileStep::SyncFolder`) fails, the new contents are in place all the same; otherwise the old ones are.
+/// Replaces a file by renaming a temporary one, and returns once the new contents are on disk. If the last step
+/// (`FileStep::SyncFolder`) fails, the new contents are visible, but may not survive a crash of the machine; if any
+/// other step fails, the old contents remain.
 pub fn replace(path: &Path, contents: &[u8]) -> Result<(), FileError> {
     let temporary = path.with_extension("new");
-    let renamed = write_synced(&temporary, contents).and_then(|()| {
-        retry_interrupted(|| fs::rename(&temporary, path)).map_err(FileError::at(FileStep::Rename, path))
+    let rename_result = write_synced(&temporary, contents).and_then(|()| {
+        retry_interrupted(|| fs::rename(&temporary, path)).map_err(FileError::from_io(FileStep::Rename, path))
     });
-    if let Err(error) = renamed {
-        fs::remove_file(&temporary).ok(); // what stays is written over by the next try
+    if let Err(error) = rename_result {
+        fs::remove_file(&temporary).ok(); // a file that remains is overwritten by the next attempt
         return Err(error);
     }
     sync_folder_of(path)
 }
 
-/// Removes a file. The removal survives once the folder is synced.
+/// Removes a file, if it exists. The removal is durable only once the folder is synced.
 pub fn remove(path: &Path) -> Result<(), FileError> {
     match retry_interrupted(|| fs::remove_file(path)) {
         Err(error) if error.kind() != ErrorKind::NotFound => {
-            Err(FileError::at(FileStep::Remove, path)(error))
+            Err(FileError::from_io(FileStep::Remove, path)(error))
         }
         Ok(()) | Err(_) => Ok(()),
     }
 }
 
-/// Makes renames and removals in the folder of a file survive.
+/// Makes renames and removals in the folder of a file durable.
 pub fn sync_folder_of(path: &Path) -> Result<(), FileError> {
     let folder = path.parent().unwrap_or(path);
-    let synced = retry_interrupted(|| File::open(folder)?.sync_all());
-    synced.map_err(FileError::at(FileStep::SyncFolder, folder))
+    let sync_result = retry_interrupted(|| File::open(folder)?.sync_all());
+    sync_result.map_err(FileError::from_io(FileStep::SyncFolder, folder))
 }
 
-/// Locks a file, made if need be, against other processes until the returned file is dropped.
+/// Locks a file against other processes until the returned file is dropped, waiting for the lock until the deadline.
+/// The file is created if it does not exist.
 pub fn lock(path: &Path, deadline: Instant) -> Result<File, LockError> {
-    let file = retry_interrupted(|| File::create(path)).map_err(FileError::at(FileStep::Open, path))?;
+    let file = retry_interrupted(|| File::create(path)).map_err(FileError::from_io(FileStep::Open, path))?;
     loop {
         match try_lock(&file) {
             Ok(()) => return Ok(file),
             Err(TryLockError::WouldBlock) if Instant::now() >= deadline => return Err(LockError::Held),
-            Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_RETRY),
+            Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_RETRY_INTERVAL),
             Err(TryLockError::Error(error)) => {
-                return Err(FileError::at(FileStep::Lock, path)(error).into());
+                return Err(FileError::from_io(FileStep::Lock, path)(error).into());
             }
         }
     }
 }
 
-/// Locks an open file without waiting for who holds it.
+/// Locks an open file, without waiting if another process holds the lock.
 pub fn try_lock(file: &File) -> Result<(), TryLockError> {
-    for _ in 1..MAX_INTERRUPTIONS {
+    for _ in 1..MAX_INTERRUPTED_ATTEMPTS {
         match file.try_lock() {
             Err(TryLockError::Error(error)) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
@@ -115,19 +118,21 @@
     file.try_lock()
 }
 
-/// Repeats a call that was interrupted by a signal, a bounded number of times.
-pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..MAX_INTERRUPTIONS {
-        match call() {
+/// Repeats a system call that is interrupted by signals, a bounded number of times.
+pub fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    for _ in 1..MAX_INTERRUPTED_ATTEMPTS {
+        match operation() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
         }
     }
-    call()
+    operation()
 }
 
+/// Writes a file and syncs it to disk.
 fn write_synced(path: &Path, contents: &[u8]) -> Result<(), FileError> {
-    let mut file = retry_interrupted(|| File::create(path)).map_err(FileError::at(FileStep::Open, path))?;
-    file.write_all(contents).map_err(FileError::at(FileStep::Write, path))?;
-    file.sync_all().map_err(FileError::at(FileStep::Sync, path))
+    let mut file =
+        retry_interrupted(|| File::create(path)).map_err(FileError::from_io(FileStep::Open, path))?;
+    file.write_all(contents).map_err(FileError::from_io(FileStep::Write, path))?;
+    file.sync_all().map_err(FileError::from_io(FileStep::Sync, path))
 }
--- a/src/proxy/logging.rs
+++ b/src/proxy/logging.rs
@@ -5,21 +5,25 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines written in a second at most: in trouble, what they tell of happens many times a second.
-const LOG_LINES: u32 = 20;
+/// Maximum number of lines written per second: the same failure may be logged many times a second.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Writes one line to standard error, unless too many were written lately. Unlike `eprintln`, it does not
-/// panic where that is closed.
+/// Writes a line to standard error, unless too many lines were written within the last second. Unlike `eprintln`, it
+/// does not panic if standard error is closed.
 pub fn log(text: fmt::Arguments<'_>) {
-    static LATELY: Mutex<Option<(Instant, u32)>> = Mutex::new(None);
-    let mut lately = LATELY.lock().unwrap_or_else(PoisonError::into_inner);
-    let (since, lines) = lately
-        .filter(|(since, _)| since.elapsed() < Duration::from_secs(1))
+    static CURRENT_WINDOW: Mutex<Option<(Instant, u32)>> = Mutex::new(None);
+    let mut window = CURRENT_WINDOW.lock().unwrap_or_else(PoisonError::into_inner);
+    let (started, lines) = window
+        .filter(|(started, _)| started.elapsed() < Duration::from_secs(1))
         .unwrap_or_else(|| (Instant::now(), 0));
-    *lately = Some((since, lines.saturating_add(1)));
+    *window = Some((started, lines.saturating_add(1)));
     match lines {
-        ..LOG_LINES => writeln!(io::stderr().lock(), "balancer: {text}").ok(),
-        LOG_LINES => writeln!(io::stderr().lock(), "balancer: more lines than may be written").ok(),
+        ..MAX_LINES_PER_SECOND => writeln!(io::stderr().lock(), "balancer: {text}").ok(),
+        MAX_LINES_PER_SECOND => writeln!(
+            io::stderr().lock(),
+            "balancer: over {MAX_LINES_PER_SECOND} lines logged within a second, dropping further ones"
+        )
+        .ok(),
         _ => None,
     };
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,4 +1,5 @@
-//! The balancer's sockets. Nothing here decides: the driver asks the decision module.
+//! The proxy: accepts requests from clients and sends them on to upstreams. The decisions are those of the decision
+//! module, which the dispatcher notifies of events and whose actions it carries out.
 
 mod admin;
 mod body;
@@ -36,44 +37,47 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// Part of the memory that bodies may fill, as one over this.
-const BODIES: usize = 4;
-/// Connections that wait to be taken, at most.
-const BACKLOG: u32 = 1024;
-/// Takes over a new configuration: where discovery is. All else needs a new start. One that is not sound
-/// changes nothing.
-async fn reload(discovery: watch::Sender<SocketAddr>) {
+/// Bodies may fill at most one byte in this many of the memory limit.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// Reads the configuration again and applies its discovery address; all other settings need a restart. A configuration
+/// that is invalid or cannot be read changes nothing.
+async fn reload(discovery_updates: watch::Sender<SocketAddr>) {
     match Config::reload().await {
         Ok(config) => {
             logging::log(format_args!("configuration read again, discovery at {}", config.discovery));
-            discovery.send_replace(config.discovery);
+            discovery_updates.send_replace(config.discovery);
         }
         Err(error) => logging::log(format_args!("configuration kept, as the new one is not sound: {error}")),
     }
 }
 
-/// The listening socket that the platform holds for every process of this balancer.
+/// The listening socket inherited from the platform, which holds it for all processes of this balancer.
 #[allow(unsafe_code)]
-fn inherited(fd: RawFd) -> io::Result<TcpListener> {
-    // A closed or foreign descriptor must not be taken over: something of ours may get its number.
+fn inherited_listener(fd: RawFd) -> io::Result<TcpListener> {
+    // Only an open socket may be used: the number of a closed descriptor may later be given to another file of this
+    // process, and the listener would share it.
     if !std::fs::metadata(format!("/proc/self/fd/{fd}"))?.file_type().is_socket() {
         return Err(io::Error::other("not a socket"));
     }
-    // SAFETY: it is open, and the platform handed it over for this use alone; it is taken once, at the start.
+    // SAFETY: the descriptor is open, the platform passed it to this process for this use alone, and it is converted
+    // only once, at the start.
     let listener = unsafe { std::net::TcpListener::from_raw_fd(fd) };
     listener.set_nonblocking(true)?;
     retry_blocking(|| TcpListener::from_std(listener.try_clone()?))
 }
 
-/// Binds where callers connect.
-fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+/// Binds the address that clients connect to and listens on it.
+fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Opens the folder that is shared with the process before and after this one.
+/// Opens the folder that is shared with the processes that this one replaces and is replaced by.
 fn open_shared_folder(
     config: &Config,
     dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
@@ -81,62 +85,87 @@
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let name = format!("{}-{:x}", std::process::id(), config.seed);
     let report = move |event| {
-        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // the driver ends only with the program
+        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // fails only while the process ends
     };
-    SharedFolder::open(folder, &name, report).map_err(|error| format!("shared folder: {error}"))
+    SharedFolder::open(folder, &name, report)
+        .map_err(|error| format!("cannot start the thread of the shared folder: {error}"))
 }
 
-/// Serves until a signal to stop, and then until all that was taken is answered.
+/// Serves until SIGTERM or SIGINT, and then until all accepted requests have been answered. SIGHUP reloads the
+/// configuration.
 pub async fn run(config: Config) -> Result<(), String> {
-    let failed = |what: &str, error: io::Error| format!("{what}: {error}");
-    let mut term = signal(SignalKind::terminate()).map_err(|e| failed("SIGTERM", e))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| failed("SIGINT", e))?;
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| failed("SIGHUP", e))?;
+    let setup_error = |subject: &str, error: io::Error| format!("{subject}: {error}");
+    let mut sigterm = signal(SignalKind::terminate()).map_err(|error| setup_error("SIGTERM", error))?;
+    let mut sigint = signal(SignalKind::interrupt()).map_err(|error| setup_error("SIGINT", error))?;
+    let mut sighup = signal(SignalKind::hangup()).map_err(|error| setup_error("SIGHUP", error))?;
     let listener = match config.listen_fd {
-        Some(fd) => inherited(fd).map_err(|error| failed(&format!("`LB_LISTEN_FD` {fd}"), error))?,
-        None => retry_blocking(|| bind(config.listen))
-            .map_err(|error| failed(&format!("`listen` {}", config.listen), error))?,
+        Some(fd) => {
+            inherited_listener(fd).map_err(|error| setup_error(&format!("`LB_LISTEN_FD` {fd}"), error))?
+        }
+        None => retry_blocking(|| bind_listener(config.listen))
+            .map_err(|error| setup_error(&format!("`listen` {}", config.listen), error))?,
     };
-    let address = listener.local_addr().map_err(|error| failed("`listen`", error))?;
+    let address = listener.local_addr().map_err(|error| setup_error("`listen`", error))?;
     logging::log(format_args!("listening on {address}"));
 
     let config = Arc::new(config);
-    let (events, inbox) = mpsc::unbounded_channel();
+    let (dispatcher_sender, inbox) = mpsc::unbounded_channel();
     let (ready, is_ready) = watch::channel(false);
-    let (subscribe, subscribed) = mpsc::unbounded_channel();
+    let (subscription_sender, subscriptions) = mpsc::unbounded_channel();
     let (stop, stopping) = watch::channel(false);
-    let (discovery, discovery_at) = watch::channel(config.discovery);
-    let (tell, told) = watch::channel(false);
+    let (discovery_updates, discovery_address) = watch::channel(config.discovery);
+    let (discovery_attempted, is_discovery_attempted) = watch::channel(false);
 
     let counters = Arc::new(metrics::Counters::new(&config.proxy_settings.classes));
-    let shared =
-        config.uses_shared_folder().then(|| open_shared_folder(&config, events.clone())).transpose()?;
-    let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODIES);
-    let parts = (counters.clone(), body_memory.clone());
-    let dispatcher =
-        dispatcher::Dispatcher::new(config.clone(), events.clone(), subscribe, ready, parts, shared)?;
+    let shared_folder = config
+        .uses_shared_folder()
+        .then(|| open_shared_folder(&config, dispatcher_sender.clone()))
+        .transpose()?;
+    let body_memory = body::memory::BodyMemory::new(config.limits.memory / BODY_MEMORY_DIVISOR);
+    let counters_and_memory = (counters.clone(), body_memory.clone());
+    let dispatcher = dispatcher::Dispatcher::new(
+        config.clone(),
+        dispatcher_sender.clone(),
+        subscription_sender,
+        ready,
+        counters_and_memory,
+        shared_folder,
+    )?;
     if let Some(address) = config.admin {
-        let (counters, ready, dispatcher) = (counters.clone(), is_ready.clone(), events.clone());
-        admin::open(address, admin::AdminContext { counters, ready, dispatcher })?;
+        let (counters, ready, dispatcher) = (counters.clone(), is_ready.clone(), dispatcher_sender.clone());
+        admin::start(address, admin::AdminContext { counters, ready, dispatcher })?;
     }
-    let mut driving = tokio::spawn(dispatcher.run(inbox));
-    tokio::spawn(discovery::run(config.clone(), events.clone(), subscribed, discovery_at, tell));
-    let server = downstream::DownstreamServer::new(config, events, (is_ready, told), counters, body_memory);
-    let mut serving = tokio::spawn(server.run(listener, stopping));
+    let mut dispatcher_task = tokio::spawn(dispatcher.run(inbox));
+    tokio::spawn(discovery::run(
+        config.clone(),
+        dispatcher_sender.clone(),
+        subscriptions,
+        discovery_address,
+        discovery_attempted,
+    ));
+    let server = downstream::DownstreamServer::new(
+        config,
+        dispatcher_sender,
+        (is_ready, is_discovery_attempted),
+        counters,
+        body_memory,
+    );
+    let mut server_task = tokio::spawn(server.run(listener, stopping));
 
-    // Discovery may move while the last callers are served, and a second signal to stop changes nothing.
+    // While the last clients are served, discovery may still move, and another signal to stop changes nothing.
     let mut outcome = Ok(());
     loop {
         tokio::select! {
-            ended = &mut serving => return ended.map_err(|error| format!("the server stopped: {error}")).and(outcome),
-            // What is open is answered as failed, and so is what comes until the server has stopped.
-            Err(error) = &mut driving, if outcome.is_ok() => {
-                outcome = Err(format!("the driver stopped: {error}"));
+            result = &mut server_task =>
+                return result.map_err(|error| format!("the server stopped: {error}")).and(outcome),
+            // Open requests, and those received until the server has stopped, are answered as failed.
+            Err(error) = &mut dispatcher_task, if outcome.is_ok() => {
+                outcome = Err(format!("the dispatcher stopped: {error}"));
                 stop.send_replace(true);
             }
-            _ = term.recv() => { stop.send_replace(true); }
-            _ = int.recv() => { stop.send_replace(true); }
-            _ = hup.recv() => drop(tokio::spawn(reload(discovery.clone()))),
+            _ = sigterm.recv() => { stop.send_replace(true); }
+            _ = sigint.recv() => { stop.send_replace(true); }
+            _ = sighup.recv() => drop(tokio::spawn(reload(discovery_updates.clone()))),
         }
     }
 }
