--- a/src/proxy/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -1,10 +1,11 @@
-//! The endpoints that operators have taken out, in a folder that outlives the process and that two processes share
-//! while one replaces the other.
+//! The endpoints that operators have taken offline, stored in a folder that outlives the process and that two processes
+//! share while one replaces the other.
 //!
-//! `woadstall-offline.json` holds their uids. An order is carried out under a lock: it is noted as pending, the list
-//! is replaced, and the note is removed. That removal is the commit. An order that is still noted was not answered
-//! with yes, so readers leave it out: whatever fails, and wherever the process is killed, an order holds for all
-//! processes if and only if its note is gone. A process without this module reads the list alone.
+//! `woadstall-offline.json` holds the uids of these endpoints. An order is carried out under a lock: it is written to
+//! the pending file, the list is replaced, and the pending file is removed. The removal is the commit. An order that is
+//! still pending has not been confirmed to its operator, so readers undo it in the list that they read: whatever step
+//! fails, and wherever the process is killed, an order is in force for all processes if and only if it is no longer
+//! pending. A program version without this module reads the list alone.
 
 use super::durable_file::{self, FileError, FileStep, LockError};
 use super::orders::{OfflineList, Order, OrderClaim};
@@ -12,57 +13,61 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-const LIST: &str = "woadstall-offline.json";
-const PENDING: &str = "woadstall-offline.pending";
-const LOCK: &str = "woadstall-offline.lock";
-/// How long an order waits for another process's change.
-const LOCK_PATIENCE: Duration = Duration::from_millis(500);
+/// Holds the uids of the endpoints that are offline.
+const LIST_FILE: &str = "woadstall-offline.json";
+/// Holds the order that is being carried out.
+const PENDING_FILE: &str = "woadstall-offline.pending";
+/// Locked while an order is carried out.
+const LOCK_FILE: &str = "woadstall-offline.lock";
+/// How long an order waits for another process that holds the lock.
+const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a look at the shared list found.
+/// The result of reading the shared list.
 #[derive(Debug)]
-pub enum Reading {
-    /// It is as it was read last.
+pub enum ReadOutcome {
+    /// The files are as they were at the last read, or the list in force is.
     Unchanged,
-    /// It holds other endpoints than before, which are the current ones now.
+    /// The list differs from the one in force, and has replaced it.
     Changed,
-    /// Another process is just changing it; to be read again.
+    /// Another process is changing the files; they have to be read again.
     Changing,
-    /// There is no list, and what holds here goes on.
+    /// There is no list; the one in force stays.
     Absent,
-    /// It cannot be read now, and what holds here goes on; to be read again.
+    /// The files cannot be read now and have to be read again; the list in force stays.
     Unreadable(FileError),
-    /// It is no list, and what holds here goes on.
+    /// The file is not a list in JSON; the list in force stays.
     Damaged(serde_json::Error),
 }
 
-/// Why an order is not in force.
+/// Why an order was not carried out.
 #[derive(Debug, Error)]
 pub enum OrderError {
-    #[error("its operator has been told that it took too long")]
+    #[error("it took too long, and its operator has already been answered")]
     Expired,
-    #[error("the list is locked: {0}")]
+    #[error("the offline list cannot be locked: {0}")]
     Lock(#[from] LockError),
-    #[error("the list cannot be read or written: {0}")]
+    #[error("the offline list cannot be read or written: {0}")]
     File(#[from] FileError),
-    #[error("it cannot be encoded: {0}")]
+    #[error("the order or the offline list cannot be encoded: {0}")]
     Encoding(#[from] serde_json::Error),
 }
 
-/// The two files as they were read.
+/// The contents of the list file and the pending file; `None` for a file that does not exist.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Contents {
+struct FileContents {
     list: Option<Vec<u8>>,
     pending: Option<Vec<u8>>,
 }
 
-impl Contents {
+impl FileContents {
+    /// Reads both files.
     fn read(folder: &Path) -> Result<Self, FileError> {
-        let list = durable_file::read(&folder.join(LIST))?;
-        let pending = durable_file::read(&folder.join(PENDING))?;
+        let list = durable_file::read(&folder.join(LIST_FILE))?;
+        let pending = durable_file::read(&folder.join(PENDING_FILE))?;
         Ok(Self { list, pending })
     }
 
-    /// The list without the pending order; `None` if there is no list.
+    /// The list with the pending order undone; `None` if there is no list.
     fn committed(&self) -> Result<Option<OfflineList>, serde_json::Error> {
         let Some(list) = &self.list else { return Ok(None) };
         let list: OfflineList = serde_json::from_slice(list)?;
@@ -72,152 +77,162 @@
         }))
     }
 
-    /// The order that was not carried out to its end. A damaged note was never followed by a change of the list.
+    /// The order that was not committed. A damaged pending file means that the list has not been changed yet.
     fn pending_order(&self) -> Option<Order> {
         serde_json::from_slice(self.pending.as_deref()?).ok()
     }
 }
 
-/// The list of endpoints taken out, as it holds in this process and in the folder.
+/// The list of the endpoints that are offline, in this process and in the folder.
 pub struct OfflineEndpoints {
-    /// Without a folder, orders hold for this process only.
+    /// Without a folder, orders apply to this process only.
     folder: Option<PathBuf>,
+    /// The list in force in this process.
     current: OfflineList,
-    /// The files when they were read last.
-    last: Option<Contents>,
+    /// The files as they were last read.
+    last_read: Option<FileContents>,
 }
 
 impl OfflineEndpoints {
+    /// Starts with an empty list, until the first read.
     pub fn new(folder: Option<PathBuf>) -> Self {
-        Self { folder, current: OfflineList::new(), last: None }
+        Self { folder, current: OfflineList::new(), last_read: None }
     }
 
-    /// What holds in this process.
+    /// The list in force in this process.
     pub fn current(&self) -> &OfflineList {
         &self.current
     }
 
-    /// Takes over what has changed in the folder. It waits for no lock: a reading counts once a second one agrees
-    /// with it, so that a change which another process takes back is not followed.
-    pub fn read(&mut self) -> Reading {
-        let Some(folder) = self.folder.clone() else { return Reading::Unchanged };
-        let contents = match Contents::read(&folder) {
+    /// Adopts changes by other processes. Does not take the lock: the files count as read once a second read agrees with
+    /// the first, so that a change which another process undoes is not adopted.
+    pub fn read(&mut self) -> ReadOutcome {
+        let Some(folder) = self.folder.clone() else { return ReadOutcome::Unchanged };
+        let contents = match FileContents::read(&folder) {
             Ok(contents) => contents,
-            Err(error) => return Reading::Unreadable(error),
+            Err(error) => return ReadOutcome::Unreadable(error),
         };
-        if self.last.as_ref() == Some(&contents) {
-            return if contents.list.is_none() { Reading::Absent } else { Reading::Unchanged };
+        if self.last_read.as_ref() == Some(&contents) {
+            return if contents.list.is_none() { ReadOutcome::Absent } else { ReadOutcome::Unchanged };
         }
-        match Contents::read(&folder) {
-            Ok(again) if again == contents => {}
-            Ok(_) => return Reading::Changing,
-            Err(error) => return Reading::Unreadable(error),
+        match FileContents::read(&folder) {
+            Ok(second_read) if second_read == contents => {}
+            Ok(_) => return ReadOutcome::Changing,
+            Err(error) => return ReadOutcome::Unreadable(error),
         }
         let committed = contents.committed();
-        self.last = Some(contents);
+        self.last_read = Some(contents);
         match committed {
-            Ok(None) => Reading::Absent,
-            Ok(Some(list)) if list == self.current => Reading::Unchanged,
+            Ok(None) => ReadOutcome::Absent,
+            Ok(Some(list)) if list == self.current => ReadOutcome::Unchanged,
             Ok(Some(list)) => {
                 self.current = list;
-                Reading::Changed
+                ReadOutcome::Changed
             }
-            Err(error) => Reading::Damaged(error),
+            Err(error) => ReadOutcome::Damaged(error),
         }
     }
 
-    /// Carries an order out for all processes, now and later; the list that holds then. After an error nothing has
-    /// changed, for any of them.
-    pub fn change(&mut self, order: &Order, claim: &OrderClaim) -> Result<OfflineList, OrderError> {
+    /// Carries out an order for all processes, current and later ones, and returns the new list. After an error, nothing
+    /// has changed for any of them.
+    pub fn apply_order(&mut self, order: &Order, claim: &OrderClaim) -> Result<OfflineList, OrderError> {
         let Some(folder) = self.folder.clone() else {
-            commit(claim)?;
+            claim_order(claim)?;
             self.current = order.applied_to(&self.current);
             return Ok(self.current.clone());
         };
-        let _locked = durable_file::lock(&folder.join(LOCK), Instant::now() + LOCK_PATIENCE)?;
-        let before = self.committed(&folder)?;
-        if order.holds_in(&before) {
-            commit(claim)?;
-            self.current = before;
+        let _lock = durable_file::lock(&folder.join(LOCK_FILE), Instant::now() + LOCK_TIMEOUT)?;
+        let committed = self.committed(&folder)?;
+        if order.holds_in(&committed) {
+            claim_order(claim)?;
+            self.current = committed;
             return Ok(self.current.clone());
         }
-        self.settle(&folder, &before)?;
-        let list = order.applied_to(&before);
-        if let Err(error) = carry_out(&folder, order, &list, claim) {
-            // If this fails as well, the order stays noted as pending, and is cleared away later.
-            self.settle(&folder, &before).ok();
+        self.restore(&folder, &committed)?;
+        let list = order.applied_to(&committed);
+        if let Err(error) = write_order(&folder, order, &list, claim) {
+            // If this fails as well, the order stays pending, and a later repair or order removes it.
+            self.restore(&folder, &committed).ok();
             return Err(error);
         }
         self.current = list;
-        self.last = Contents::read(&folder).ok();
+        self.last_read = FileContents::read(&folder).ok();
         Ok(self.current.clone())
     }
 
-    /// Clears away an order that was not carried out to its end, and writes a list anew that was lost or damaged.
+    /// Removes an order that was not committed, and rewrites a list that is missing or damaged.
     pub fn repair(&mut self) -> Result<(), OrderError> {
         let Some(folder) = self.folder.clone() else { return Ok(()) };
         if !self.needs_repair() {
             return Ok(());
         }
-        let _locked = match durable_file::lock(&folder.join(LOCK), Instant::now()) {
-            Err(LockError::Held) => return Ok(()), // it is being changed
-            locked => locked?,
+        let _lock = match durable_file::lock(&folder.join(LOCK_FILE), Instant::now()) {
+            Err(LockError::Held) => return Ok(()), // another process is changing the list
+            lock => lock?,
         };
-        let before = self.committed(&folder)?;
-        self.settle(&folder, &before)
+        let committed = self.committed(&folder)?;
+        self.restore(&folder, &committed)
     }
 
+    /// Whether the last read found a pending order, or no valid list where one should be.
     fn needs_repair(&self) -> bool {
-        let Some(last) = &self.last else { return false };
-        let is_lost = || !matches!(last.committed(), Ok(Some(_))) && !self.current.is_empty();
-        last.pending.is_some() || is_lost()
+        let Some(last_read) = &self.last_read else { return false };
+        let is_missing = || !matches!(last_read.committed(), Ok(Some(_))) && !self.current.is_empty();
+        last_read.pending.is_some() || is_missing()
     }
 
-    /// What holds for all processes, under the lock. A list that is absent or damaged is the one that holds here.
+    /// The list in force for all processes; requires the lock. If the file is missing or damaged, it is the list in force
+    /// in this process.
     fn committed(&self, folder: &Path) -> Result<OfflineList, FileError> {
-        let committed = Contents::read(folder)?.committed();
+        let committed = FileContents::read(folder)?.committed();
         Ok(committed.ok().flatten().unwrap_or_else(|| self.current.clone()))
     }
 
-    /// Makes the list in the folder this one, with no order pending; under the lock.
-    fn settle(&self, folder: &Path, list: &OfflineList) -> Result<(), OrderError> {
-        let contents = Contents::read(folder)?;
-        let written: Option<OfflineList> =
+    /// Stores this list in the folder, with no order pending; requires the lock.
+    fn restore(&self, folder: &Path, list: &OfflineList) -> Result<(), OrderError> {
+        let contents = FileContents::read(folder)?;
+        let stored: Option<OfflineList> =
             contents.list.as_deref().and_then(|text| serde_json::from_slice(text).ok());
-        if written.unwrap_or_default() != *list {
-            durable_file::replace(&folder.join(LIST), &serde_json::to_vec(list)?)?;
+        if stored.unwrap_or_default() != *list {
+            durable_file::replace(&folder.join(LIST_FILE), &serde_json::to_vec(list)?)?;
         }
         if contents.pending.is_some() {
-            durable_file::remove(&folder.join(PENDING))?;
-            durable_file::sync_folder_of(&folder.join(PENDING))?;
+            durable_file::remove(&folder.join(PENDING_FILE))?;
+            durable_file::sync_folder_of(&folder.join(PENDING_FILE))?;
         }
         Ok(())
     }
 }
 
-/// Replaces the list, and commits that unless whoever waits for it has given up; under the lock.
-fn carry_out(folder: &Path, order: &Order, list: &OfflineList, claim: &OrderClaim) -> Result<(), OrderError> {
-    let (note, pending) = (serde_json::to_vec(order)?, folder.join(PENDING));
-    durable_file::replace(&pending, &note)?;
-    durable_file::replace(&folder.join(LIST), &serde_json::to_vec(list)?)?;
-    commit(claim)?;
-    durable_file::remove(&pending)?;
-    let Err(unsynced) = durable_file::sync_folder_of(&pending) else { return Ok(()) };
-    // The commit might not survive, so it is taken back by noting the order anew.
-    match durable_file::replace(&pending, &note) {
-        Ok(()) => Err(unsynced.into()),
-        Err(error) if error.step == FileStep::SyncFolder => Err(unsynced.into()),
+/// Replaces the list, and commits the order unless it has timed out; requires the lock.
+fn write_order(
+    folder: &Path,
+    order: &Order,
+    list: &OfflineList,
+    claim: &OrderClaim,
+) -> Result<(), OrderError> {
+    let (encoded_order, pending_path) = (serde_json::to_vec(order)?, folder.join(PENDING_FILE));
+    durable_file::replace(&pending_path, &encoded_order)?;
+    durable_file::replace(&folder.join(LIST_FILE), &serde_json::to_vec(list)?)?;
+    claim_order(claim)?;
+    durable_file::remove(&pending_path)?;
+    let Err(sync_error) = durable_file::sync_folder_of(&pending_path) else { return Ok(()) };
+    // The commit might not survive a crash of the machine, so it is undone by making the order pending again.
+    match durable_file::replace(&pending_path, &encoded_order) {
+        Ok(()) => Err(sync_error.into()),
+        Err(error) if error.step == FileStep::SyncFolder => Err(sync_error.into()),
         Err(error) => {
-            // Neither can be made to survive a failure of the machine; all processes see the order as carried out.
+            // Neither the commit nor its undoing can be made durable; all processes see the order as committed.
             crate::proxy::logging::log(format_args!(
-                "an order holds, but its folder cannot be synced: {unsynced}, {error}"
+                "an order is in force, but its folder cannot be synced: {sync_error}, {error}"
             ));
             Ok(())
         }
     }
 }
 
-fn commit(claim: &OrderClaim) -> Result<(), OrderError> {
+/// Claims the order, so that it can no longer time out.
+fn claim_order(claim: &OrderClaim) -> Result<(), OrderError> {
     if claim.claim() { Ok(()) } else { Err(OrderError::Expired) }
 }
 
--- a/src/proxy/process_handover.rs
+++ b/src/proxy/process_handover.rs
@@ -1,4 +1,4 @@
-//! Announces this process to the one that it replaces or that replaces it, so that both know of the overlap.
+//! Announces this process to the one that it replaces or that replaces it, so that each knows of the other while both run.
 
 use super::durable_file::{FileError, FileStep, retry_interrupted, try_lock};
 use std::ffi::OsString;
@@ -6,35 +6,36 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// One for each process, locked as long as that lives.
-const PRESENT: &str = "woadstall-process-";
-/// The extension of a file that is not locked yet.
-const STARTING: &str = "starting";
+/// Start of the names of the announcement files: one for each process, which keeps it locked as long as it runs.
+const ANNOUNCEMENT_PREFIX: &str = "woadstall-process-";
+/// Extension of an announcement file that is not locked yet.
+const UNLOCKED_EXTENSION: &str = "starting";
 
 /// The processes of this balancer that share a folder.
 pub struct ProcessHandover {
     folder: PathBuf,
-    own: OsString,
-    /// Locked as long as this process lives; `None` if it could not be announced yet.
-    announced: Option<File>,
-    /// A failure to announce has been logged.
-    failing: bool,
+    /// Name of this process's announcement file.
+    own_name: OsString,
+    /// This process's announcement file, locked as long as the process runs; `None` if it could not be made yet.
+    announcement: Option<File>,
+    /// Whether the last attempt to announce failed, which is logged once.
+    announce_failed: bool,
 }
 
 impl ProcessHandover {
     /// Announces this process under a name that no other one has.
     pub fn new(folder: PathBuf, name: &str) -> Self {
-        let own = OsString::from(format!("{PRESENT}{name}"));
-        let mut handover = Self { folder, own, announced: None, failing: false };
+        let own_name = OsString::from(format!("{ANNOUNCEMENT_PREFIX}{name}"));
+        let mut handover = Self { folder, own_name, announcement: None, announce_failed: false };
         handover.announce();
         handover
     }
 
-    /// Whether another process of this balancer may live. As long as this process could not be announced, or the
-    /// others cannot be looked for, it counts as overlapping. What a dead process left is cleared away.
+    /// Whether another process of this balancer may be running. Also true as long as this process could not be
+    /// announced or the folder cannot be listed. Announcements of processes that have died are removed.
     pub fn overlaps(&mut self) -> bool {
-        let mut others = false;
-        let mut own_found = false;
+        let mut others_run = false;
+        let mut is_own_found = false;
         let Ok(entries) = retry_interrupted(|| fs::read_dir(&self.folder)) else {
             self.announce();
             return true;
@@ -42,34 +43,34 @@
         for entry in entries {
             let Ok(entry) = entry else { return true };
             let name = entry.file_name();
-            if name == self.own {
-                own_found = true;
+            if name == self.own_name {
+                is_own_found = true;
             } else if is_announcement(&name) {
-                others |= may_live(&entry.path());
+                others_run |= may_run(&entry.path());
             }
         }
-        if !own_found {
-            self.announced = None;
+        if !is_own_found {
+            self.announcement = None;
         }
         self.announce();
-        others || self.announced.is_none()
+        others_run || self.announcement.is_none()
     }
 
-    /// Announces this process, unless that holds already.
+    /// Announces this process, unless it is announced already.
     fn announce(&mut self) {
-        if self.announced.is_some() {
+        if self.announcement.is_some() {
             return;
         }
-        match announce(&self.folder.join(&self.own)) {
+        match create_announcement(&self.folder.join(&self.own_name)) {
             Ok(file) => {
-                self.announced = Some(file);
-                self.failing = false;
+                self.announcement = Some(file);
+                self.announce_failed = false;
             }
-            Err(error) if !self.failing => {
+            Err(error) if !self.announce_failed => {
                 crate::proxy::logging::log(format_args!(
-                    "this process cannot be announced, and is tried again: {error}"
+                    "this process cannot be announced, will be retried: {error}"
                 ));
-                self.failing = true;
+                self.announce_failed = true;
             }
             Err(_) => {}
         }
@@ -78,33 +79,38 @@
 
 impl Drop for ProcessHandover {
     fn drop(&mut self) {
-        fs::remove_file(self.folder.join(&self.own)).ok();
+        fs::remove_file(self.folder.join(&self.own_name)).ok();
     }
 }
 
+/// Whether a file name is that of a locked announcement.
 fn is_announcement(name: &OsString) -> bool {
-    name.as_encoded_bytes().starts_with(PRESENT.as_bytes()) && Path::new(name).extension().is_none()
+    name.as_encoded_bytes().starts_with(ANNOUNCEMENT_PREFIX.as_bytes())
+        && Path::new(name).extension().is_none()
 }
 
-/// Locks a file before it gets its name: another process clears away what it finds unlocked.
-fn announce(path: &Path) -> Result<File, FileError> {
-    let unnamed = path.with_extension(STARTING);
-    let announced = announce_through(&unnamed, path);
-    announced.inspect_err(|_| {
-        fs::remove_file(&unnamed).ok();
+/// Creates an announcement, locked before it gets its final name, as other processes remove unlocked announcements.
+fn create_announcement(path: &Path) -> Result<File, FileError> {
+    let temporary = path.with_extension(UNLOCKED_EXTENSION);
+    let result = create_locked(&temporary, path);
+    result.inspect_err(|_| {
+        fs::remove_file(&temporary).ok();
     })
 }
 
-fn announce_through(unnamed: &Path, path: &Path) -> Result<File, FileError> {
-    let failed = |step, source| FileError { step, path: path.to_owned(), source };
-    let file = retry_interrupted(|| File::create(unnamed)).map_err(|error| failed(FileStep::Open, error))?;
-    try_lock(&file).map_err(|error| failed(FileStep::Lock, io::Error::from(error)))?;
-    retry_interrupted(|| fs::rename(unnamed, path)).map_err(|error| failed(FileStep::Rename, error))?;
+/// Creates and locks a file under a temporary name, and renames it.
+fn create_locked(temporary: &Path, path: &Path) -> Result<File, FileError> {
+    let file_error = |step, source| FileError { step, path: path.to_owned(), source };
+    let file =
+        retry_interrupted(|| File::create(temporary)).map_err(|error| file_error(FileStep::Open, error))?;
+    try_lock(&file).map_err(|error| file_error(FileStep::Lock, io::Error::from(error)))?;
+    retry_interrupted(|| fs::rename(temporary, path)).map_err(|error| file_error(FileStep::Rename, error))?;
     Ok(file)
 }
 
-/// Whether the process that announced itself by this file lives, or cannot be told to be dead.
-fn may_live(path: &Path) -> bool {
+/// Whether the process of this announcement is running. Also true if that cannot be determined. Removes the
+/// announcement of a process that has died.
+fn may_run(path: &Path) -> bool {
     let file = match retry_interrupted(|| File::open(path)) {
         Ok(file) => file,
         Err(error) => return error.kind() != ErrorKind::NotFound,
--- a/src/proxy/process_handover/tests.rs
+++ b/src/proxy/process_handover/tests.rs
@@ -6,46 +6,48 @@
     folder
 }
 
-/// Guards the limits that two processes share, and a process against one that died without a word.
+/// Guards the limits that two processes share: a process that has died without removing its announcement must not count
+/// as running.
 #[test]
 fn a_process_counts_while_it_holds_its_lock() {
     let folder = folder("present");
     let mut handover = ProcessHandover::new(folder.clone(), "own");
-    assert!(!handover.overlaps(), "nobody but itself");
-    let other = folder.join(format!("{PRESENT}other"));
-    let held = announce(&other).unwrap();
+    assert!(!handover.overlaps(), "no other process is announced");
+    let other = folder.join(format!("{ANNOUNCEMENT_PREFIX}other"));
+    let lock = create_announcement(&other).unwrap();
     assert!(handover.overlaps());
-    drop(held);
+    drop(lock);
     assert!(!handover.overlaps());
-    assert!(!other.exists(), "what the dead one left is cleared away");
+    assert!(!other.exists(), "the announcement of the dead process is removed");
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards the limits that two processes share where the folder fails at the start: the other process cannot know.
+/// Guards the limits that two processes share: a process that cannot announce itself at the start is invisible to the
+/// other one, and must assume that there is one.
 #[test]
 fn a_process_that_is_not_announced_overlaps_until_it_is() {
     let folder = folder("unannounced");
     fs::remove_dir(&folder).unwrap();
     let mut handover = ProcessHandover::new(folder.clone(), "own");
-    assert!(handover.overlaps(), "no folder");
+    assert!(handover.overlaps(), "there is no folder to announce the process in");
     fs::create_dir(&folder).unwrap();
-    let in_the_way = folder.join(format!("{PRESENT}own"));
-    fs::create_dir(&in_the_way).unwrap();
-    assert!(handover.overlaps(), "its name is taken");
-    assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "no attempt leaves a file behind");
-    fs::remove_dir(&in_the_way).unwrap();
+    let obstacle = folder.join(format!("{ANNOUNCEMENT_PREFIX}own"));
+    fs::create_dir(&obstacle).unwrap();
+    assert!(handover.overlaps(), "a folder stands where the announcement would be");
+    assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "a failed attempt leaves no file behind");
+    fs::remove_dir(&obstacle).unwrap();
     assert!(!handover.overlaps());
-    assert!(ProcessHandover::new(folder.clone(), "other").overlaps(), "it is announced");
+    assert!(ProcessHandover::new(folder.clone(), "other").overlaps(), "the first process is announced");
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards an announcement against whoever clears the folder.
+/// Guards the announcement of a process against removal from the folder by someone else.
 #[test]
 fn an_announcement_that_is_removed_is_made_again() {
     let folder = folder("removed");
     let mut handover = ProcessHandover::new(folder.clone(), "own");
-    fs::remove_file(folder.join(format!("{PRESENT}own"))).unwrap();
+    fs::remove_file(folder.join(format!("{ANNOUNCEMENT_PREFIX}own"))).unwrap();
     assert!(!handover.overlaps());
-    assert!(ProcessHandover::new(folder.clone(), "other").overlaps(), "it is announced");
+    assert!(ProcessHandover::new(folder.clone(), "other").overlaps(), "the first process is announced");
     fs::remove_dir_all(folder).unwrap();
 }
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -1,8 +1,8 @@
-//! What two processes share while one replaces the other, on a thread of its own: a disk that is slow, or hangs in a
-//! sync, must not hold up requests. One thread also carries orders out one after the other; tasks on the runtime's
-//! blocking pool would need a lock for that, and would pile up behind a disk that hangs.
+//! The folder that two processes share while one replaces the other, accessed by a thread of its own: a disk that is
+//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other; tasks
+//! on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
 
-use super::offline_endpoints::{OfflineEndpoints, Reading};
+use super::offline_endpoints::{OfflineEndpoints, ReadOutcome};
 use super::orders::{OfflineList, OrderRequest};
 use super::process_handover::ProcessHandover;
 use std::io;
@@ -10,49 +10,49 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long a start waits for a list that cannot be read. Without it, what the process before was told to leave
-/// alone would be used.
-const READ_PATIENCE: Duration = Duration::from_secs(3);
-/// Time between two tries to read the list at a start.
-const READ_RETRY: Duration = Duration::from_millis(20);
+/// How long a start waits for an offline list that cannot be read. Without the list, endpoints that operators have
+/// taken offline would get requests.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause between two attempts to read the list at the start.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the thread is to do.
+/// A job for the thread.
 enum Job {
-    /// Look for changes that other processes made.
+    /// Look for changes by other processes.
     Check,
-    /// Carry an order out.
+    /// Carry out an order.
     PersistOrder(OrderRequest),
 }
 
-/// What the thread reports.
+/// The result of a job.
 pub enum FolderEvent {
-    /// A check ended.
+    /// A check has finished.
     CheckFinished(FolderState),
-    /// An order is kept for the processes after this one; the list that holds now.
+    /// An order has been stored for later processes too; with the list that is now in force.
     OrderPersisted(OrderRequest, OfflineList),
-    /// An order could not be kept, and is not in force.
+    /// An order could not be stored, and is not in force.
     OrderNotPersisted(OrderRequest),
 }
 
-/// What is shared, as it was seen last.
+/// The state of the shared folder when it was last checked.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FolderState {
-    /// The endpoints that operators have taken out.
+    /// The endpoints that operators have taken offline.
     pub offline: OfflineList,
-    /// Another process of this balancer may serve beside this one.
+    /// Whether another process of this balancer may be serving beside this one.
     pub overlapping: bool,
 }
 
-/// The shared folder, as its user sees it.
+/// The handle of the shared folder, which sends jobs to its thread.
 pub struct SharedFolder {
     jobs: Sender<Job>,
-    /// A check is under way; a slow one delays the next.
+    /// Whether a check is running, in which case no other is started.
     checking: bool,
 }
 
 impl SharedFolder {
-    /// Opens the folder, under a name that no other process has, and looks at it once. Without a folder, orders hold
-    /// for this process only.
+    /// Announces the process in the folder, under a name that no other process has, checks the folder once, and starts
+    /// the thread. Without a folder, orders apply to this process only.
     pub fn open(
         folder: Option<PathBuf>,
         name: &str,
@@ -60,7 +60,7 @@
     ) -> io::Result<(Self, FolderState)> {
         let handover = folder.clone().map(|folder| ProcessHandover::new(folder, name));
         let endpoints = OfflineEndpoints::new(folder);
-        let mut worker = Worker { endpoints, handover, reading_fails: false, repair_fails: false };
+        let mut worker = Worker { endpoints, handover, read_failed: false, repair_failed: false };
         worker.read_at_start();
         let state = worker.check();
         let (jobs, inbox) = channel();
@@ -68,35 +68,37 @@
         Ok((Self { jobs, checking: false }, state))
     }
 
-    /// Looks for changes that other processes made, unless that goes on already.
+    /// Starts a check for changes by other processes, unless one is running.
     pub fn check(&mut self) {
         if !std::mem::replace(&mut self.checking, true) {
-            self.jobs.send(Job::Check).ok(); // the thread ends only with this sender
+            self.jobs.send(Job::Check).ok(); // the thread runs as long as this sender exists
         }
     }
 
-    /// The report of a check has come.
+    /// Notes that the result of a check was received.
     pub fn finish_check(&mut self) {
         self.checking = false;
     }
 
-    /// Carries an order out.
+    /// Carries out an order.
     pub fn persist_order(&self, request: OrderRequest) {
         self.jobs.send(Job::PersistOrder(request)).ok();
     }
 }
 
-/// The thread's part.
+/// The state of the thread.
 struct Worker {
     endpoints: OfflineEndpoints,
+    /// `None` without a folder.
     handover: Option<ProcessHandover>,
-    /// The list cannot be read, and that has been logged.
-    reading_fails: bool,
-    /// A repair has failed, and that has been logged.
-    repair_fails: bool,
+    /// Whether the last read failed, which is logged once.
+    read_failed: bool,
+    /// Whether the last repair failed, which is logged once.
+    repair_failed: bool,
 }
 
 impl Worker {
+    /// Carries out jobs until the handle is dropped.
     fn run(mut self, inbox: &Receiver<Job>, report: impl Fn(FolderEvent)) {
         for job in inbox {
             report(match job {
@@ -106,14 +108,15 @@
         }
     }
 
-    /// Reads the list before anything is sent, and tries again for a while if it cannot be read.
+    /// Reads the list before any request is sent, and retries for a limited time while it cannot be read.
     fn read_at_start(&mut self) {
-        let deadline = Instant::now() + READ_PATIENCE;
+        let deadline = Instant::now() + READ_TIMEOUT;
         while self.read_list() == ReadState::Retry && Instant::now() < deadline {
-            std::thread::sleep(READ_RETRY);
+            std::thread::sleep(READ_RETRY_INTERVAL);
         }
     }
 
+    /// Reads the offline list, repairs it if needed, and looks for other processes.
     fn check(&mut self) -> FolderState {
         self.read_list();
         self.repair();
@@ -121,50 +124,53 @@
         FolderState { offline: self.endpoints.current().clone(), overlapping }
     }
 
+    /// Reads the offline list and logs failures.
     fn read_list(&mut self) -> ReadState {
-        let reading = self.endpoints.read();
-        match &reading {
-            Reading::Unreadable(error) if !self.reading_fails => {
+        let outcome = self.endpoints.read();
+        match &outcome {
+            ReadOutcome::Unreadable(error) if !self.read_failed => {
                 crate::proxy::logging::log(format_args!(
                     "the list of upstreams taken out cannot be read now: {error}"
                 ));
             }
-            Reading::Damaged(error) => crate::proxy::logging::log(format_args!(
-                "the list of upstreams taken out is damaged, and not followed: {error}"
+            ReadOutcome::Damaged(error) => crate::proxy::logging::log(format_args!(
+                "the list of upstreams taken out is damaged, and ignored: {error}"
             )),
             _ => {}
         }
-        self.reading_fails = matches!(reading, Reading::Unreadable(_));
-        match reading {
-            Reading::Unreadable(_) | Reading::Changing => ReadState::Retry,
-            Reading::Unchanged | Reading::Changed | Reading::Absent | Reading::Damaged(_) => {
-                ReadState::Settled
+        self.read_failed = matches!(outcome, ReadOutcome::Unreadable(_));
+        match outcome {
+            ReadOutcome::Unreadable(_) | ReadOutcome::Changing => ReadState::Retry,
+            ReadOutcome::Unchanged | ReadOutcome::Changed | ReadOutcome::Absent | ReadOutcome::Damaged(_) => {
+                ReadState::Final
             }
         }
     }
 
+    /// Repairs the offline list if needed.
     fn repair(&mut self) {
-        let repaired = self.endpoints.repair();
-        if let Err(error) = &repaired
-            && !self.repair_fails
+        let result = self.endpoints.repair();
+        if let Err(error) = &result
+            && !self.repair_failed
         {
             crate::proxy::logging::log(format_args!(
                 "the list of upstreams taken out cannot be written now: {error}"
             ));
         }
-        self.repair_fails = repaired.is_err();
+        self.repair_failed = result.is_err();
     }
 
+    /// Carries out an order, unless its operator has already been answered.
     fn persist_order(&mut self, request: OrderRequest) -> FolderEvent {
         if request.claim.is_claimed() {
-            return FolderEvent::OrderNotPersisted(request); // given up while it waited for its turn
+            return FolderEvent::OrderNotPersisted(request); // timed out while it waited for earlier jobs
         }
-        match self.endpoints.change(&request.order, &request.claim) {
+        match self.endpoints.apply_order(&request.order, &request.claim) {
             Ok(list) => FolderEvent::OrderPersisted(request, list),
             Err(error) => {
                 let uid = &request.order.uid;
                 crate::proxy::logging::log(format_args!(
-                    "an order about upstream {uid} cannot be kept: {error}"
+                    "an order about upstream {uid} cannot be carried out: {error}"
                 ));
                 FolderEvent::OrderNotPersisted(request)
             }
@@ -172,9 +178,11 @@
     }
 }
 
-/// Whether a list was read.
+/// Whether the list has to be read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
-    Settled,
+    /// The list is up to date, or cannot be made so by another read.
+    Final,
+    /// The list could not be read, or was being changed.
     Retry,
 }
