--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// The settings that the proxy uses and the decision module does not: names that the decision module refers to by
-/// position, and the timeout of connecting.
+/// position, and the connect timeout.
 #[derive(Debug)]
 pub struct ProxySettings {
     pub classes: Vec<String>,
--- a/src/proxy/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -94,7 +94,7 @@
 }
 
 impl OfflineEndpoints {
-    /// Starts with an empty list, until the first read.
+    /// Creates an empty list, to be filled by the first read.
     pub fn new(folder: Option<PathBuf>) -> Self {
         Self { folder, current: OfflineList::new(), last_read: None }
     }
@@ -104,8 +104,8 @@
         &self.current
     }
 
-    /// Adopts changes by other processes. Does not take the lock: the files count as read once a second read agrees with
-    /// the first, so that a change which another process undoes is not adopted.
+    /// Adopts changes by other processes. Does not take the lock: the files count as read once a second read agrees
+    /// with the first, so that a change which another process undoes is not adopted.
     pub fn read(&mut self) -> ReadOutcome {
         let Some(folder) = self.folder.clone() else { return ReadOutcome::Unchanged };
         let contents = match FileContents::read(&folder) {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Carries out an order for all processes, current and later ones, and returns the new list. After an error, nothing
-    /// has changed for any of them.
+    /// Carries out an order for all processes, current and later ones, and returns the new list. After an error,
+    /// nothing has changed for any of them.
     pub fn apply_order(&mut self, order: &Order, claim: &OrderClaim) -> Result<OfflineList, OrderError> {
         let Some(folder) = self.folder.clone() else {
             claim_order(claim)?;
@@ -181,8 +181,8 @@
         last_read.pending.is_some() || is_missing()
     }
 
-    /// The list in force for all processes; requires the lock. If the file is missing or damaged, it is the list in force
-    /// in this process.
+    /// The list in force for all processes; requires the lock. If the file is missing or damaged, it is the list in
+    /// force in this process.
     fn committed(&self, folder: &Path) -> Result<OfflineList, FileError> {
         let committed = FileContents::read(folder)?.committed();
         Ok(committed.ok().flatten().unwrap_or_else(|| self.current.clone()))
--- a/src/proxy/offline_endpoints/tests.rs
+++ b/src/proxy/offline_endpoints/tests.rs
@@ -113,7 +113,7 @@
     let folder = folder("unreadable");
     let (mut old, mut new) = (open(&folder), open(&folder));
     apply_order(&mut old, "s-1", true).unwrap();
-    let moved_list = folder.join("moved_list");
+    let moved_list = folder.join("moved-list");
     fs::rename(folder.join(LIST_FILE), &moved_list).unwrap();
     fs::create_dir(folder.join(LIST_FILE)).unwrap();
     assert!(matches!(new.read(), ReadOutcome::Unreadable(_)));
--- a/src/proxy/process_handover.rs
+++ b/src/proxy/process_handover.rs
@@ -1,4 +1,5 @@
-//! Announces this process to the one that it replaces or that replaces it, so that each knows of the other while both run.
+//! Announces this process to the one that it replaces or that replaces it, so that each knows of the other while both
+//! run.
 
 use super::durable_file::{FileError, FileStep, retry_interrupted, try_lock};
 use std::ffi::OsString;
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -1,6 +1,6 @@
 //! The folder that two processes share while one replaces the other, accessed by a thread of its own: a disk that is
-//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other; tasks
-//! on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
+//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other;
+//! tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
 
 use super::offline_endpoints::{OfflineEndpoints, ReadOutcome};
 use super::orders::{OfflineList, OrderRequest};
