--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -133,7 +133,7 @@
         ExchangeContext {
             connection_source,
             address,
-            connect_timeout: self.config.names.connect_timeout,
+            connect_timeout: self.config.proxy_settings.connect_timeout,
             until,
             deadline: None,
             local_failure: Arc::default(),
@@ -245,7 +245,7 @@
     /// The load report in a response's head, if it has a valid one.
     pub(super) fn response_load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
         let report = response.headers().get("x-load-report")?;
-        parse_load_report(report.as_bytes(), &self.config.names.report_fields)
+        parse_load_report(report.as_bytes(), &self.config.proxy_settings.report_fields)
     }
 }
 
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -40,9 +40,9 @@
         if let Some(connection) = result.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
             self.idle_pool.put(endpoint, connection);
         }
-        let load = result
-            .response
-            .and_then(|response| parse_load_report(response.body(), &self.config.names.report_fields));
+        let load = result.response.and_then(|response| {
+            parse_load_report(response.body(), &self.config.proxy_settings.report_fields)
+        });
         self.handle_event(Event::LoadQueryEnded(endpoint, result.outcome, load));
     }
 }
