--- a/src/proxy/minimum_rate.rs
+++ b/src/proxy/minimum_rate.rs
@@ -7,7 +7,7 @@
 
 /// Lowest rate, in bytes a second, of an answer that goes on once its request's time is over. The slowest peers that are
 /// named make 64 kB a second; a sixty-fourth of that leaves room for pauses, and a byte now and then stays far below it.
-const LOWEST_RATE: u64 = 1000;
+const MIN_RATE: u64 = 1000;
 /// The first window, from the end of the request's time on. With the recheck and a hold-up of the process for 0.1 s it
 /// ends within the half second in which a final answer is owed.
 const FIRST_WINDOW: Duration = Duration::from_millis(350);
@@ -15,7 +15,7 @@
 const LATER_WINDOW: Duration = Duration::from_secs(2);
 /// Wait before an answer is found too slow. A process that was held up finds the end of the window before the bytes
 /// that have come meanwhile.
-const RECHECK_AFTER: Duration = Duration::from_millis(20);
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 /// An answer, or a request that is passed on, is given up when nothing of it has come for so long, whatever time is left.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
@@ -59,10 +59,10 @@
             }
             ready!(self.timer.as_mut().poll(cx));
             match &mut self.window {
-                Some(window) if due < idle_end => match window.verdict() {
-                    Verdict::TooSlow => return Poll::Ready(()),
-                    Verdict::Recheck => window.extend(since, RECHECK_AFTER),
-                    Verdict::GoesOn => *window = Window::new(Instant::now(), LATER_WINDOW),
+                Some(window) if due < idle_end => match window.evaluate() {
+                    WindowResult::TooSlow => return Poll::Ready(()),
+                    WindowResult::Recheck => window.extend(since, RECHECK_DELAY),
+                    WindowResult::FastEnough => *window = Window::new(Instant::now(), LATER_WINDOW),
                 },
                 _ => return Poll::Ready(()),
             }
@@ -71,8 +71,8 @@
 }
 
 /// What has become of an answer at the end of a window.
-enum Verdict {
-    GoesOn,
+enum WindowResult {
+    FastEnough,
     Recheck,
     TooSlow,
 }
@@ -91,7 +91,7 @@
 
 impl Window {
     fn new(start: Instant, length: Duration) -> Self {
-        let required = LOWEST_RATE * length.as_millis() as u64 / 1000;
+        let required = MIN_RATE * length.as_millis() as u64 / 1000;
         Self { start, length, required, received: 0, waited: Duration::ZERO, rechecked: false }
     }
 
@@ -100,20 +100,20 @@
         waiting_since.max(self.start) + self.length.saturating_sub(self.waited)
     }
 
-    fn verdict(&self) -> Verdict {
+    fn evaluate(&self) -> WindowResult {
         if self.received >= self.required {
-            Verdict::GoesOn
+            WindowResult::FastEnough
         } else if self.rechecked {
-            Verdict::TooSlow
+            WindowResult::TooSlow
         } else {
-            Verdict::Recheck
+            WindowResult::Recheck
         }
     }
 
     /// Lets it end so much later than now.
-    fn extend(&mut self, waiting_since: Instant, by: Duration) {
+    fn extend(&mut self, waiting_since: Instant, delay: Duration) {
         self.rechecked = true;
-        self.length = self.waited + waiting_since.max(self.start).elapsed() + by;
+        self.length = self.waited + waiting_since.max(self.start).elapsed() + delay;
     }
 }
 
--- a/src/proxy/minimum_rate/tests.rs
+++ b/src/proxy/minimum_rate/tests.rs
@@ -11,7 +11,7 @@
 async fn time_in_which_nothing_is_asked_for_does_not_count() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     for _ in 0..3 {
-        sleep(FIRST_WINDOW + RECHECK_AFTER).await;
+        sleep(FIRST_WINDOW + RECHECK_DELAY).await;
         assert!(!is_too_slow(&mut rate).await, "the wait has just begun");
         rate.received(1);
     }
@@ -22,7 +22,7 @@
 async fn a_window_that_ends_while_the_process_is_held_up_is_looked_at_again() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     assert!(!is_too_slow(&mut rate).await);
-    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_AFTER); // no await: the runtime hears of nothing
+    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // no await: the runtime hears of nothing
     tokio::task::yield_now().await;
     assert!(!is_too_slow(&mut rate).await, "the bytes may be there");
     rate.received(1000);
@@ -33,9 +33,9 @@
 #[tokio::test]
 async fn an_answer_that_stops_is_too_slow_soon_after_its_time() {
     let time_left = Duration::from_millis(100);
-    let begun = Instant::now();
-    let mut rate = MinimumRate::new(Some(begun + time_left));
+    let started = Instant::now();
+    let mut rate = MinimumRate::new(Some(started + time_left));
     rate.received(100_000); // before the time is over
     poll_fn(|cx| rate.poll_too_slow(cx)).await;
-    assert!(begun.elapsed() >= time_left + FIRST_WINDOW + RECHECK_AFTER);
+    assert!(started.elapsed() >= time_left + FIRST_WINDOW + RECHECK_DELAY);
 }
