--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -5,8 +5,8 @@
 use crate::proxy::downstream::client_task::ClientTask;
 use crate::proxy::downstream::connection::SingleRequestStream;
 use crate::proxy::downstream::request_framing::IdleState;
-use crate::proxy::downstream::timing::{LOOK_EVERY, NEWLY, PATIENCE};
-use crate::proxy::downstream::{DownstreamServer, LASTING_SHORTAGE};
+use crate::proxy::downstream::timing::{NEW_CONNECTION_GRACE, REQUEST_READ_TIMEOUT, TIMEOUT_CHECK_INTERVAL};
+use crate::proxy::downstream::{DownstreamServer, PERSISTENT_SHORTAGE_FAILURES};
 use crate::proxy::messages::DispatcherMessage;
 use crate::proxy::sync::lock;
 use crate::transient_errors::{Backoff, is_shortage};
@@ -17,44 +17,49 @@
 use tokio::time::{Instant, sleep};
 
 /// Part of the room that connections without a call may fill, as one over this.
-pub const UNCALLED: usize = 2;
+pub const UNSERVED_SHARE_DIVISOR: usize = 2;
 
 /// Connections that could not be taken, in a row.
 #[derive(Default)]
-pub struct Failing {
+pub struct AcceptFailures {
     pub failures: u32,
     pub backoff: Backoff,
 }
 
 impl DownstreamServer {
     /// Cuts off the callers that take too long over a request. Guards the places of the others.
-    pub async fn cut_overdue(self: Arc<Self>) {
+    pub async fn run_timeout_checks(self: Arc<Self>) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(TIMEOUT_CHECK_INTERVAL).await;
             let clients = lock(&self.clients);
-            let overdue =
-                clients.values().filter(|client| lock(&client.connection.framing).overdue(PATIENCE));
-            overdue.for_each(|client| client.cut.notify_one());
+            let overdue = clients
+                .values()
+                .filter(|client| lock(&client.connection.framing).is_overdue(REQUEST_READ_TIMEOUT));
+            overdue.for_each(|client| client.check_timeout.notify_one());
         }
     }
 
-    pub async fn accept(self: &Arc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
-        let mut failing: Option<Failing> = None;
+    pub async fn accept_clients(
+        self: &Arc<Self>,
+        listener: &TcpListener,
+        graceful_shutdown: &watch::Receiver<bool>,
+    ) {
+        let mut accept_failures: Option<AcceptFailures> = None;
         loop {
-            self.has_room().await;
+            self.wait_for_capacity().await;
             match listener.accept().await {
                 Ok((tcp, _)) => {
-                    failing = None;
-                    self.take(tcp, closing);
+                    accept_failures = None;
+                    self.accept_client(tcp, graceful_shutdown);
                 }
                 Err(error) => {
                     crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
-                    let failing = failing.get_or_insert_default();
+                    let accept_failures = accept_failures.get_or_insert_default();
                     if is_shortage(&error) {
-                        self.make_room(failing);
+                        self.relieve_shortage(accept_failures);
                     }
-                    failing.failures += 1;
-                    sleep(failing.backoff.pause()).await;
+                    accept_failures.failures += 1;
+                    sleep(accept_failures.backoff.pause()).await;
                 }
             }
         }
@@ -62,14 +67,14 @@
 
     /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request on
     /// the way is closed for a lack of a moment.
-    pub fn make_room(&self, failing: &Failing) {
-        if failing.failures == 0 {
+    pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
+        if accept_failures.failures == 0 {
             return;
         }
         self.dispatcher.send(DispatcherMessage::DescriptorShortage).ok();
-        let is_lasting = failing.failures >= LASTING_SHORTAGE;
-        self.close_idle_where(|idle, _| {
-            is_lasting
+        let is_persistent = accept_failures.failures >= PERSISTENT_SHORTAGE_FAILURES;
+        self.evict_idle_where(|idle, _| {
+            is_persistent
                 || matches!(
                     idle,
                     IdleState::BetweenRequests | IdleState::UnrecognizedOnly | IdleState::Lingering
@@ -79,14 +84,14 @@
 
     /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
     /// that is soon.
-    pub async fn has_room(&self) {
-        while self.count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
-            self.close_idle();
-            self.left.notified().await;
+    pub async fn wait_for_capacity(&self) {
+        while self.client_count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
+            self.evict_idle();
+            self.client_closed.notified().await;
         }
     }
 
-    pub fn count(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         lock(&self.clients).len()
     }
 
@@ -94,47 +99,55 @@
     /// request that has begun goes last, as it would be lost; of each kind, the one idle for longest. Those without
     /// a call have a part of the room, and where they fill it, one of them goes: a crowd pushes out nobody but
     /// itself. One that is closed may be writing just now; its caller knows then that its request was not taken.
-    pub fn close_idle(&self) -> bool {
-        self.close_idle_where(|_, _| true)
+    pub fn evict_idle(&self) -> bool {
+        self.evict_idle_where(|_, _| true)
     }
 
     /// The same among those of which this holds.
-    pub fn close_idle_where(&self, may_go: impl Fn(IdleState, Instant) -> bool) -> bool {
+    pub fn evict_idle_where(&self, is_candidate: impl Fn(IdleState, Instant) -> bool) -> bool {
         let clients = lock(&self.clients);
-        let idle =
-            clients.values().filter_map(|client| Some((lock(&client.connection.framing).idle()?, client)));
+        let idle = clients
+            .values()
+            .filter_map(|client| Some((lock(&client.connection.framing).idle_state()?, client)));
         // One beyond the room that lingers holds no place in it.
         let idle: Vec<_> =
             idle.filter(|((idle, _), client)| *idle != IdleState::Lingering || !client.surplus).collect();
         // Those on their way out hold their places until they are gone.
-        let uncalled = idle.iter().filter(|((idle, _), _)| *idle != IdleState::BetweenRequests).count();
-        let crowded = uncalled > self.config.limits.clients / UNCALLED;
-        let rank = |idle, since: Instant| match idle {
+        let unserved = idle.iter().filter(|((idle, _), _)| *idle != IdleState::BetweenRequests).count();
+        let unserved_exceed_share = unserved > self.config.limits.clients / UNSERVED_SHARE_DIVISOR;
+        let eviction_rank = |idle, since: Instant| match idle {
             IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
-            IdleState::Silent if since.elapsed() > NEWLY => 0,
-            IdleState::BetweenRequests if !crowded => 1,
+            IdleState::Silent if since.elapsed() > NEW_CONNECTION_GRACE => 0,
+            IdleState::BetweenRequests if !unserved_exceed_share => 1,
             IdleState::Silent => 2,
             IdleState::PartialHead => 3,
             IdleState::BetweenRequests => 4,
         };
-        let staying = idle.into_iter().filter(|(_, client)| !client.leaving.load(Ordering::Relaxed));
-        let candidates = staying.filter(|((idle, since), _)| may_go(*idle, *since));
-        let goes = candidates.min_by_key(|((idle, since), _)| (rank(*idle, *since), *since));
-        let Some((_, client)) = goes else { return false };
-        client.leaving.store(true, Ordering::Relaxed);
-        client.close.notify_one();
+        let not_evicted = idle.into_iter().filter(|(_, client)| !client.evicted.load(Ordering::Relaxed));
+        let candidates = not_evicted.filter(|((idle, since), _)| is_candidate(*idle, *since));
+        let selected = candidates.min_by_key(|((idle, since), _)| (eviction_rank(*idle, *since), *since));
+        let Some((_, client)) = selected else { return false };
+        client.evicted.store(true, Ordering::Relaxed);
+        client.evict.notify_one();
         true
     }
 
-    pub fn take(self: &Arc<Self>, tcp: TcpStream, closing: &watch::Receiver<bool>) {
+    pub fn accept_client(self: &Arc<Self>, tcp: TcpStream, graceful_shutdown: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
-        let surplus = self.count() >= self.config.limits.clients && !self.close_idle();
+        let surplus = self.client_count() >= self.config.limits.clients && !self.evict_idle();
         let (stream, connection) = SingleRequestStream::new(tcp);
-        let (close, cut) = (Notify::new(), Notify::new());
-        let client =
-            Arc::new(ClientHandle { surplus, connection, leaving: AtomicBool::new(false), close, cut });
-        let number = self.next_client.fetch_add(1, Ordering::Relaxed);
-        lock(&self.clients).insert(number, client.clone());
-        tokio::spawn(ClientTask { server: self.clone(), number, client }.serve(stream, closing.clone()));
+        let (evict, check_timeout) = (Notify::new(), Notify::new());
+        let client = Arc::new(ClientHandle {
+            surplus,
+            connection,
+            evicted: AtomicBool::new(false),
+            evict,
+            check_timeout,
+        });
+        let client_id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
+        lock(&self.clients).insert(client_id, client.clone());
+        tokio::spawn(
+            ClientTask { server: self.clone(), client_id, client }.serve(stream, graceful_shutdown.clone()),
+        );
     }
 }
--- a/src/proxy/downstream/client.rs
+++ b/src/proxy/downstream/client.rs
@@ -10,9 +10,9 @@
     pub surplus: bool,
     pub connection: ClientConnection,
     /// It is on its way out.
-    pub leaving: AtomicBool,
+    pub evicted: AtomicBool,
     /// It is to be closed between requests.
-    pub close: Notify,
+    pub evict: Notify,
     /// It is to be looked at: it may be overdue, or the process ends.
-    pub cut: Notify,
+    pub check_timeout: Notify,
 }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! A caller's socket: hands hyper one request at a time, and notes what hyper does not tell.
 
-use crate::proxy::downstream::request_framing::{IdleState, MOST_HEAD, Phase, RequestFraming};
+use crate::proxy::downstream::request_framing::{IdleState, MAX_HEAD_SIZE, Phase, RequestFraming};
 use crate::proxy::sync::lock;
 use crate::transient_errors::{SHORTAGE_PAUSE, is_shortage, poll_later};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -26,16 +26,16 @@
 impl ClientConnection {
     /// Whether the connection may be closed between requests: none has begun to come, none may come any moment on a new
     /// connection, and the last answer is written.
-    pub fn may_close(&self, newly: Duration) -> bool {
+    pub fn can_close(&self, silent_grace: Duration) -> bool {
         let framing = lock(&self.framing);
-        let rests = match framing.idle() {
-            Some((IdleState::Silent, since)) => since.elapsed() >= newly,
+        let is_idle = match framing.idle_state() {
+            Some((IdleState::Silent, since)) => since.elapsed() >= silent_grace,
             Some((IdleState::UnrecognizedOnly | IdleState::BetweenRequests, _)) => {
-                framing.stuck_since.is_none()
+                framing.response_stalled_since.is_none()
             }
             Some((IdleState::PartialHead | IdleState::Lingering, _)) | None => false,
         };
-        rests && !self.has_bytes()
+        is_idle && !self.has_unread_bytes()
     }
 
     /// The socket as an attempt looks at it.
@@ -45,24 +45,24 @@
 
     /// Waits until the caller of a request that is still coming has closed or reset its connection. That shows also
     /// while nobody reads what is in front of it; no urgent data is waited for.
-    pub async fn closed(&self) {
+    pub async fn wait_for_hangup(&self) {
         self.tcp.ready(Interest::PRIORITY).await.ok(); // an error is an end as well
     }
 
     /// Waits until the caller of a request that has come whole has left. hyper does not look while it holds bytes of
     /// what follows.
-    pub async fn left(&self) {
+    pub async fn wait_for_disconnect(&self) {
         while self.tcp.readable().await.is_ok() {
             let read = {
                 let mut framing = lock(&self.framing);
-                if framing.ended {
+                if framing.eof_received {
                     return;
                 }
                 framing.read(&self.tcp)
             };
             match read {
                 Err(error) if is_shortage(&error) => sleep(SHORTAGE_PAUSE).await,
-                Err(error) if !is_momentary(&error) => return,
+                Err(error) if !is_retryable(&error) => return,
                 _ => {}
             }
         }
@@ -80,23 +80,23 @@
     /// Whether the caller has closed or reset its connection, as the kernel knows it now. The runtime hears of that
     /// at its next look at its sockets only, and reading shows it only behind what has come before. Its end may wait
     /// at the caller for room in our buffer: so what follows a request of which `all_has_come` is read here.
-    pub fn is_disconnected(&self, all_has_come: bool) -> bool {
+    pub fn is_disconnected(&self, request_complete: bool) -> bool {
         let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
         let mut framing = lock(&framing);
-        let follows = all_has_come || framing.phase == Phase::Whole;
-        let mut piece = [0; MOST_HEAD];
+        let may_read_pipelined = request_complete || framing.phase == Phase::Complete;
+        let mut buffer = [0; MAX_HEAD_SIZE];
         loop {
-            if framing.ended || framing.overflows() {
+            if framing.eof_received || framing.exceeds_pipelined_limit() {
                 return true;
             }
-            match state(&tcp) {
-                State::Ended => return true,
-                State::Quiet => return false,
-                State::Readable if !follows => return false,
-                State::Readable => {}
+            match socket_state(&tcp) {
+                SocketState::Closed => return true,
+                SocketState::Idle => return false,
+                SocketState::Readable if !may_read_pipelined => return false,
+                SocketState::Readable => {}
             }
-            match (&*SockRef::from(&*tcp)).read(&mut piece) {
-                Ok(got) => framing.keep(&piece[..got]),
+            match (&*SockRef::from(&*tcp)).read(&mut buffer) {
+                Ok(length) => framing.append_pipelined(&buffer[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return true,
@@ -106,22 +106,22 @@
 }
 
 /// What the kernel knows of a connection.
-enum State {
+enum SocketState {
     /// Its peer has closed or reset it.
-    Ended,
+    Closed,
     Readable,
-    Quiet,
+    Idle,
 }
 
-fn state(tcp: &TcpStream) -> State {
+fn socket_state(tcp: &TcpStream) -> SocketState {
     let socket = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are told unasked
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let told = retry_on_intr(|| poll(socket, Some(&now)));
-    let events = if told.is_ok() { socket[0].revents() } else { PollFlags::empty() };
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let polled = retry_on_intr(|| poll(socket, Some(&no_wait)));
+    let events = if polled.is_ok() { socket[0].revents() } else { PollFlags::empty() };
     match events {
-        events if events.is_empty() => State::Quiet,
-        PollFlags::IN => State::Readable,
-        _ => State::Ended,
+        events if events.is_empty() => SocketState::Idle,
+        PollFlags::IN => SocketState::Readable,
+        _ => SocketState::Closed,
     }
 }
 
@@ -132,19 +132,19 @@
 
 impl SingleRequestStream {
     pub fn new(tcp: TcpStream) -> (Self, ClientConnection) {
-        let line =
+        let connection =
             ClientConnection { tcp: Arc::new(tcp), framing: Arc::new(Mutex::new(RequestFraming::new())) };
-        (Self(line.clone()), line)
+        (Self(connection.clone()), connection)
     }
 }
 
 impl SingleRequestStream {
     /// Notes whether the caller takes what it is given.
-    fn note(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let stuck = &mut lock(&self.0.framing).stuck_since;
+    fn track_stall(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        let stalled_since = &mut lock(&self.0.framing).response_stalled_since;
         match written {
-            Poll::Pending => drop(stuck.get_or_insert_with(Instant::now)),
-            Poll::Ready(_) => *stuck = None,
+            Poll::Pending => drop(stalled_since.get_or_insert_with(Instant::now)),
+            Poll::Ready(_) => *stalled_since = None,
         }
         written
     }
@@ -152,7 +152,7 @@
 
 impl Drop for SingleRequestStream {
     fn drop(&mut self) {
-        if lock(&self.0.framing).resets {
+        if lock(&self.0.framing).reset_on_close {
             SockRef::from(&*self.0.tcp).set_linger(Some(Duration::ZERO)).ok();
         }
     }
@@ -167,22 +167,22 @@
         let ClientConnection { tcp, framing } = &self.0;
         let mut framing = lock(framing);
         loop {
-            let most = framing.passable();
-            if most > 0 {
-                framing.pass(buffer, most);
+            let available = framing.deliverable_bytes();
+            if available > 0 {
+                framing.deliver(buffer, available);
                 return Poll::Ready(Ok(()));
             }
-            if framing.ended {
+            if framing.eof_received {
                 return Poll::Ready(Ok(()));
             }
-            framing.waiting = Some(cx.waker().clone());
+            framing.read_waker = Some(cx.waker().clone());
             if tcp.poll_read_ready(cx)?.is_pending() {
-                framing.waiting_since.get_or_insert_with(Instant::now);
+                framing.read_wait_since.get_or_insert_with(Instant::now);
                 return Poll::Pending;
             }
             match framing.read(tcp) {
                 Err(error) if is_shortage(&error) => return poll_later(cx),
-                Err(error) if !is_momentary(&error) => return Poll::Ready(Err(error)),
+                Err(error) if !is_retryable(&error) => return Poll::Ready(Err(error)),
                 _ => {}
             }
         }
@@ -194,34 +194,36 @@
     cx: &mut Context<'_>,
     tcp: &TcpStream,
     poll_ready: impl Fn(&TcpStream, &mut Context<'_>) -> Poll<io::Result<()>>,
-    mut act: impl FnMut(&TcpStream) -> io::Result<usize>,
+    mut operation: impl FnMut(&TcpStream) -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(poll_ready(tcp, cx))?;
-        match act(tcp) {
-            Err(error) if is_momentary(&error) => {}
+        match operation(tcp) {
+            Err(error) if is_retryable(&error) => {}
             Err(error) if is_shortage(&error) => return poll_later(cx),
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
 
 /// Whether a read or write that failed may be made again at once, or when its socket is ready.
-fn is_momentary(error: &io::Error) -> bool {
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
 impl AsyncWrite for SingleRequestStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.note(poll_io(cx, &self.0.tcp, TcpStream::poll_write_ready, |tcp| tcp.try_write(bytes)))
+        self.track_stall(poll_io(cx, &self.0.tcp, TcpStream::poll_write_ready, |tcp| tcp.try_write(bytes)))
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        parts: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.note(poll_io(cx, &self.0.tcp, TcpStream::poll_write_ready, |tcp| tcp.try_write_vectored(parts)))
+        self.track_stall(poll_io(cx, &self.0.tcp, TcpStream::poll_write_ready, |tcp| {
+            tcp.try_write_vectored(buffers)
+        }))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -26,8 +26,8 @@
 pub struct RequestIdGuard(pub Arc<Mutex<HashSet<String>>>, pub String);
 
 impl RequestIdGuard {
-    pub fn take(open: &Arc<Mutex<HashSet<String>>>, name: String) -> Option<Self> {
-        lock(open).insert(name.clone()).then(|| Self(open.clone(), name))
+    pub fn try_reserve(open_request_ids: &Arc<Mutex<HashSet<String>>>, request_id: String) -> Option<Self> {
+        lock(open_request_ids).insert(request_id.clone()).then(|| Self(open_request_ids.clone(), request_id))
     }
 }
 
@@ -49,7 +49,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(framing) = &self.framing {
-            lock(framing).answered(true);
+            lock(framing).finish_response(true);
         }
     }
 }
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -26,7 +26,7 @@
 
 /// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They are
 /// counted and not timed: the process may have been held up itself.
-const LASTING_SHORTAGE: u32 = 8;
+const PERSISTENT_SHORTAGE_FAILURES: u32 = 8;
 
 /// The state that all client connections share.
 pub struct DownstreamServer {
@@ -34,23 +34,23 @@
     pub dispatcher: UnboundedSender<DispatcherMessage>,
     pub ready: watch::Receiver<bool>,
     /// Whether the first list has been told: before that, nothing is sent on.
-    pub told: watch::Receiver<bool>,
+    pub first_list_received: watch::Receiver<bool>,
     pub counters: Arc<Counters>,
-    pub next_id: AtomicU32,
-    pub next_client: AtomicU64,
+    pub next_request_id: AtomicU32,
+    pub next_client_id: AtomicU64,
     pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
     /// The callers' own ids of the requests that are open.
-    pub open: Arc<Mutex<HashSet<String>>>,
+    pub open_request_ids: Arc<Mutex<HashSet<String>>>,
     /// What bodies may hold of the memory.
     pub body_memory: Arc<BodyMemory>,
     /// A caller's connection has ended.
-    pub left: Notify,
+    pub client_closed: Notify,
     /// Another process takes the new connections, or nobody does: each answer is the last on its own.
-    pub leaving: AtomicBool,
+    pub draining: AtomicBool,
     /// The answer to what comes now might come too late: it is refused.
-    pub refusing: AtomicBool,
+    pub rejecting: AtomicBool,
     /// The process ends: whatever is open is answered now.
-    pub ending: AtomicBool,
+    pub shutting_down: AtomicBool,
 }
 
 impl DownstreamServer {
@@ -58,7 +58,7 @@
     pub fn new(
         config: Arc<Config>,
         dispatcher: UnboundedSender<DispatcherMessage>,
-        (ready, told): (watch::Receiver<bool>, watch::Receiver<bool>),
+        (ready, first_list_received): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         body_memory: Arc<BodyMemory>,
     ) -> Self {
@@ -66,22 +66,22 @@
             config,
             dispatcher,
             ready,
-            told,
+            first_list_received,
             counters,
-            next_id: AtomicU32::new(0),
-            next_client: AtomicU64::new(0),
+            next_request_id: AtomicU32::new(0),
+            next_client_id: AtomicU64::new(0),
             clients: Mutex::default(),
-            open: Arc::default(),
+            open_request_ids: Arc::default(),
             body_memory,
-            left: Notify::new(),
-            leaving: AtomicBool::new(false),
-            refusing: AtomicBool::new(false),
-            ending: AtomicBool::new(false),
+            client_closed: Notify::new(),
+            draining: AtomicBool::new(false),
+            rejecting: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
         }
     }
 
     /// Waits until the first list is told.
-    async fn first_list(&self) {
-        self.told.clone().wait_for(|told| *told).await.ok();
+    async fn wait_for_first_list(&self) {
+        self.first_list_received.clone().wait_for(|first_list_received| *first_list_received).await.ok();
     }
 }
--- a/src/proxy/downstream/responses.rs
+++ b/src/proxy/downstream/responses.rs
@@ -9,37 +9,37 @@
 use std::time::Duration;
 
 /// How long a surplus caller is to stay away, and one whose body found no room.
-pub const COME_BACK: Duration = Duration::from_millis(500);
+pub const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-pub fn status(code: StatusCode) -> Response<ResponseBody> {
-    let mut reply = Response::new(ResponseBody::default());
-    *reply.status_mut() = code;
-    reply
+pub fn empty_response(code: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::default());
+    *response.status_mut() = code;
+    response
 }
 
 /// A refusal, with advice on how long to stay away unless that is zero.
-pub fn refusal(stay_away: Duration) -> Response<ResponseBody> {
-    let mut reply = status(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > Duration::ZERO
-        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.as_secs_f64()))
+pub fn rejection(retry_after: Duration) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    if retry_after > Duration::ZERO
+        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
     {
-        reply.headers_mut().insert(RETRY_AFTER, value);
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    reply
+    response
 }
 
 /// Leaves the headers that are meant for the other end, not for this connection.
-pub fn end_to_end(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let hop = [CONNECTION, CONTENT_LENGTH, DATE, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+    let hop_by_hop = [CONNECTION, CONTENT_LENGTH, DATE, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
     let others = ["keep-alive", "proxy-connection", "x-load-report"].map(HeaderName::from_static);
-    for name in hop.into_iter().chain(others).chain(named) {
+    for name in hop_by_hop.into_iter().chain(others).chain(listed) {
         headers.remove(name);
     }
 }
--- a/src/proxy/downstream/serving.rs
+++ b/src/proxy/downstream/serving.rs
@@ -1,8 +1,8 @@
 //! Serves clients from the first endpoint list until all is answered behind a signal to stop.
 
 use crate::proxy::downstream::DownstreamServer;
-use crate::proxy::downstream::draining::{LAST_ANSWERS, LAST_LOOK, longest_deadline};
-use crate::proxy::downstream::timing::{LOOK_EVERY, PATIENCE};
+use crate::proxy::downstream::draining::{BACKLOG_EMPTY_TIMEOUT, FINAL_RESPONSE_MARGIN, longest_deadline};
+use crate::proxy::downstream::timing::{REQUEST_READ_TIMEOUT, TIMEOUT_CHECK_INTERVAL};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,46 +15,53 @@
     /// Serves until told to stop, then for a while longer, and returns when all is answered.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
-        let looking = tokio::spawn(server.clone().cut_overdue());
-        let (close, closing) = watch::channel(false);
-        let shared = server.config.listen_fd.is_some();
-        let stopped = async {
-            stopping.wait_for(|stop| *stop).await.ok();
-            if !shared {
-                sleep(server.go_on()).await;
+        let timeout_checks = tokio::spawn(server.clone().run_timeout_checks());
+        let (start_graceful_shutdown, graceful_shutdown) = watch::channel(false);
+        let shares_listener = server.config.listen_fd.is_some();
+        let stop_accepting = async {
+            stopping.wait_for(|stop_requested| *stop_requested).await.ok();
+            if !shares_listener {
+                sleep(server.drain_time()).await;
             }
         };
         tokio::select! {
-            () = server.accept(&listener, &closing) => {}
-            () = stopped => {}
+            () = server.accept_clients(&listener, &graceful_shutdown) => {}
+            () = stop_accepting => {}
         }
-        let mut rest = None;
-        if shared {
+        let mut backlog_task = None;
+        if shares_listener {
             // The next process takes what waits in the backlog. The callers we have may be writing just now:
             // they are sent to it one by one, with their answers.
             drop(listener);
-            server.leaving.store(true, Ordering::Relaxed);
-            timeout(server.go_on(), server.all_left()).await.ok();
+            server.draining.store(true, Ordering::Relaxed);
+            timeout(server.drain_time(), server.wait_for_all_closed()).await.ok();
         } else {
             // What waits in the backlog counts as taken, and closing the listener would reset it.
-            let taking = rest.insert(tokio::spawn(server.clone().take_rest(listener, closing)));
-            timeout(10 * LAST_LOOK, taking).await.ok();
+            let accept_task =
+                backlog_task.insert(tokio::spawn(server.clone().accept_backlog(listener, graceful_shutdown)));
+            timeout(10 * BACKLOG_EMPTY_TIMEOUT, accept_task).await.ok();
         }
-        server.leaving.store(true, Ordering::Relaxed);
-        close.send_replace(true);
-        timeout(10 * LAST_LOOK, server.all_left()).await.ok(); // what was just taken still has its time
-        server.refusing.store(true, Ordering::Relaxed);
+        server.draining.store(true, Ordering::Relaxed);
+        start_graceful_shutdown.send_replace(true);
+        timeout(10 * BACKLOG_EMPTY_TIMEOUT, server.wait_for_all_closed()).await.ok(); // what was just taken still has its time
+        server.rejecting.store(true, Ordering::Relaxed);
         // Where the process was held up, the backlog is not empty yet: its callers are refused, not reset.
-        let answered = async {
-            if let Some(taking) = rest.as_mut().filter(|taking| !taking.is_finished()) {
-                taking.await.ok();
+        let all_answered = async {
+            if let Some(accept_task) = backlog_task.as_mut().filter(|accept_task| !accept_task.is_finished())
+            {
+                accept_task.await.ok();
             }
-            server.all_left().await;
+            server.wait_for_all_closed().await;
         };
-        let longest = Duration::from_nanos(longest_deadline(&server.config.settings));
-        timeout(longest.max(PATIENCE + LOOK_EVERY) + LAST_ANSWERS, answered).await.ok();
-        rest.inspect(JoinHandle::abort);
-        looking.abort();
-        server.end_all().await;
+        let max_deadline = Duration::from_nanos(longest_deadline(&server.config.settings));
+        timeout(
+            max_deadline.max(REQUEST_READ_TIMEOUT + TIMEOUT_CHECK_INTERVAL) + FINAL_RESPONSE_MARGIN,
+            all_answered,
+        )
+        .await
+        .ok();
+        backlog_task.inspect(JoinHandle::abort);
+        timeout_checks.abort();
+        server.shut_down().await;
     }
 }
--- a/src/proxy/downstream/timing.rs
+++ b/src/proxy/downstream/timing.rs
@@ -4,9 +4,9 @@
 
 /// How long a caller may take over a request, the first one from its connecting on; and how often that is
 /// looked at. Together they stay under the 3 s after which one that sends nothing whole is owed an end.
-pub const PATIENCE: Duration = Duration::from_millis(2500);
+pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A new connection may bring its call a little later.
-pub const NEWLY: Duration = Duration::from_millis(300);
+pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
