--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request on
-    /// the way is closed for a lack of a moment.
+    /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request
+    /// on the way is closed for a lack of a moment.
     pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
         if accept_failures.failures == 0 {
             return;
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -1,5 +1,5 @@
-//! How a connection to a client ends: what is still owed on it is answered, and the close resets nothing that the
-//! client has yet to read.
+//! Closing a client connection: sends the response that is still due, and avoids a reset that would discard data
+//! before the client has read it.
 
 use crate::proxy::downstream::connection::ClientConnection;
 use crate::proxy::downstream::request_framing::PendingResponse;
@@ -13,11 +13,12 @@
 use tokio::io::Interest;
 use tokio::time::timeout;
 
-/// How long a connection stays half open behind its last answer for the client to read that.
+/// How long a connection stays half-closed after the last response, for the client to read that.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of an answered request that are read and dropped at most: more would be taken for work on it.
+/// Max bytes of an answered request that are read and dropped. To read more would suggest that the request is still
+/// being processed.
 const MAX_DISCARDED_BYTES: u64 = 1 << 20;
-/// Bytes of it that are read at a time.
+/// Size of the buffer for reading them, in bytes.
 const DISCARD_BUFFER_SIZE: usize = 8 << 10;
 
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
@@ -30,21 +31,21 @@
 /// Why a client connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its last answer is written, or the client has gone.
+    /// The last response is written, or the client has disconnected.
     Done,
-    /// The client takes too long.
+    /// The client takes too long to send its request or to read its response.
     Overdue,
-    /// Its place is needed for another client.
+    /// Its slot is needed for another client.
     Evicted,
-    /// The process ends.
+    /// The process is shutting down.
     Shutdown,
-    /// Its task has panicked.
+    /// The task that serves the connection has panicked.
     Panicked,
 }
 
 impl ClientConnection {
-    /// Ends a connection: answers what is owed, ends the sending, and waits until the client has read that, unless its
-    /// place is needed.
+    /// Closes the connection: sends the response that is still due, shuts down the sending side, and lingers until
+    /// the client has read everything, unless the slot is needed for another client.
     pub async fn close(&self, reason: CloseReason, eviction: impl Future<Output = ()>) {
         let pending_response = lock(&self.framing).pending_response();
         if let Some(response) = closing_response(reason, pending_response) {
@@ -53,9 +54,9 @@
         if lock(&self.framing).reset_on_close || !self.would_reset_on_close() {
             return;
         }
-        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error is an end as well
+        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // after an error the connection is closed, too
         let outstanding = lock(&self.framing).start_lingering().min(MAX_DISCARDED_BYTES);
-        // What has come already is read in any case.
+        // Bytes that were already received are read in any case.
         let linger = if reason == CloseReason::Evicted { Duration::ZERO } else { LINGER_TIMEOUT };
         tokio::select! {
             biased;
@@ -64,18 +65,18 @@
         }
     }
 
-    /// Writes an answer beside the HTTP library, that has written none and will not.
+    /// Writes a response past hyper, which has not written one and will not do so.
     async fn write_response(&self, mut response: &[u8]) {
         while !response.is_empty() && self.tcp.writable().await.is_ok() {
             match self.tcp.try_write(response) {
                 Ok(written) => response = &response[written..],
                 Err(error) if is_retryable(error.kind()) => {}
-                Err(_) => return, // a client that has just gone needs none
+                Err(_) => return, // a client that has disconnected needs no response
             }
         }
     }
 
-    /// Whether a close would reset the connection, now or when the rest of the present request comes.
+    /// Whether closing would reset the connection, now or when the rest of the current request is received.
     fn would_reset_on_close(&self) -> bool {
         let is_closed_by_client = self.peek_length() == Some(0);
         let framing = lock(&self.framing);
@@ -83,8 +84,8 @@
             || self.has_unread_bytes()
     }
 
-    /// Bytes that the kernel holds, one at most: also those that the runtime has not heard of. `None` for no byte and
-    /// no end.
+    /// Peeks at most one byte, which shows also bytes that the runtime has not been notified of. Returns 0 after the
+    /// client's FIN or an error, and `None` if there is nothing to read.
     fn peek_length(&self) -> Option<usize> {
         match SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]) {
             Ok(length) => Some(length),
@@ -93,13 +94,13 @@
         }
     }
 
-    /// Whether the kernel holds bytes that were not read.
+    /// Whether the kernel has unread bytes.
     pub fn has_unread_bytes(&self) -> bool {
         self.peek_length().is_some_and(|length| length > 0)
     }
 
-    /// Reads what is left of the answered request, and waits for the client's end. What follows that request is left
-    /// unread, so that its client knows that it was not taken.
+    /// Reads the rest of the answered request and waits for the client's FIN. Pipelined bytes behind that request are
+    /// left unread, so that the reset tells the client that they were not processed.
     async fn discard_until_closed(&self, mut outstanding: u64) {
         let mut buffer = [0; DISCARD_BUFFER_SIZE];
         while outstanding > 0 && self.tcp.readable().await.is_ok() {
@@ -111,21 +112,21 @@
                 Err(_) => return,
             }
         }
-        self.tcp.ready(Interest::PRIORITY).await.ok(); // shows the client's end, whatever stands in front of it
+        self.tcp.ready(Interest::PRIORITY).await.ok(); // reports the client's FIN even behind unread bytes
     }
 }
 
-/// The answer that a connection gets before it ends, if it is owed one.
+/// The response that is sent before the connection is closed, if one is due.
 fn closing_response(reason: CloseReason, pending_response: PendingResponse) -> Option<&'static [u8]> {
     match (pending_response, reason) {
         (PendingResponse::Nothing, _) | (_, CloseReason::Done) => None,
-        (PendingResponse::ForCompleteRequest, _) => Some(BAD_GATEWAY_RESPONSE), // it may have run
+        (PendingResponse::ForCompleteRequest, _) => Some(BAD_GATEWAY_RESPONSE), // the request may have taken effect
         (PendingResponse::ForPartialRequest, CloseReason::Overdue) => Some(REQUEST_TIMEOUT_RESPONSE),
         (PendingResponse::ForPartialRequest, _) => Some(SERVICE_UNAVAILABLE_RESPONSE),
     }
 }
 
-/// Whether the same call may do next time.
+/// Whether a failed read or write can be retried.
 fn is_retryable(error: ErrorKind) -> bool {
     matches!(error, ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's socket: hands hyper one request at a time, and notes what hyper does not tell.
+//! A client's socket: hands hyper one request at a time, and tracks state that hyper does not expose.
 
 use crate::proxy::downstream::request_framing::{IdleState, MAX_HEAD_SIZE, Phase, RequestFraming};
 use crate::proxy::sync::lock;
@@ -20,12 +20,13 @@
 #[derive(Clone)]
 pub struct ClientConnection {
     pub(super) tcp: Arc<TcpStream>,
+    /// The requests on this connection.
     pub framing: Arc<Mutex<RequestFraming>>,
 }
 
 impl ClientConnection {
-    /// Whether the connection may be closed between requests: none has begun to come, none may come any moment on a new
-    /// connection, and the last answer is written.
+    /// Whether the connection may be closed between requests: no part of a request was received, the last response is
+    /// written, and a connection that has not sent anything has had `silent_grace` to do so.
     pub fn can_close(&self, silent_grace: Duration) -> bool {
         let framing = lock(&self.framing);
         let is_idle = match framing.idle_state() {
@@ -38,19 +39,19 @@
         is_idle && !self.has_unread_bytes()
     }
 
-    /// The socket as an attempt looks at it.
+    /// The handle by which an attempt checks whether the client is still connected.
     pub fn liveness(&self) -> ClientLiveness {
         ClientLiveness { tcp: Arc::downgrade(&self.tcp), framing: Arc::downgrade(&self.framing) }
     }
 
-    /// Waits until the caller of a request that is still coming has closed or reset its connection. That shows also
-    /// while nobody reads what is in front of it; no urgent data is waited for.
+    /// Waits until the client has closed or reset the connection while its request is still being received.
+    /// `PRIORITY` interest reports this even behind unread bytes; urgent data is not expected.
     pub async fn wait_for_hangup(&self) {
-        self.tcp.ready(Interest::PRIORITY).await.ok(); // an error is an end as well
+        self.tcp.ready(Interest::PRIORITY).await.ok(); // an error means closed, too
     }
 
-    /// Waits until the caller of a request that has come whole has left. hyper does not look while it holds bytes of
-    /// what follows.
+    /// Waits until the client has disconnected, once its request is complete. hyper does not watch for that while it
+    /// has pipelined bytes.
     pub async fn wait_for_disconnect(&self) {
         while self.tcp.readable().await.is_ok() {
             let read = {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Tells whether a client is still connected. It does not keep the socket open, as an attempt may outlast its client.
+/// Tells whether a client is still connected. Does not keep the socket open, as an attempt may outlive its client.
 #[derive(Clone)]
 pub struct ClientLiveness {
     tcp: Weak<TcpStream>,
@@ -77,9 +78,9 @@
 }
 
 impl ClientLiveness {
-    /// Whether the caller has closed or reset its connection, as the kernel knows it now. The runtime hears of that
-    /// at its next look at its sockets only, and reading shows it only behind what has come before. Its end may wait
-    /// at the caller for room in our buffer: so what follows a request of which `all_has_come` is read here.
+    /// Whether the client has closed or reset the connection, according to the kernel. The runtime learns of that
+    /// only at its next poll, and a read shows it only behind all bytes before it. If the receive buffer is full, the
+    /// client cannot send its FIN; so with `request_complete`, the bytes that follow the request are read here.
     pub fn is_disconnected(&self, request_complete: bool) -> bool {
         let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
         let mut framing = lock(&framing);
@@ -105,16 +106,18 @@
     }
 }
 
-/// What the kernel knows of a connection.
+/// The state of a connection according to the kernel.
 enum SocketState {
-    /// Its peer has closed or reset it.
+    /// The client has closed or reset the connection.
     Closed,
+    /// Bytes can be read.
     Readable,
+    /// There is nothing to read.
     Idle,
 }
 
 fn socket_state(tcp: &TcpStream) -> SocketState {
-    let socket = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are told unasked
+    let socket = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are always reported
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
     let polled = retry_on_intr(|| poll(socket, Some(&no_wait)));
     let events = if polled.is_ok() { socket[0].revents() } else { PollFlags::empty() };
@@ -125,12 +128,13 @@
     }
 }
 
-/// A stream that gives hyper no byte of a request before the previous request is answered. So a client's disconnect is
-/// seen while its request is open, a request's time can run from its last byte, and a connection that is idle or in the
-/// middle of a request is distinguished from one with an open request.
+/// A stream that hands hyper no byte of a request before the previous request is answered. This way a client's
+/// disconnect is detected while its request is open, a deadline can be counted from the last byte of the request, and
+/// connections that are idle or have a partial request can be told from those with an open request.
 pub struct SingleRequestStream(ClientConnection);
 
 impl SingleRequestStream {
+    /// Creates the stream for hyper, and the handle for the code outside hyper.
     pub fn new(tcp: TcpStream) -> (Self, ClientConnection) {
         let connection =
             ClientConnection { tcp: Arc::new(tcp), framing: Arc::new(Mutex::new(RequestFraming::new())) };
@@ -139,7 +143,7 @@
 }
 
 impl SingleRequestStream {
-    /// Notes whether the caller takes what it is given.
+    /// Records since when the client has accepted no bytes.
     fn track_stall(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let stalled_since = &mut lock(&self.0.framing).response_stalled_since;
         match written {
@@ -189,7 +193,7 @@
     }
 }
 
-/// Reads from or writes to a socket that others look at too, once it is ready for that.
+/// Reads from or writes to a socket that other tasks use as well, once it is ready.
 pub fn poll_io(
     cx: &mut Context<'_>,
     tcp: &TcpStream,
@@ -206,7 +210,7 @@
     }
 }
 
-/// Whether a read or write that failed may be made again at once, or when its socket is ready.
+/// Whether a failed read or write can be retried at once or when the socket is ready.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -44,8 +44,8 @@
         timeout(TIMEOUT_CHECK_INTERVAL + LINGER_TIMEOUT, self.wait_for_all_closed()).await.ok();
     }
 
-    /// Takes what waits in the backlog, and closes the listener. Who comes later is taken as well, as nobody can tell,
-    /// but no more than a backlog holds.
+    /// Takes what waits in the backlog, and closes the listener. Who comes later is taken as well, as nobody can
+    /// tell, but no more than a backlog holds.
     pub async fn accept_backlog(
         self: Arc<Self>,
         listener: TcpListener,
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -24,8 +24,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
 
-/// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They are
-/// counted and not timed: the process may have been held up itself.
+/// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They
+/// are counted and not timed: the process may have been held up itself.
 const PERSISTENT_SHORTAGE_FAILURES: u32 = 8;
 
 /// The state that all client connections share.
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -1,4 +1,5 @@
-//! What is known of a client's connection beside hyper: where a request begins and ends, what waits, and what its client is owed.
+//! Request framing on a client connection, tracked outside hyper: where each request starts and ends, which bytes are
+//! buffered, and which response is still due.
 
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
@@ -9,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The response that is still owed on a connection that is being closed.
+/// The response that is still due on a connection that is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingResponse {
     /// No request has started, or the response to it has.
@@ -20,43 +21,45 @@
     ForCompleteRequest,
 }
 
-/// Bytes that may follow a request before its answer, or no further attempt is made for it. A caller sends one
-/// request at a time. Within this, which is less than the kernel takes in of a connection that nobody recent_reads,
-/// the caller's end shows; beyond, it may wait at the caller.
+/// Max bytes that may follow a request before its response. Beyond that, the client counts as disconnected and no
+/// further attempt is made for the request: a regular client sends one request at a time. The limit is below what the
+/// kernel buffers for a connection that is not read. Up to the limit, the client's FIN can be seen; beyond it, the
+/// FIN may wait in the client's send queue.
 pub const MAX_PIPELINED_BYTES: u64 = 48 << 10;
-/// Largest head of a request: what is larger, upstreams may not take, and it would fill the memory.
+/// Max size of a request head, in bytes. Upstreams may refuse a larger one, and it would use up memory.
 pub const MAX_HEAD_SIZE: usize = 8 << 10;
 
-/// Bytes kept of what comes while a request is open.
+/// Max bytes in the read buffer. Bytes beyond that are dropped while a request is open.
 pub const MAX_READ_AHEAD: usize = 2 * MAX_HEAD_SIZE;
 
-/// Headers of a request at most, as in hyper.
+/// Max number of headers in a request, the same as in hyper.
 pub const MAX_HEADERS: usize = 100;
 
-/// A body has to come at this rate, in bytes a second, beyond a first while: half of what the slowest caller makes.
+/// Min rate of a request body after the grace period, in bytes per second: half the rate of the slowest client.
 pub const MIN_BODY_RATE: f64 = 32e3;
 
+/// Time spent waiting for a body that does not count towards its rate.
 pub const BODY_RATE_GRACE: Duration = Duration::from_millis(700);
 
-/// How long a client may pause within a body: one that has stopped is owed its error, however much it sent before.
+/// Max pause within a body. A client that has stopped sending gets an error, however much it sent before.
 pub const MAX_BODY_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long a caller may take over the next piece of its answer.
+/// How long a client may accept no bytes of its response.
 pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Reads so close to each other count as one.
+/// Reads that follow each other within this interval are recorded as one.
 pub const READ_MERGE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How far a connection is with its present request.
+/// The progress of the current request on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its head has not come to its end.
+    /// The head was not received completely.
     Head,
-    /// So many bytes of it have still to go to hyper.
+    /// The request has a known length, and this many bytes of it were not handed to hyper yet.
     Delivering(u64),
-    /// Where it ends is for hyper to say: it comes in chunks or can't be read. Nothing may follow it.
+    /// hyper determines where the request ends, as it is chunked or malformed. No request may follow it.
     Unbounded,
-    /// All of it has gone to hyper, and nothing else does until it is answered.
+    /// hyper has the whole request, and gets no further bytes until the response is finished.
     Complete,
 }
 
@@ -77,46 +80,52 @@
 
 /// Tracks the requests on a client's connection: where each starts and ends, and how fast it is received.
 pub struct RequestFraming {
+    /// The progress of the current request.
     pub phase: Phase,
-    /// What has come and has not gone to hyper.
+    /// Bytes that were received but not handed to hyper yet.
     pub read_buffer: BytesMut,
+    /// The client has closed its sending side.
     pub eof_received: bool,
-    /// Bytes that came, in all, and when the latest of them did.
+    /// Total bytes received.
     pub received_bytes: u64,
+    /// The reads with bytes that hyper does not have yet: the total after each read, and its time.
     pub recent_reads: VecDeque<(u64, Instant)>,
-    /// Bytes that have gone to hyper, in all.
+    /// Total bytes handed to hyper.
     pub delivered_bytes: u64,
-    /// When the last byte of the present request came.
+    /// When the last byte of the current request was received.
     pub last_byte_at: Instant,
-    /// Since when it waits for a request, or for the rest of one that has begun.
+    /// Since when the connection has waited for a request or for the rest of a partial one.
     pub request_wait_since: Instant,
-    /// A call has been answered on it.
+    /// A request for a known class was answered on this connection.
     pub known_class_served: bool,
-    /// Answers that it was given, to whatever.
+    /// Number of requests that were answered, whatever they were for.
     pub response_count: u32,
+    /// The response to the current request has ended, or is buffered as a whole.
     pub response_finished: bool,
-    /// The answer to the present request has begun.
+    /// The response to the current request has started.
     pub response_started: bool,
-    /// Nothing more is read or answered.
+    /// The connection stays open only until the client has read the last response.
     pub lingering: bool,
-    /// Bytes that had come in all when the present head was whole.
+    /// Offset of the end of the current head, in total bytes received.
     pub head_end: u64,
-    /// How long more was waited for since then, and since when it is now.
+    /// Total time spent waiting for bytes since the head was complete, without the wait in progress.
     pub read_wait: Duration,
+    /// Start of the wait for bytes that is in progress.
     pub read_wait_since: Option<Instant>,
-    /// Since when the caller takes nothing of its answer.
+    /// Since when the client has accepted no bytes of its response.
     pub response_stalled_since: Option<Instant>,
-    /// The present request has both lengths, of which hyper shows only one.
+    /// The current request has both Content-Length and Transfer-Encoding, of which hyper keeps only one.
     pub has_both_lengths: bool,
-    /// Waits for more to go to hyper.
+    /// Wakes the task that reads for hyper.
     pub read_waker: Option<Waker>,
-    /// More came behind it than is kept, and was dropped.
+    /// More bytes followed the current request than the read buffer keeps, and the excess was dropped.
     pub pipelined_bytes_dropped: bool,
-    /// Its answer broke off, and nothing but a reset shows that.
+    /// The response was aborted, and only an RST can show that to the client.
     pub reset_on_close: bool,
 }
 
 impl RequestFraming {
+    /// Creates the state of a connection that was just accepted.
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
@@ -144,7 +153,7 @@
         }
     }
 
-    /// What a connection without an open request is at, and since when nothing has come; `None` with one open.
+    /// The idle state, and since when no bytes were received; `None` while a request is open.
     pub fn idle_state(&self) -> Option<(IdleState, Instant)> {
         let last_read = self
             .recent_reads
@@ -162,8 +171,9 @@
         (self.phase == Phase::Head).then_some((idle, last_read))
     }
 
-    /// Whether a whole request is owed for longer than this, or an answer is not taken. One that has asked may rest
-    /// between requests; a body may take as long as it is, if it comes at the rate of a slow caller.
+    /// Whether the client has not sent a whole request within `timeout`, or has stopped reading its response. A
+    /// connection that has served a known class may stay idle between requests, and a body may take longer if it
+    /// meets the min rate.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
         let is_stalled =
             self.response_stalled_since.is_some_and(|since| since.elapsed() > RESPONSE_STALL_TIMEOUT);
@@ -172,7 +182,8 @@
         is_stalled || !may_stay_idle && self.request_wait_since.elapsed() > timeout && !self.meets_body_rate()
     }
 
-    /// Whether the body of the present request comes fast enough. While nobody recent_reads it, that is not its fault.
+    /// Whether the body of the current request is received fast enough. Only the time spent waiting for bytes counts,
+    /// not the time in which nobody reads the body.
     pub fn meets_body_rate(&self) -> bool {
         let pause = self.read_wait_since.map_or(Duration::ZERO, |since| since.elapsed());
         let total_wait = self.read_wait + pause;
@@ -182,17 +193,18 @@
             && (self.received_bytes - self.head_end) as f64 >= min_bytes
     }
 
-    /// Whether the present request says its length in both ways: it may hide another one.
+    /// Whether the current request has both Content-Length and Transfer-Encoding, so that another request may be
+    /// smuggled in its body.
     pub fn has_both_lengths(&self) -> bool {
         self.has_both_lengths
     }
 
-    /// Whether nothing may follow the present request.
+    /// Whether no request may follow the current one on this connection.
     pub fn must_be_last(&self) -> bool {
         self.phase == Phase::Unbounded || self.pipelined_bytes_dropped
     }
 
-    /// The present request has been read to its end; tells when its last byte came.
+    /// Marks the current request as read to its end, and returns when its last byte was received.
     pub fn mark_request_complete(&mut self) -> Instant {
         if self.phase == Phase::Unbounded {
             (self.phase, self.last_byte_at) = (Phase::Complete, Instant::now());
@@ -200,13 +212,13 @@
         self.last_byte_at
     }
 
-    /// The answer to the present request begins.
+    /// Marks the response to the current request as started.
     pub fn start_response(&mut self) {
         self.response_started = true;
     }
 
-    /// What a connection is owed that is not served any longer. Behind an answer that its client does not take, there
-    /// is no place for another.
+    /// The response that is still due when the connection is no longer served. While the client does not read a
+    /// response, no further one can be written.
     pub fn pending_response(&self) -> PendingResponse {
         match self.phase {
             _ if self.eof_received || self.response_stalled_since.is_some() => PendingResponse::Nothing,
@@ -218,7 +230,7 @@
         }
     }
 
-    /// How much of the present request may still come, as far as that is known.
+    /// Max bytes of the current request that may still be received; `u64::MAX` if its length is not known.
     pub fn outstanding(&self) -> u64 {
         match self.phase {
             Phase::Head if self.read_buffer.is_empty() => 0,
@@ -228,13 +240,14 @@
         }
     }
 
-    /// The connection is kept for its client to read the last answer; how much of its request may still come.
+    /// Marks the connection as kept open only for the client to read the last response, and returns how many bytes of
+    /// the request may still be received.
     pub fn start_lingering(&mut self) -> u64 {
         self.lingering = true;
         self.outstanding()
     }
 
-    /// Whether more has come than the present request.
+    /// Whether bytes were received that follow the current request.
     pub fn has_pipelined_bytes(&self) -> bool {
         match self.phase {
             Phase::Delivering(remaining) => self.read_buffer.len() as u64 > remaining,
@@ -243,12 +256,12 @@
         }
     }
 
-    /// The client has ended its sending.
+    /// Whether the client has closed its sending side.
     pub fn eof_received(&self) -> bool {
         self.eof_received
     }
 
-    /// The present request has its answer; the next may go to hyper. Only calls make a caller.
+    /// Marks the response to the current request as finished, so that the next request may be handed to hyper.
     pub fn finish_response(&mut self, has_known_class: bool) {
         self.response_finished = true;
         self.known_class_served |= has_known_class;
@@ -256,6 +269,7 @@
         self.start_next_request();
     }
 
+    /// Lets the next request be handed to hyper if the current one is complete and its response finished.
     pub fn start_next_request(&mut self) {
         if self.phase == Phase::Complete && self.response_finished {
             (self.phase, self.request_wait_since) = (Phase::Head, Instant::now());
@@ -263,8 +277,9 @@
         }
     }
 
-    /// Reads what has come. While a request is open, what follows it is read as well, as its caller's end would
-    /// not show behind that: what is more than is kept is dropped, and the connection ends with the answer.
+    /// Reads from the socket into the read buffer. While a request is open, the bytes behind it are read as well, as
+    /// unread bytes would hide the client's FIN. Bytes beyond the limit are dropped, and the connection is closed
+    /// after the response.
     pub fn read(&mut self, tcp: &TcpStream) -> io::Result<()> {
         let free_space = MAX_READ_AHEAD.saturating_sub(self.read_buffer.len());
         let received = if free_space > 0 {
@@ -278,7 +293,7 @@
         Ok(())
     }
 
-    /// Takes in what was read behind a request.
+    /// Appends pipelined bytes, which were read behind the current request.
     pub fn append_pipelined(&mut self, bytes: &[u8]) {
         let free_space = MAX_READ_AHEAD.saturating_sub(self.read_buffer.len());
         self.read_buffer.extend_from_slice(&bytes[..free_space.min(bytes.len())]);
@@ -286,11 +301,12 @@
         self.record_read(bytes.len());
     }
 
-    /// Whether more has come behind the present request than a caller that waits for its answer sends.
+    /// Whether more bytes follow the current request than a client sends that waits for its response.
     pub fn exceeds_pipelined_limit(&self) -> bool {
         self.phase == Phase::Complete && self.received_bytes - self.delivered_bytes > MAX_PIPELINED_BYTES
     }
 
+    /// Records a read of `received` bytes; zero bytes are the client's FIN.
     pub fn record_read(&mut self, received: usize) {
         let now = Instant::now();
         self.read_wait += self.read_wait_since.take().map_or(Duration::ZERO, |since| now - since);
@@ -306,7 +322,7 @@
         }
     }
 
-    /// Looks for a whole head in what has come. What hyper will refuse goes to it as it is.
+    /// Parses the head if the read buffer has all of it. A head that hyper will reject is handed to it unchanged.
     pub fn parse_head(&mut self) {
         if self.phase != Phase::Head || self.read_buffer.is_empty() {
             return;
@@ -329,8 +345,7 @@
             head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name))
         };
         let chunked = headers_named("transfer-encoding").next().is_some();
-        let content_length =
-            headers_named("content-head_length").next().map(|header| parse_decimal(header.value));
+        let content_length = headers_named("content-length").next().map(|header| parse_decimal(header.value));
         (self.has_both_lengths, self.response_finished) = (chunked && content_length.is_some(), false);
         self.response_started = false;
         (self.head_end, self.read_wait) =
@@ -343,7 +358,7 @@
         };
     }
 
-    /// How much of what has come may go to hyper.
+    /// Number of bytes in the read buffer that may be handed to hyper now.
     pub fn deliverable_bytes(&mut self) -> usize {
         self.parse_head();
         match self.phase {
@@ -355,6 +370,7 @@
         }
     }
 
+    /// Hands up to `max_bytes` bytes to hyper.
     pub fn deliver(&mut self, buffer: &mut ReadBuf<'_>, max_bytes: usize) {
         let bytes = max_bytes.min(buffer.remaining());
         buffer.put_slice(&self.read_buffer[..bytes]);
@@ -368,12 +384,13 @@
             if *remaining == 0 {
                 self.phase = Phase::Complete;
                 self.last_byte_at = self.recent_reads.front().map_or_else(Instant::now, |(_, at)| *at);
-                self.start_next_request(); // its answer may have been given before its end came
+                self.start_next_request(); // the response may have finished before the request was complete
             }
         }
     }
 }
 
+/// Parses a number of decimal digits without a sign.
 pub fn parse_decimal(text: &[u8]) -> Option<u64> {
     let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(text).ok().filter(|_| digits)?.parse().ok()
--- a/src/proxy/minimum_rate.rs
+++ b/src/proxy/minimum_rate.rs
@@ -5,18 +5,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Lowest rate, in bytes a second, of an answer that goes on once its request's time is over. The slowest peers that are
-/// named make 64 kB a second; a sixty-fourth of that leaves room for pauses, and a byte now and then stays far below it.
+/// Lowest rate, in bytes a second, of an answer that goes on once its request's time is over. The slowest peers that
+/// are named make 64 kB a second; a sixty-fourth of that leaves room for pauses, and a byte now and then stays far
+/// below it.
 const MIN_RATE: u64 = 1000;
-/// The first window, from the end of the request's time on. With the recheck and a hold-up of the process for 0.1 s it
-/// ends within the half second in which a final answer is owed.
+/// The first window, from the end of the request's time on. With the recheck and a hold-up of the process for 0.1 s
+/// it ends within the half second in which a final answer is owed.
 const FIRST_WINDOW: Duration = Duration::from_millis(350);
 /// Each later window: a long answer may pause, but its rest must not be held back for longer.
 const LATER_WINDOW: Duration = Duration::from_secs(2);
 /// Wait before an answer is found too slow. A process that was held up finds the end of the window before the bytes
 /// that have come meanwhile.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// An answer, or a request that is passed on, is given up when nothing of it has come for so long, whatever time is left.
+/// An answer, or a request that is passed on, is given up when nothing of it has come for so long, whatever time is
+/// left.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Watches the rate of one answer. Only the time in which the upstream is waited for counts: while the caller takes
