--- a/src/proxy/minimum_rate.rs
+++ b/src/proxy/minimum_rate.rs
@@ -1,44 +1,43 @@
-//! A minimum rate for answers that are streamed: tells one that goes on from one that has stopped or drips.
+//! A minimum rate for streamed responses, to detect one that has stopped or is too slow.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Lowest rate, in bytes a second, of an answer that goes on once its request's time is over. The slowest peers that
-/// are named make 64 kB a second; a sixty-fourth of that leaves room for pauses, and a byte now and then stays far
-/// below it.
+/// Minimum rate of a response after the deadline of its request, in bytes per second. The slowest peers send 64 kB
+/// per second; a sixty-fourth of that allows for pauses, and a byte now and then stays far below it.
 const MIN_RATE: u64 = 1000;
-/// The first window, from the end of the request's time on. With the recheck and a hold-up of the process for 0.1 s
-/// it ends within the half second in which a final answer is owed.
+/// Length of the first window, which starts at the deadline of the request. Together with the recheck and a stall of
+/// the process for 0.1 s, it ends within the 0.5 s after the deadline in which the client must get a final response.
 const FIRST_WINDOW: Duration = Duration::from_millis(350);
-/// Each later window: a long answer may pause, but its rest must not be held back for longer.
+/// Length of each later window: a long response may pause, but its rest must not be delayed for longer.
 const LATER_WINDOW: Duration = Duration::from_secs(2);
-/// Wait before an answer is found too slow. A process that was held up finds the end of the window before the bytes
-/// that have come meanwhile.
+/// Delay before a response is declared too slow. After a stall of the process, the end of the window is seen before
+/// the bytes that were received meanwhile.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// An answer, or a request that is passed on, is given up when nothing of it has come for so long, whatever time is
-/// left.
+/// A response, or a request that is streamed upstream, is aborted when no bytes of it were received for this time,
+/// whatever its deadline.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Watches the rate of one answer. Only the time in which the upstream is waited for counts: while the caller takes
-/// nothing, the upstream is not asked for more.
+/// Monitors the rate of one response. Only the time spent waiting for the upstream counts: while the client does not
+/// read, nothing is read from the upstream.
 pub struct MinimumRate {
-    /// The window that bytes are counted in; `None` where the end of the request's time is not known.
+    /// The window in which bytes are counted; `None` if the deadline of the request is not known.
     window: Option<Window>,
-    /// Since when the next piece is waited for.
+    /// Start of the wait for the next bytes that is in progress.
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
 
 impl MinimumRate {
-    /// Watches an answer whose request's time ends then.
+    /// Monitors the response to a request with this deadline.
     pub fn new(deadline: Option<Instant>) -> Self {
         let window = deadline.map(|deadline| Window::new(deadline, FIRST_WINDOW));
         Self { window, waiting_since: None, timer: Box::pin(sleep_until(Instant::now() + IDLE_TIMEOUT)) }
     }
 
-    /// A piece of so many bytes has come.
+    /// Records that `bytes` bytes of the response were received.
     pub fn received(&mut self, bytes: usize) {
         let now = Instant::now();
         let waiting_since = self.waiting_since.take();
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Ready once the answer is too slow. To be polled whenever its next piece is waited for.
+    /// Becomes ready once the response is too slow. Must be polled whenever its next bytes are waited for.
     pub fn poll_too_slow(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.waiting_since.get_or_insert_with(Instant::now);
         let idle_end = since + IDLE_TIMEOUT;
@@ -72,21 +71,26 @@
     }
 }
 
-/// What has become of an answer at the end of a window.
+/// The result of the rate check at the end of a window.
 enum WindowResult {
+    /// Enough bytes were received; the next window starts.
     FastEnough,
+    /// Too few bytes were received, and they are counted again after a short delay.
     Recheck,
+    /// Too few bytes were received even after the recheck.
     TooSlow,
 }
 
-/// A stretch of time in which so many bytes have to come.
+/// A time window in which a number of bytes must be received.
 struct Window {
     start: Instant,
-    /// How long the upstream is waited for in it.
+    /// Time spent waiting for the upstream that the window covers.
     length: Duration,
+    /// Minimum number of bytes.
     required: u64,
+    /// Number of bytes received so far.
     received: u64,
-    /// How long the upstream was waited for, up to the latest piece.
+    /// Time spent waiting for the upstream, up to the latest bytes.
     waited: Duration,
     rechecked: bool,
 }
@@ -97,7 +101,7 @@
         Self { start, length, required, received: 0, waited: Duration::ZERO, rechecked: false }
     }
 
-    /// When it ends, if nothing more comes after this wait began.
+    /// When the window ends if no bytes are received from `waiting_since` on.
     fn end(&self, waiting_since: Instant) -> Instant {
         waiting_since.max(self.start) + self.length.saturating_sub(self.waited)
     }
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Lets it end so much later than now.
+    /// Moves the end of the window to `delay` from now.
     fn extend(&mut self, waiting_since: Instant, delay: Duration) {
         self.rechecked = true;
         self.length = self.waited + waiting_since.max(self.start).elapsed() + delay;
--- a/src/proxy/minimum_rate/tests.rs
+++ b/src/proxy/minimum_rate/tests.rs
@@ -6,7 +6,8 @@
     poll_fn(|cx| Poll::Ready(rate.poll_too_slow(cx).is_ready())).await
 }
 
-/// Guards an upstream whose caller takes nothing: only the time in which the upstream is waited for counts.
+/// Guards against aborting a response because its client reads slowly: only the time spent waiting for the upstream
+/// counts.
 #[tokio::test]
 async fn time_in_which_nothing_is_asked_for_does_not_count() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
@@ -17,25 +18,25 @@
     }
 }
 
-/// Guards an answer whose bytes wait in the kernel while the process is held up.
+/// Guards against aborting a response whose bytes wait in the kernel while the process is stalled.
 #[tokio::test]
 async fn a_window_that_ends_while_the_process_is_held_up_is_looked_at_again() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     assert!(!is_too_slow(&mut rate).await);
-    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // no await: the runtime hears of nothing
+    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // blocks the runtime, which is not notified of anything
     tokio::task::yield_now().await;
-    assert!(!is_too_slow(&mut rate).await, "the bytes may be there");
+    assert!(!is_too_slow(&mut rate).await, "the bytes may be in the kernel");
     rate.received(1000);
     assert!(!is_too_slow(&mut rate).await);
 }
 
-/// A window starts no sooner than the request's time ends, and ends in time.
+/// Guards against a window that starts before the deadline of the request or never ends.
 #[tokio::test]
 async fn an_answer_that_stops_is_too_slow_soon_after_its_time() {
     let time_left = Duration::from_millis(100);
     let started = Instant::now();
     let mut rate = MinimumRate::new(Some(started + time_left));
-    rate.received(100_000); // before the time is over
+    rate.received(100_000); // before the deadline
     poll_fn(|cx| rate.poll_too_slow(cx)).await;
     assert!(started.elapsed() >= time_left + FIRST_WINDOW + RECHECK_DELAY);
 }
