--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -1,4 +1,4 @@
-//! Which connections are accepted, and which make room for them.
+//! Accepts client connections, and evicts idle ones to make room for them.
 
 use crate::config::SURPLUS_CONNECTIONS;
 use crate::proxy::downstream::client::ClientHandle;
@@ -16,18 +16,21 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// Part of the room that connections without a call may fill, as one over this.
+/// Idle connections without a served request may use the connection limit divided by this.
 pub const UNSERVED_SHARE_DIVISOR: usize = 2;
 
-/// Connections that could not be taken, in a row.
+/// Consecutive failures to accept a connection.
 #[derive(Default)]
 pub struct AcceptFailures {
+    /// Number of failures.
     pub failures: u32,
+    /// The pauses between the attempts.
     pub backoff: Backoff,
 }
 
 impl DownstreamServer {
-    /// Cuts off the callers that take too long over a request. Guards the places of the others.
+    /// Periodically has overdue clients checked and disconnected, so that slow clients do not use up the connection
+    /// limit.
     pub async fn run_timeout_checks(self: Arc<Self>) {
         loop {
             sleep(TIMEOUT_CHECK_INTERVAL).await;
@@ -39,6 +42,7 @@
         }
     }
 
+    /// Accepts connections until the future is dropped.
     pub async fn accept_clients(
         self: &Arc<Self>,
         listener: &TcpListener,
@@ -53,7 +57,7 @@
                     self.accept_client(tcp, graceful_shutdown);
                 }
                 Err(error) => {
-                    crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
+                    crate::proxy::logging::log(format_args!("cannot take a client connection: {error}"));
                     let accept_failures = accept_failures.get_or_insert_default();
                     if is_shortage(&error) {
                         self.relieve_shortage(accept_failures);
@@ -65,25 +69,25 @@
         }
     }
 
-    /// Frees descriptors and memory where the lack of them was not over with a pause. Nobody who may have a request
-    /// on the way is closed for a lack of a moment.
+    /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Connections that may have a
+    /// request on the way are closed only for a persistent shortage.
     pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
         if accept_failures.failures == 0 {
             return;
         }
         self.dispatcher.send(DispatcherMessage::DescriptorShortage).ok();
         let is_persistent = accept_failures.failures >= PERSISTENT_SHORTAGE_FAILURES;
-        self.evict_idle_where(|idle, _| {
+        self.evict_idle_where(|state, _| {
             is_persistent
                 || matches!(
-                    idle,
+                    state,
                     IdleState::BetweenRequests | IdleState::UnrecognizedOnly | IdleState::Lingering
                 )
         });
     }
 
-    /// Waits until one more connection may be taken. The surplus is refused at once and the silent are sent away, so
-    /// that is soon.
+    /// Waits until one more connection may be accepted. That is soon, as surplus connections are rejected at once and
+    /// idle ones are evicted.
     pub async fn wait_for_capacity(&self) {
         while self.client_count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
             self.evict_idle();
@@ -91,31 +95,36 @@
         }
     }
 
+    /// Number of client connections.
     pub fn client_count(&self) -> usize {
         lock(&self.clients).len()
     }
 
-    /// Has an idle connection closed: one that has brought no call for a while goes before one that rests, and a
-    /// request that has begun goes last, as it would be lost; of each kind, the one idle for longest. Those without
-    /// a call have a part of the room, and where they fill it, one of them goes: a crowd pushes out nobody but
-    /// itself. One that is closed may be writing just now; its caller knows then that its request was not taken.
+    /// Evicts one idle connection, and returns whether there was one. A connection that has sent no known request for
+    /// a while is evicted before one between requests, and one with a partial request comes after those, as that
+    /// request would be lost; of each kind, the one idle for longest is evicted. Connections without a served request
+    /// may fill only a share of the limit. Once they exceed it, one of them is evicted, so that many of them cannot
+    /// displace clients that have been served. The evicted client may be sending right now; it then knows that its
+    /// request was not processed.
     pub fn evict_idle(&self) -> bool {
         self.evict_idle_where(|_, _| true)
     }
 
-    /// The same among those of which this holds.
+    /// Evicts one idle connection as `evict_idle` does, among those for which `is_candidate` holds.
     pub fn evict_idle_where(&self, is_candidate: impl Fn(IdleState, Instant) -> bool) -> bool {
         let clients = lock(&self.clients);
-        let idle = clients
+        let idle_clients = clients
             .values()
             .filter_map(|client| Some((lock(&client.connection.framing).idle_state()?, client)));
-        // One beyond the room that lingers holds no place in it.
-        let idle: Vec<_> =
-            idle.filter(|((idle, _), client)| *idle != IdleState::Lingering || !client.surplus).collect();
-        // Those on their way out hold their places until they are gone.
-        let unserved = idle.iter().filter(|((idle, _), _)| *idle != IdleState::BetweenRequests).count();
+        // A surplus connection that lingers uses no slot of the limit.
+        let idle_clients: Vec<_> = idle_clients
+            .filter(|((state, _), client)| *state != IdleState::Lingering || !client.surplus)
+            .collect();
+        // Evicted connections use their slots until they are closed.
+        let unserved =
+            idle_clients.iter().filter(|((state, _), _)| *state != IdleState::BetweenRequests).count();
         let unserved_exceed_share = unserved > self.config.limits.clients / UNSERVED_SHARE_DIVISOR;
-        let eviction_rank = |idle, since: Instant| match idle {
+        let eviction_rank = |state, since: Instant| match state {
             IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
             IdleState::Silent if since.elapsed() > NEW_CONNECTION_GRACE => 0,
             IdleState::BetweenRequests if !unserved_exceed_share => 1,
@@ -123,15 +132,17 @@
             IdleState::PartialHead => 3,
             IdleState::BetweenRequests => 4,
         };
-        let not_evicted = idle.into_iter().filter(|(_, client)| !client.evicted.load(Ordering::Relaxed));
-        let candidates = not_evicted.filter(|((idle, since), _)| is_candidate(*idle, *since));
-        let selected = candidates.min_by_key(|((idle, since), _)| (eviction_rank(*idle, *since), *since));
+        let not_evicted =
+            idle_clients.into_iter().filter(|(_, client)| !client.evicted.load(Ordering::Relaxed));
+        let candidates = not_evicted.filter(|((state, since), _)| is_candidate(*state, *since));
+        let selected = candidates.min_by_key(|((state, since), _)| (eviction_rank(*state, *since), *since));
         let Some((_, client)) = selected else { return false };
         client.evicted.store(true, Ordering::Relaxed);
         client.evict.notify_one();
         true
     }
 
+    /// Starts serving an accepted connection, evicting an idle one if the limit is reached.
     pub fn accept_client(self: &Arc<Self>, tcp: TcpStream, graceful_shutdown: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
         let surplus = self.client_count() >= self.config.limits.clients && !self.evict_idle();
--- a/src/proxy/downstream/client.rs
+++ b/src/proxy/downstream/client.rs
@@ -1,18 +1,19 @@
-//! A client's connection, as the other parts of this side see it.
+//! The handle by which other tasks control a client connection.
 
 use crate::proxy::downstream::connection::ClientConnection;
 use std::sync::atomic::AtomicBool;
 use tokio::sync::Notify;
 
-/// A client's connection, as the tasks other than its own use it.
+/// A client connection, as used by tasks other than the one that serves it.
 pub struct ClientHandle {
-    /// Beyond the connections that may be served: its requests are refused at once.
+    /// The connection exceeds the limit: its requests are rejected at once.
     pub surplus: bool,
+    /// The socket and its framing state.
     pub connection: ClientConnection,
-    /// It is on its way out.
+    /// The connection was selected to be closed in favor of another one.
     pub evicted: AtomicBool,
-    /// It is to be closed between requests.
+    /// Notified on eviction: the connection is closed between requests, and no longer lingers.
     pub evict: Notify,
-    /// It is to be looked at: it may be overdue, or the process ends.
+    /// Notified when the connection may be overdue or the process is shutting down.
     pub check_timeout: Notify,
 }
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -1,4 +1,4 @@
-//! The task that serves a client's connection, and its place among the others.
+//! The task that serves a client connection.
 
 use crate::proxy::body::response_body::ResponseBody;
 use crate::proxy::downstream::DownstreamServer;
@@ -22,13 +22,16 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// hyper's buffer for what a caller sends: beyond a head, it only makes bodies come in larger pieces.
+/// Size of hyper's read buffer, in bytes. A head needs half of that; the rest lets bodies be read in larger pieces.
 pub const READ_BUFFER_SIZE: usize = 2 * MAX_HEAD_SIZE;
 
 /// Serves one client connection, and removes it from the server's table on drop.
 pub struct ClientTask {
+    /// The server that the connection belongs to.
     pub server: Arc<DownstreamServer>,
+    /// The key of the connection in the server's table.
     pub client_id: u64,
+    /// The connection.
     pub client: Arc<ClientHandle>,
 }
 
@@ -40,18 +43,18 @@
 }
 
 impl ClientTask {
-    /// Serves a connection to its end. A panic ends this connection alone, and not without an answer.
+    /// Serves the connection until it is closed. A panic closes only this connection, after a response if one is due.
     pub async fn serve(self, stream: SingleRequestStream, graceful_shutdown: watch::Receiver<bool>) {
         let reason = catch_panic(self.serve_requests(stream, graceful_shutdown))
             .await
             .unwrap_or(CloseReason::Panicked);
         if reason == CloseReason::Panicked {
-            crate::proxy::logging::log(format_args!("the task of a client's connection has panicked"));
+            crate::proxy::logging::log(format_args!("the task that serves a client connection has panicked"));
         }
         self.client.connection.close(reason, self.client.evict.notified()).await;
     }
 
-    /// Has requests answered until the connection is not to be served any longer.
+    /// Serves requests until the connection is to be closed, and returns why.
     pub async fn serve_requests(
         &self,
         stream: SingleRequestStream,
@@ -64,7 +67,7 @@
             .max_buf_size(READ_BUFFER_SIZE)
             .serve_connection(TokioIo::new(stream), service);
         let mut http_connection = std::pin::pin!(http_connection);
-        // How long a connection on which nothing has come is kept, once it is to be closed between requests.
+        // Once the connection is to be closed between requests: how long it stays open if nothing was received on it.
         let mut silent_grace = None;
         let mut evicted = false;
         loop {
@@ -77,11 +80,12 @@
                 http_connection.as_mut().graceful_shutdown();
             }
             tokio::select! {
-                biased; // a request that has come is read before its connection is closed between requests
+                biased; // a request that was received is read before the connection is closed between requests
                 _ = http_connection.as_mut() => return CloseReason::Done,
                 () = self.client.check_timeout.notified() => {
-                    // What has come in this moment is read first.
-                    let read_time = if client_connection.has_unread_bytes() { TIMEOUT_CHECK_INTERVAL / 10 } else { Duration::ZERO };
+                    // Bytes that were just received are read first.
+                    let read_time =
+                        if client_connection.has_unread_bytes() { TIMEOUT_CHECK_INTERVAL / 10 } else { Duration::ZERO };
                     tokio::select! {
                         biased;
                         _ = http_connection.as_mut() => return CloseReason::Done,
@@ -94,7 +98,9 @@
                         return CloseReason::Overdue;
                     }
                 }
-                () = async { drop(graceful_shutdown.wait_for(|started| *started).await) }, if silent_grace.is_none() => {
+                () = async { drop(graceful_shutdown.wait_for(|started| *started).await) },
+                    if silent_grace.is_none() =>
+                {
                     silent_grace = Some(NEW_CONNECTION_GRACE);
                 }
                 () = self.client.evict.notified() => {
@@ -105,6 +111,7 @@
         }
     }
 
+    /// Answers a request, and decides whether the connection is closed after the response.
     pub async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let has_known_class = self.server.class_of(&request).is_some();
         let mut response = match self.client.surplus {
@@ -112,9 +119,9 @@
             false => self.server.handle_request(request, &self.client.connection).await,
         };
         let mut framing = lock(&self.client.connection.framing);
-        // One that has begun to come behind this one was read: it is answered before the connection ends.
+        // If a part of the next request was read, that request is answered before the connection is closed.
         let closes_connection = self.closes_after_response() && !framing.has_pipelined_bytes();
-        // What is left of a request that was answered early is not waited for.
+        // The rest of a request that was answered early is not waited for.
         let is_early = response.body().is_fully_buffered() && framing.outstanding() > 0;
         if closes_connection || is_early || framing.must_be_last() || framing.has_both_lengths() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -126,7 +133,7 @@
         response
     }
 
-    /// Whether the connection is to end with an answer.
+    /// Whether the connection is closed after its next response.
     pub fn closes_after_response(&self) -> bool {
         let evicted = self.client.evicted.load(Ordering::Relaxed);
         self.client.surplus || evicted || self.server.draining.load(Ordering::Relaxed)
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -15,8 +15,8 @@
 
 /// How long a connection stays half-closed after the last response, for the client to read that.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Max bytes of an answered request that are read and dropped. To read more would suggest that the request is still
-/// being processed.
+/// Maximum bytes of an answered request that are read and dropped. To read more would suggest that the request is
+/// still being processed.
 const MAX_DISCARDED_BYTES: u64 = 1 << 20;
 /// Size of the buffer for reading them, in bytes.
 const DISCARD_BUFFER_SIZE: usize = 8 << 10;
@@ -35,7 +35,7 @@
     Done,
     /// The client takes too long to send its request or to read its response.
     Overdue,
-    /// Its slot is needed for another client.
+    /// The slot is needed for another client.
     Evicted,
     /// The process is shutting down.
     Shutdown,
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct ClientConnection {
     pub(super) tcp: Arc<TcpStream>,
-    /// The requests on this connection.
+    /// The state of the requests on this connection.
     pub framing: Arc<Mutex<RequestFraming>>,
 }
 
@@ -117,10 +117,10 @@
 }
 
 fn socket_state(tcp: &TcpStream) -> SocketState {
-    let socket = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are always reported
+    let poll_fds = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are always reported
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let polled = retry_on_intr(|| poll(socket, Some(&no_wait)));
-    let events = if polled.is_ok() { socket[0].revents() } else { PollFlags::empty() };
+    let polled = retry_on_intr(|| poll(poll_fds, Some(&no_wait)));
+    let events = if polled.is_ok() { poll_fds[0].revents() } else { PollFlags::empty() };
     match events {
         events if events.is_empty() => SocketState::Idle,
         PollFlags::IN => SocketState::Readable,
@@ -130,7 +130,7 @@
 
 /// A stream that hands hyper no byte of a request before the previous request is answered. This way a client's
 /// disconnect is detected while its request is open, a deadline can be counted from the last byte of the request, and
-/// connections that are idle or have a partial request can be told from those with an open request.
+/// connections that are idle or have a partial request can be distinguished from those with an open request.
 pub struct SingleRequestStream(ClientConnection);
 
 impl SingleRequestStream {
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -1,4 +1,4 @@
-//! The end: the backlog, the last answers, and how long clients are still served.
+//! Draining before the process exits: the backlog, the last responses, and how long clients are still served.
 
 use crate::proxy::downstream::DownstreamServer;
 use crate::proxy::downstream::closing::LINGER_TIMEOUT;
@@ -13,39 +13,42 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// How long callers are still served after a signal to stop, at least: they hear of it late.
+/// Minimum time that clients are still served after a stop signal, as they learn of it with a delay.
 pub const MIN_DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// The kill comes no sooner after the signal than the longest deadline, counted as the first of these where it
-/// is longer, and the second. Other balancers may be down until then, so callers are served for as long as the
-/// module's answers still come in time, with a margin.
+/// The process is killed no sooner after the stop signal than the longest deadline, capped at the first value, plus
+/// the second value. Other balancers may be down until then, so clients are served as long as the decision module's
+/// responses still arrive in time.
 pub const KILL_DELAY: (Duration, Duration) = (Duration::from_secs(3), Duration::from_millis(700));
 
+/// Time left between the last responses and the kill.
 pub const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// Pause among new connections after which no more are waited for then.
+/// Time without a new connection after which the backlog counts as empty.
 pub const BACKLOG_EMPTY_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Connections that a listener's backlog holds at most.
+/// Maximum number of connections in a listener's backlog.
 pub const MAX_BACKLOG: usize = 4096;
 
-/// Added to the longest deadline or the patience, so long may answers take after the last connection was taken.
+/// Added to the longest deadline or the request read timeout, whichever is longer: the sum is how long responses may
+/// take after the last connection was accepted.
 pub const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(60);
 
+/// The longest deadline of all classes, in nanoseconds.
 pub fn longest_deadline(settings: &Settings) -> u64 {
     settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
 }
 
 impl DownstreamServer {
-    /// Answers what is still open when the process ends: dropped with its task, it would get no answer.
+    /// Answers all open requests before the process exits; dropped with its task, a request would get no response.
     pub async fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
         lock(&self.clients).values().for_each(|client| client.check_timeout.notify_one());
         timeout(TIMEOUT_CHECK_INTERVAL + LINGER_TIMEOUT, self.wait_for_all_closed()).await.ok();
     }
 
-    /// Takes what waits in the backlog, and closes the listener. Who comes later is taken as well, as nobody can
-    /// tell, but no more than a backlog holds.
+    /// Accepts the connections in the backlog, and closes the listener. Connections that arrive meanwhile are
+    /// accepted, too, as they cannot be distinguished from those, but no more in all than a backlog holds.
     pub async fn accept_backlog(
         self: Arc<Self>,
         listener: TcpListener,
@@ -59,9 +62,11 @@
                     backoff = Backoff::default();
                     self.accept_client(tcp, &graceful_shutdown);
                 }
-                // The others still wait: closing the listener would reset them.
+                // Other connections still wait, and closing the listener would reset them.
                 Ok(Err(error)) => {
-                    crate::proxy::logging::log(format_args!("cannot take a connection: {error}"));
+                    crate::proxy::logging::log(format_args!(
+                        "cannot take a client connection from the backlog: {error}"
+                    ));
                     sleep(backoff.pause()).await;
                 }
                 Err(_) => return,
@@ -69,13 +74,14 @@
         }
     }
 
+    /// Waits until all client connections are closed.
     pub async fn wait_for_all_closed(&self) {
         while self.client_count() > 0 {
             self.client_closed.notified().await;
         }
     }
 
-    /// How long callers are still served after a signal to stop.
+    /// How long clients are still served after a stop signal.
     pub fn drain_time(&self) -> Duration {
         let settings = &self.config.settings;
         let kill_delay = Duration::from_nanos(longest_deadline(settings)).min(KILL_DELAY.0) + KILL_DELAY.1;
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -1,4 +1,4 @@
-//! What a request holds and gives back when it is dropped.
+//! Guards that release the resources of a request on drop.
 
 use crate::proxy::body::memory::MemoryPermit;
 use crate::proxy::downstream::request_framing::RequestFraming;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Tells the dispatcher on drop that the client has disconnected, unless its response was sent.
+/// Notifies the dispatcher on drop that the client has disconnected, unless the id was cleared.
 pub struct CancelOnDrop<'a>(pub Option<RequestId>, pub &'a UnboundedSender<DispatcherMessage>);
 
 impl Drop for CancelOnDrop<'_> {
@@ -21,11 +21,12 @@
     }
 }
 
-/// Reserves the id that a client gave its request. A second open request with the same id is refused: endpoints and
+/// Reserves the id that a client gave its request. A second open request with the same id is rejected: endpoints and
 /// clients could not tell the two responses apart.
 pub struct RequestIdGuard(pub Arc<Mutex<HashSet<String>>>, pub String);
 
 impl RequestIdGuard {
+    /// Reserves the id, or returns `None` if a request with the same id is open.
     pub fn try_reserve(open_request_ids: &Arc<Mutex<HashSet<String>>>, request_id: String) -> Option<Self> {
         lock(open_request_ids).insert(request_id.clone()).then(|| Self(open_request_ids.clone(), request_id))
     }
@@ -39,10 +40,13 @@
 
 /// The resources that a request holds until its response has ended.
 pub struct RequestGuard {
-    /// Its connection, where its answer goes on after it has begun.
+    /// The framing state of the client connection, if the response is streamed.
     pub framing: Option<Arc<Mutex<RequestFraming>>>,
+    /// Counts the request as in flight, once it is complete.
     pub _in_flight: Option<InFlightGuard>,
+    /// The reserved id of the request.
     pub _request_id: RequestIdGuard,
+    /// The memory reserved for the body.
     pub _memory_permit: MemoryPermit,
 }
 
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: takes connections, reads and checks requests, writes answers.
+//! The downstream side: accepts client connections, reads and validates requests, and writes responses.
 
 mod admission;
 mod client;
@@ -24,37 +24,45 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
 
-/// Failures in a row, some 0.2 s with their pauses, after which a lack of descriptors is no matter of a moment. They
-/// are counted and not timed: the process may have been held up itself.
+/// Number of consecutive failures to accept after which a shortage of descriptors counts as persistent; with the
+/// pauses between them, about 0.2 s. Failures are counted rather than timed, as the process itself may have been
+/// stalled.
 const PERSISTENT_SHORTAGE_FAILURES: u32 = 8;
 
 /// The state that all client connections share.
 pub struct DownstreamServer {
+    /// The configuration of this process.
     pub config: Arc<Config>,
+    /// The sender of messages to the dispatcher.
     pub dispatcher: UnboundedSender<DispatcherMessage>,
+    /// Whether the balancer is ready to serve, as reported by health checks.
     pub ready: watch::Receiver<bool>,
-    /// Whether the first list has been told: before that, nothing is sent on.
+    /// Whether the first endpoint list was received: before that, no request is dispatched.
     pub first_list_received: watch::Receiver<bool>,
+    /// The request counters.
     pub counters: Arc<Counters>,
+    /// The id for the next request.
     pub next_request_id: AtomicU32,
+    /// The id for the next client connection.
     pub next_client_id: AtomicU64,
+    /// The client connections by their ids.
     pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
-    /// The callers' own ids of the requests that are open.
+    /// The X-Call-Id values of the open requests.
     pub open_request_ids: Arc<Mutex<HashSet<String>>>,
-    /// What bodies may hold of the memory.
+    /// The memory limit of buffered bodies.
     pub body_memory: Arc<BodyMemory>,
-    /// A caller's connection has ended.
+    /// Notified when a client connection is closed.
     pub client_closed: Notify,
-    /// Another process takes the new connections, or nobody does: each answer is the last on its own.
+    /// New connections go to another process or to none: each connection is closed after its next response.
     pub draining: AtomicBool,
-    /// The answer to what comes now might come too late: it is refused.
+    /// New requests are rejected, as they might not be answered before the process is killed.
     pub rejecting: AtomicBool,
-    /// The process ends: whatever is open is answered now.
+    /// The process is shutting down: each open request is answered at once.
     pub shutting_down: AtomicBool,
 }
 
 impl DownstreamServer {
-    /// Creates a server that passes its requests to the dispatcher.
+    /// Creates a server that hands its requests to the dispatcher.
     pub fn new(
         config: Arc<Config>,
         dispatcher: UnboundedSender<DispatcherMessage>,
@@ -80,7 +88,7 @@
         }
     }
 
-    /// Waits until the first list is told.
+    /// Waits until the first endpoint list was received.
     async fn wait_for_first_list(&self) {
         self.first_list_received.clone().wait_for(|first_list_received| *first_list_received).await.ok();
     }
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -21,27 +21,27 @@
     ForCompleteRequest,
 }
 
-/// Max bytes that may follow a request before its response. Beyond that, the client counts as disconnected and no
+/// Maximum bytes that may follow a request before its response. Beyond that, the client counts as disconnected and no
 /// further attempt is made for the request: a regular client sends one request at a time. The limit is below what the
 /// kernel buffers for a connection that is not read. Up to the limit, the client's FIN can be seen; beyond it, the
 /// FIN may wait in the client's send queue.
 pub const MAX_PIPELINED_BYTES: u64 = 48 << 10;
-/// Max size of a request head, in bytes. Upstreams may refuse a larger one, and it would use up memory.
+/// Maximum size of a request head, in bytes. Upstreams may refuse a larger one, and it would use up memory.
 pub const MAX_HEAD_SIZE: usize = 8 << 10;
 
-/// Max bytes in the read buffer. Bytes beyond that are dropped while a request is open.
+/// Maximum bytes in the read buffer. Bytes beyond that are dropped while a request is open.
 pub const MAX_READ_AHEAD: usize = 2 * MAX_HEAD_SIZE;
 
-/// Max number of headers in a request, the same as in hyper.
+/// Maximum number of headers in a request, the same as in hyper.
 pub const MAX_HEADERS: usize = 100;
 
-/// Min rate of a request body after the grace period, in bytes per second: half the rate of the slowest client.
+/// Minimum rate of a request body after the grace period, in bytes per second: half the rate of the slowest client.
 pub const MIN_BODY_RATE: f64 = 32e3;
 
 /// Time spent waiting for a body that does not count towards its rate.
 pub const BODY_RATE_GRACE: Duration = Duration::from_millis(700);
 
-/// Max pause within a body. A client that has stopped sending gets an error, however much it sent before.
+/// Maximum pause within a body. A client that has stopped sending gets an error, however much it sent before.
 pub const MAX_BODY_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long a client may accept no bytes of its response.
@@ -162,18 +162,18 @@
         if self.lingering {
             return Some((IdleState::Lingering, last_read));
         }
-        let idle = match (self.read_buffer.is_empty(), self.known_class_served) {
+        let state = match (self.read_buffer.is_empty(), self.known_class_served) {
             (true, false) if self.response_count > 0 => IdleState::UnrecognizedOnly,
             (true, false) => IdleState::Silent,
             (true, true) => IdleState::BetweenRequests,
             (false, _) => IdleState::PartialHead,
         };
-        (self.phase == Phase::Head).then_some((idle, last_read))
+        (self.phase == Phase::Head).then_some((state, last_read))
     }
 
     /// Whether the client has not sent a whole request within `timeout`, or has stopped reading its response. A
     /// connection that has served a known class may stay idle between requests, and a body may take longer if it
-    /// meets the min rate.
+    /// meets the minimum rate.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
         let is_stalled =
             self.response_stalled_since.is_some_and(|since| since.elapsed() > RESPONSE_STALL_TIMEOUT);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Max bytes of the current request that may still be received; `u64::MAX` if its length is not known.
+    /// Maximum bytes of the current request that may still be received; `u64::MAX` if its length is not known.
     pub fn outstanding(&self) -> u64 {
         match self.phase {
             Phase::Head if self.read_buffer.is_empty() => 0,
@@ -392,6 +392,6 @@
 
 /// Parses a number of decimal digits without a sign.
 pub fn parse_decimal(text: &[u8]) -> Option<u64> {
-    let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(text).ok().filter(|_| digits)?.parse().ok()
+    let all_digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(text).ok().filter(|_| all_digits)?.parse().ok()
 }
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: they are read, checked, and handed to the dispatcher.
+//! Reads and validates requests, hands them to the dispatcher, and turns its results into responses.
 
 use crate::proxy::body::buffer::{BufferedBody, buffer_body};
 use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
@@ -24,23 +24,30 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// No caller waits for longer.
+/// Maximum time that a client may wait for its response.
 pub const MAX_BUDGET: Duration = Duration::from_secs(3600);
 
 /// The parameters of a request, from its path and headers.
 pub struct RequestParameters {
+    /// The client's id for the request.
     pub call_id: String,
+    /// The index of the request's class.
     pub class: usize,
+    /// The index of the request's tenant.
     pub tenant: usize,
+    /// How long the client waits for the response.
     pub budget: Duration,
+    /// The expected work in nanoseconds, if the client states it.
     pub work: Option<u64>,
 }
 
+/// The value of a header, if it is present and visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 impl DownstreamServer {
+    /// Rejects a request on a connection that exceeds the limit.
     pub fn reject_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class_of(request) {
             Some(class) => self.reject(class),
@@ -48,18 +55,19 @@
         }
     }
 
-    /// Refuses a request of a class that nobody has heard of yet.
+    /// Rejects a request that the dispatcher was not notified of, and counts the rejection for its class.
     pub fn reject(&self, class: usize) -> Response<ResponseBody> {
         self.counters.count(class, RequestOutcome::Busy);
         rejection(REJECTION_RETRY_AFTER)
     }
 
-    /// The class that a request's path names.
+    /// The class that is named in the path of a request.
     pub fn class_of(&self, request: &Request<Incoming>) -> Option<usize> {
         let class_in_path = request.uri().path().split('/').nth(1)?;
         self.config.names.classes.iter().position(|class| class == class_in_path)
     }
 
+    /// Answers a health check or a request for a class.
     pub async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -82,6 +90,7 @@
         }
     }
 
+    /// Validates a request for a class, has it dispatched, and returns the response or the error to answer with.
     pub async fn handle_class_request(
         &self,
         request: Request<Incoming>,
@@ -114,7 +123,7 @@
                 Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
             };
         let provisional_deadline = Instant::now() + parameters.budget;
-        // Read before it waits, so that its time runs meanwhile.
+        // The request is read before this wait, so that its budget runs out meanwhile.
         let is_list_received = timeout(parameters.budget, self.wait_for_first_list()).await.is_ok();
         if !is_list_received || self.rejecting.load(Ordering::Relaxed) {
             return Ok(self.reject(parameters.class));
@@ -143,7 +152,7 @@
         let client_request =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender };
         self.dispatcher.send(DispatcherMessage::Request(Box::new(client_request))).ok();
-        let disconnected = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // nobody reads this
+        let disconnected = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // the client cannot read this
         let early_response = match remainder_received {
             None => None,
             Some(remainder_received) => tokio::select! {
@@ -153,7 +162,7 @@
                     None
                 }
                 final_response = &mut response_receiver => Some(final_response),
-                // Nobody reads on while an attempt waits for its connection.
+                // Nobody reads the body while an attempt waits for its connection, which would hide a disconnect.
                 () = connection.wait_for_hangup() => return disconnected,
             },
         };
@@ -162,7 +171,7 @@
             None => tokio::select! {
                 biased;
                 final_response = response_receiver => final_response,
-                () = connection.wait_for_disconnect() => return disconnected, // with it the request is given up
+                () = connection.wait_for_disconnect() => return disconnected, // the dropped guard cancels the request
             },
         };
         cancel_on_drop.0 = None;
@@ -172,12 +181,12 @@
                 let content_length =
                     response.headers().get(CONTENT_LENGTH).filter(|_| is_head_request).cloned();
                 remove_hop_by_hop_headers(response.headers_mut());
-                // The length of what a HEAD does not bring is for its caller to know.
+                // The response to HEAD has no body, but its Content-Length is for the client.
                 content_length
                     .map(|content_length| response.headers_mut().insert(CONTENT_LENGTH, content_length));
                 if !response.body().is_fully_buffered() {
                     guard.framing = Some(framing.clone());
-                    // Without chunks, the end of the connection is that of the body.
+                    // Without chunked encoding the body ends with the connection; only an RST can report an abort.
                     if is_http_1_0 && response.body().size_hint().exact().is_none() {
                         let framing = framing.clone();
                         response.body_mut().on_abort(move || lock(&framing).reset_on_close = true);
@@ -191,7 +200,7 @@
         })
     }
 
-    /// What a request asks for, or why it cannot be taken.
+    /// Parses the parameters of a request, or returns the error to answer with.
     pub fn parse_parameters(
         &self,
         request: &Request<Incoming>,
@@ -215,7 +224,7 @@
         if request.method() != method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n"));
         }
-        // What is there twice may be read one way here and another way by the upstream.
+        // The balancer and the upstream might use different values of a duplicate header.
         for name in ["x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-cost", "idempotency-key"] {
             if headers.get_all(name).iter().nth(1).is_some() {
                 return Err(bad_request("a header is there twice\n"));
--- a/src/proxy/downstream/responses.rs
+++ b/src/proxy/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Responses that the balancer makes by itself, and headers that end here.
+//! Responses that the balancer generates, and the removal of hop-by-hop headers.
 
 use crate::proxy::body::response_body::ResponseBody;
 use hyper::header::{
@@ -8,16 +8,17 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// How long a surplus caller is to stay away, and one whose body found no room.
+/// Retry-After for requests that are rejected before they are dispatched.
 pub const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(500);
 
+/// A response without a body.
 pub fn empty_response(code: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::default());
     *response.status_mut() = code;
     response
 }
 
-/// A refusal, with advice on how long to stay away unless that is zero.
+/// A rejection, with a Retry-After header unless that time is zero.
 pub fn rejection(retry_after: Duration) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > Duration::ZERO
@@ -28,7 +29,7 @@
     response
 }
 
-/// Leaves the headers that are meant for the other end, not for this connection.
+/// Removes the headers that concern only this connection, and load reports, which are meant for the balancer.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/proxy/downstream/serving.rs
+++ b/src/proxy/downstream/serving.rs
@@ -1,4 +1,4 @@
-//! Serves clients from the first endpoint list until all is answered behind a signal to stop.
+//! Serves clients until a stop signal, and then until all requests are answered.
 
 use crate::proxy::downstream::DownstreamServer;
 use crate::proxy::downstream::draining::{BACKLOG_EMPTY_TIMEOUT, FINAL_RESPONSE_MARGIN, longest_deadline};
@@ -12,7 +12,8 @@
 use tokio::time::{sleep, timeout};
 
 impl DownstreamServer {
-    /// Serves until told to stop, then for a while longer, and returns when all is answered.
+    /// Serves until a stop is requested and for the drain time after that, and returns when all requests are
+    /// answered.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let timeout_checks = tokio::spawn(server.clone().run_timeout_checks());
@@ -30,22 +31,23 @@
         }
         let mut backlog_task = None;
         if shares_listener {
-            // The next process takes what waits in the backlog. The callers we have may be writing just now:
-            // they are sent to it one by one, with their answers.
+            // The next process accepts the connections in the backlog. Connected clients may be sending right now:
+            // each is moved to that process by closing its connection after the next response.
             drop(listener);
             server.draining.store(true, Ordering::Relaxed);
             timeout(server.drain_time(), server.wait_for_all_closed()).await.ok();
         } else {
-            // What waits in the backlog counts as taken, and closing the listener would reset it.
+            // Connections in the backlog count as accepted, and closing the listener would reset them.
             let accept_task =
                 backlog_task.insert(tokio::spawn(server.clone().accept_backlog(listener, graceful_shutdown)));
             timeout(10 * BACKLOG_EMPTY_TIMEOUT, accept_task).await.ok();
         }
         server.draining.store(true, Ordering::Relaxed);
         start_graceful_shutdown.send_replace(true);
-        timeout(10 * BACKLOG_EMPTY_TIMEOUT, server.wait_for_all_closed()).await.ok(); // what was just taken still has its time
+        // Connections that were just accepted still get time to send a request.
+        timeout(10 * BACKLOG_EMPTY_TIMEOUT, server.wait_for_all_closed()).await.ok();
         server.rejecting.store(true, Ordering::Relaxed);
-        // Where the process was held up, the backlog is not empty yet: its callers are refused, not reset.
+        // If the process was stalled, the backlog is not empty yet: its clients get a rejection instead of a reset.
         let all_answered = async {
             if let Some(accept_task) = backlog_task.as_mut().filter(|accept_task| !accept_task.is_finished())
             {
--- a/src/proxy/downstream/timing.rs
+++ b/src/proxy/downstream/timing.rs
@@ -1,12 +1,13 @@
-//! How long clients may take, and how often that is looked at.
+//! Timeouts for client connections, and how often they are checked.
 
 use std::time::Duration;
 
-/// How long a caller may take over a request, the first one from its connecting on; and how often that is
-/// looked at. Together they stay under the 3 s after which one that sends nothing whole is owed an end.
+/// How long a client may take to send a request; for the first one, counted from the connect. Together with the check
+/// interval, this stays below the 3 s after which a client without a complete request must be disconnected.
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
+/// Time between two checks for overdue clients.
 pub const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A new connection may bring its call a little later.
+/// How long a new connection is kept while nothing was received on it, as its first request may be on the way.
 pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
