--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -1,5 +1,5 @@
-//! How a connection to a client ends: what is still owed on it is answered, and the close resets nothing that the
-//! client has yet to read.
+//! Closing a client connection: sends the response that is still due, and avoids a reset that would discard data
+//! before the client has read it.
 
 use crate::proxy::downstream::connection::ClientConnection;
 use crate::proxy::downstream::request_framing::PendingResponse;
@@ -13,117 +13,120 @@
 use tokio::io::Interest;
 use tokio::time::timeout;
 
-/// How long a connection stays half open behind its last answer for the client to read that.
-pub const LINGER: Duration = Duration::from_millis(500);
-/// Bytes of an answered request that are read and dropped at most: more would be taken for work on it.
-const MOST_DISCARDED: u64 = 1 << 20;
-/// Bytes of it that are read at a time.
-const DISCARD_BUFFER: usize = 8 << 10;
+/// How long a connection stays half-closed after the last response, for the client to read that.
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum bytes of an answered request that are read and dropped. To read more would suggest that the request is
+/// still being processed.
+const MAX_DISCARDED_BYTES: u64 = 1 << 20;
+/// Size of the buffer for reading them, in bytes.
+const DISCARD_BUFFER_SIZE: usize = 8 << 10;
 
-const REQUEST_TIMEOUT: &[u8] =
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const BAD_GATEWAY: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const SERVICE_UNAVAILABLE: &[u8] =
+const BAD_GATEWAY_RESPONSE: &[u8] =
+    b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.500\r\nContent-Length: 0\r\n\r\n";
 
 /// Why a client connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its last answer is written, or the client has gone.
+    /// The last response is written, or the client has disconnected.
     Done,
-    /// The client takes too long.
+    /// The client takes too long to send its request or to read its response.
     Overdue,
-    /// Its place is needed for another client.
-    NoRoom,
-    /// The process ends.
+    /// The slot is needed for another client.
+    Evicted,
+    /// The process is shutting down.
     Shutdown,
-    /// Its task has panicked.
+    /// The task that serves the connection has panicked.
     Panicked,
 }
 
 impl ClientConnection {
-    /// Ends a connection: answers what is owed, ends the sending, and waits until the client has read that, unless its
-    /// place is needed.
-    pub async fn close(&self, reason: CloseReason, place_needed: impl Future<Output = ()>) {
+    /// Closes the connection: sends the response that is still due, shuts down the sending side, and lingers until
+    /// the client has read everything, unless the slot is needed for another client.
+    pub async fn close(&self, reason: CloseReason, eviction: impl Future<Output = ()>) {
         let pending_response = lock(&self.framing).pending_response();
-        if let Some(answer) = final_answer(reason, pending_response) {
-            timeout(LINGER, self.write_whole(answer)).await.ok();
+        if let Some(response) = closing_response(reason, pending_response) {
+            timeout(LINGER_TIMEOUT, self.write_response(response)).await.ok();
         }
-        if lock(&self.framing).resets || !self.holds_unread() {
+        if lock(&self.framing).reset_on_close || !self.would_reset_on_close() {
             return;
         }
-        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error is an end as well
-        let outstanding = lock(&self.framing).lingers().min(MOST_DISCARDED);
-        // What has come already is read in any case.
-        let linger = if reason == CloseReason::NoRoom { Duration::ZERO } else { LINGER };
+        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // after an error the connection is closed, too
+        let outstanding = lock(&self.framing).start_lingering().min(MAX_DISCARDED_BYTES);
+        // Bytes that were already received are read in any case.
+        let linger = if reason == CloseReason::Evicted { Duration::ZERO } else { LINGER_TIMEOUT };
         tokio::select! {
             biased;
-            _ = timeout(linger, self.drained(outstanding)) => {}
-            () = place_needed => {}
+            _ = timeout(linger, self.discard_until_closed(outstanding)) => {}
+            () = eviction => {}
         }
     }
 
-    /// Writes an answer beside the HTTP library, that has written none and will not.
-    async fn write_whole(&self, mut answer: &[u8]) {
-        while !answer.is_empty() && self.tcp.writable().await.is_ok() {
-            match self.tcp.try_write(answer) {
-                Ok(written) => answer = &answer[written..],
-                Err(error) if is_passing(error.kind()) => {}
-                Err(_) => return, // a client that has just gone needs none
+    /// Writes a response past hyper, which has not written one and will not do so.
+    async fn write_response(&self, mut response: &[u8]) {
+        while !response.is_empty() && self.tcp.writable().await.is_ok() {
+            match self.tcp.try_write(response) {
+                Ok(written) => response = &response[written..],
+                Err(error) if is_retryable(error.kind()) => {}
+                Err(_) => return, // a client that has disconnected needs no response
             }
         }
     }
 
-    /// Whether a close would reset the connection, now or when the rest of the present request comes.
-    fn holds_unread(&self) -> bool {
-        let gone = self.peeked() == Some(0);
+    /// Whether closing would reset the connection, now or when the rest of the current request is received.
+    fn would_reset_on_close(&self) -> bool {
+        let is_closed_by_client = self.peek_length() == Some(0);
         let framing = lock(&self.framing);
-        !gone && !framing.ended() && framing.outstanding() > 0 || self.has_bytes()
+        !is_closed_by_client && !framing.eof_received() && framing.outstanding() > 0
+            || self.has_unread_bytes()
     }
 
-    /// Bytes that the kernel holds, one at most: also those that the runtime has not heard of. `None` for no byte and
-    /// no end.
-    fn peeked(&self) -> Option<usize> {
+    /// Peeks at most one byte, which shows also bytes that the runtime has not been notified of. Returns 0 after the
+    /// client's FIN or an error, and `None` if there is nothing to read.
+    fn peek_length(&self) -> Option<usize> {
         match SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(bytes) => Some(bytes),
+            Ok(length) => Some(length),
             Err(error) if error.raw_os_error() == Some(Errno::AGAIN.raw_os_error()) => None,
             Err(_) => Some(0),
         }
     }
 
-    /// Whether the kernel holds bytes that were not read.
-    pub fn has_bytes(&self) -> bool {
-        self.peeked().is_some_and(|bytes| bytes > 0)
+    /// Whether the kernel has unread bytes.
+    pub fn has_unread_bytes(&self) -> bool {
+        self.peek_length().is_some_and(|length| length > 0)
     }
 
-    /// Reads what is left of the answered request, and waits for the client's end. What follows that request is left
-    /// unread, so that its client knows that it was not taken.
-    async fn drained(&self, mut outstanding: u64) {
-        let mut buffer = [0; DISCARD_BUFFER];
+    /// Reads the rest of the answered request and waits for the client's FIN. Pipelined bytes behind that request are
+    /// left unread, so that the reset tells the client that they were not processed.
+    async fn discard_until_closed(&self, mut outstanding: u64) {
+        let mut buffer = [0; DISCARD_BUFFER_SIZE];
         while outstanding > 0 && self.tcp.readable().await.is_ok() {
-            let most = usize::try_from(outstanding).unwrap_or(usize::MAX).min(DISCARD_BUFFER);
-            match self.tcp.try_read(&mut buffer[..most]) {
+            let max_length = usize::try_from(outstanding).unwrap_or(usize::MAX).min(DISCARD_BUFFER_SIZE);
+            match self.tcp.try_read(&mut buffer[..max_length]) {
                 Ok(0) => return,
-                Ok(bytes) => outstanding = outstanding.saturating_sub(bytes as u64),
-                Err(error) if is_passing(error.kind()) => {}
+                Ok(length) => outstanding = outstanding.saturating_sub(length as u64),
+                Err(error) if is_retryable(error.kind()) => {}
                 Err(_) => return,
             }
         }
-        self.tcp.ready(Interest::PRIORITY).await.ok(); // shows the client's end, whatever stands in front of it
+        self.tcp.ready(Interest::PRIORITY).await.ok(); // reports the client's FIN even behind unread bytes
     }
 }
 
-/// The answer that a connection gets before it ends, if it is owed one.
-fn final_answer(reason: CloseReason, pending_response: PendingResponse) -> Option<&'static [u8]> {
+/// The response that is sent before the connection is closed, if one is due.
+fn closing_response(reason: CloseReason, pending_response: PendingResponse) -> Option<&'static [u8]> {
     match (pending_response, reason) {
-        (PendingResponse::NotOwed, _) | (_, CloseReason::Done) => None,
-        (PendingResponse::ForCompleteRequest, _) => Some(BAD_GATEWAY), // it may have run
-        (PendingResponse::ForPartialRequest, CloseReason::Overdue) => Some(REQUEST_TIMEOUT),
-        (PendingResponse::ForPartialRequest, _) => Some(SERVICE_UNAVAILABLE),
+        (PendingResponse::Nothing, _) | (_, CloseReason::Done) => None,
+        (PendingResponse::ForCompleteRequest, _) => Some(BAD_GATEWAY_RESPONSE), // the request may have taken effect
+        (PendingResponse::ForPartialRequest, CloseReason::Overdue) => Some(REQUEST_TIMEOUT_RESPONSE),
+        (PendingResponse::ForPartialRequest, _) => Some(SERVICE_UNAVAILABLE_RESPONSE),
     }
 }
 
-/// Whether the same call may do next time.
-fn is_passing(error: ErrorKind) -> bool {
+/// Whether a failed read or write can be retried.
+fn is_retryable(error: ErrorKind) -> bool {
     matches!(error, ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
