--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self};
 use crate::proxy::minimum_rate::IDLE_TIMEOUT;
-use crate::proxy::send_check::budget;
+use crate::proxy::send_check::upstream_budget;
 use crate::proxy::upstream::exchange::{
     AttemptResult, ExchangeContext, ExchangeOutcome, StartedResponse, exchange,
 };
@@ -31,7 +31,7 @@
         open.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = open.client_deadline;
-        let has_time = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
+        let has_time = upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
         let in_time = has_time && now < until && begin_by.is_none_or(|end| now < end);
         let allowed = in_time && number < self.config.settings.max_attempts;
         let possible = open.response_sender.is_some() && allowed && !open.request.body().is_consumed();
@@ -63,7 +63,7 @@
         let client_deadline = Some(self.clock.instant(client_deadline));
         let means = ExchangeContext {
             write_started: mark.clone(),
-            deadline,
+            request_deadline: deadline,
             begin_by,
             client,
             client_deadline,
@@ -109,8 +109,8 @@
             connection_source,
             address,
             connect_timeout: self.config.names.connect_timeout,
-            until,
-            deadline: None,
+            attempt_deadline: until,
+            request_deadline: None,
             local_failure: Arc::default(),
             begin_by: None,
             attempt_counter,
@@ -173,7 +173,7 @@
         // One to a process that has drained, gone or been replaced since is of no use.
         let current = out.upstream.in_service && self.endpoints.get(&out.endpoint) == Some(&out.upstream);
         if let Some(connection) = finished.connection.filter(|_| current) {
-            self.idle.put(out.endpoint, connection);
+            self.idle.release(out.endpoint, connection);
         }
         let mut load = finished.response.as_ref().and_then(|response| self.load_report(response));
         if let Some((end, figures)) = out.begun {
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -36,7 +36,7 @@
 
     pub(super) fn on_load_query_ended(&mut self, endpoint: EndpointId, finished: AttemptResult) {
         if let Some(connection) = finished.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
-            self.idle.put(endpoint, connection);
+            self.idle.release(endpoint, connection);
         }
         let load = finished
             .response
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -32,7 +32,7 @@
         if overlapping != self.overlapping {
             // The descriptors are for both.
             let most = self.config.limits.upstreams;
-            self.idle.limit(if overlapping { most / 2 } else { most });
+            self.idle.set_max_open(if overlapping { most / 2 } else { most });
             let beside = if overlapping { "beside another process" } else { "alone" };
             crate::proxy::logging::log(format_args!("this process serves {beside}"));
             self.overlapping = overlapping;
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -24,7 +24,7 @@
 const MOST_WRITE: Duration = Duration::from_millis(100);
 
 /// What an upstream may be told where its caller has so much time left; `None` if that is hardly any.
-pub fn budget(left: Duration) -> Option<Duration> {
+pub fn upstream_budget(left: Duration) -> Option<Duration> {
     left.checked_sub(BUDGET_MARGIN).filter(|budget| *budget >= LEAST_BUDGET)
 }
 
@@ -58,7 +58,7 @@
     /// When the caller stops waiting, if it is a caller's request.
     pub client_deadline: Option<Instant>,
     /// How long the answer is waited for.
-    pub until: Instant,
+    pub attempt_deadline: Instant,
     /// When it must have begun, or it is never sent.
     pub begin_by: Option<Instant>,
     /// The time of its caller runs from its last byte, which is still to come.
@@ -75,9 +75,9 @@
 
     fn budget(&self, now: Instant) -> Option<Duration> {
         // An attempt that outlives its own limit is given up by that, not here.
-        let left = self.until.saturating_duration_since(now);
+        let left = self.attempt_deadline.saturating_duration_since(now);
         let client_budget = match self.client_deadline {
-            Some(end) => budget(end.saturating_duration_since(now))?,
+            Some(end) => upstream_budget(end.saturating_duration_since(now))?,
             None => left,
         };
         self.in_window(now).then_some(left.min(client_budget))
--- a/src/proxy/send_check/tests.rs
+++ b/src/proxy/send_check/tests.rs
@@ -4,8 +4,13 @@
 
 fn send_check(left: Duration) -> SendCheck {
     let until = Instant::now() + left;
-    let conditions =
-        SendConditions { client: None, client_deadline: Some(until), until, begin_by: None, streamed: false };
+    let conditions = SendConditions {
+        client: None,
+        client_deadline: Some(until),
+        attempt_deadline: until,
+        begin_by: None,
+        streamed: false,
+    };
     SendCheck::new(conditions, Arc::default())
 }
 
@@ -53,7 +58,7 @@
 #[test]
 fn an_attempt_beyond_its_own_limit_is_written() {
     let mut send_check = send_check(Duration::from_secs(9));
-    send_check.conditions.until = Instant::now();
+    send_check.conditions.attempt_deadline = Instant::now();
     assert!(send_check.before_write(HEAD, true).is_ok());
 }
 
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -65,9 +65,9 @@
     pub address: SocketAddr,
     pub connect_timeout: Duration,
     /// How long the answer is waited for.
-    pub until: Instant,
+    pub attempt_deadline: Instant,
     /// When its request's time is over, where that is known: an attempt that the own machine holds up has until then.
-    pub deadline: Option<Instant>,
+    pub request_deadline: Option<Instant>,
     /// Is set when the own machine holds it up.
     pub local_failure: Arc<AtomicBool>,
     /// When it must have begun, or it is never sent.
@@ -92,8 +92,9 @@
             let in_any_case = Instant::now() + context.connect_timeout;
             let in_any_case = context.begin_by.map_or(in_any_case, |begin_by| begin_by.min(in_any_case));
             let connect_deadline = ConnectDeadline {
-                end: in_any_case.min(context.until),
-                end_after_local_failure: in_any_case.min(context.deadline.unwrap_or(context.until)),
+                end: in_any_case.min(context.attempt_deadline),
+                end_after_local_failure: in_any_case
+                    .min(context.request_deadline.unwrap_or(context.attempt_deadline)),
                 local_failure: &context.local_failure,
             };
             match Connection::open(context.address, permit, connect_deadline).await {
@@ -110,10 +111,10 @@
     let conditions = SendConditions {
         client: context.client.clone(),
         client_deadline: context.client_deadline,
-        until: context
-            .deadline
+        attempt_deadline: context
+            .request_deadline
             .filter(|_| context.local_failure.load(Ordering::Relaxed))
-            .unwrap_or(context.until),
+            .unwrap_or(context.attempt_deadline),
         begin_by: context.begin_by,
         streamed: remainder.is_some(),
     };
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -33,7 +33,7 @@
     }
 
     /// Changes how many may be open, and closes idle ones that are too many then.
-    pub fn limit(&mut self, most: usize) {
+    pub fn set_max_open(&mut self, most: usize) {
         self.most = most;
         while self.shared.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
     }
@@ -49,7 +49,7 @@
     }
 
     /// Keeps a connection for the next attempt.
-    pub fn put(&mut self, endpoint: EndpointId, connection: Connection) {
+    pub fn release(&mut self, endpoint: EndpointId, connection: Connection) {
         self.idle.entry(endpoint).or_default().push((Instant::now(), connection));
     }
 
