--- a/src/proxy/body/buffer.rs
+++ b/src/proxy/body/buffer.rs
@@ -5,31 +5,31 @@
 use hyper::body::{Frame, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// The part of a body that was received.
+/// The buffered start of a body.
 pub struct BufferedBody {
     pub buffered: Bytes,
-    /// Whether that is the whole body.
+    /// Whether `buffered` is the whole body.
     pub complete: bool,
 }
 
-/// Reads a body until it ends, exceeds `most` bytes or the time `until` has come.
+/// Buffers a body until it ends, exceeds `max_bytes` or the deadline has passed.
 pub async fn buffer_body(
     body: &mut Incoming,
-    most: usize,
-    until: Option<Instant>,
+    max_bytes: usize,
+    deadline: Option<Instant>,
 ) -> Result<BufferedBody, hyper::Error> {
     let mut buffered = BytesMut::new();
-    while buffered.len() <= most {
-        let frame = match until {
+    while buffered.len() <= max_bytes {
+        let frame = match deadline {
             None => body.frame().await,
-            Some(until) => match timeout_at(until, body.frame()).await {
+            Some(deadline) => match timeout_at(deadline, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) => return Ok(BufferedBody { buffered: buffered.freeze(), complete: false }),
             },
         };
         match frame.transpose()?.map(Frame::into_data) {
             Some(Ok(data)) => buffered.extend_from_slice(&data),
-            Some(Err(_)) => {} // trailers end here
+            Some(Err(_)) => {} // trailers are not forwarded
             None => return Ok(BufferedBody { buffered: buffered.freeze(), complete: true }),
         }
     }
--- a/src/proxy/body/mod.rs
+++ b/src/proxy/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies both ways. A small one is kept whole. A longer one is passed on as it comes, each piece only once the
-//! other side has taken the one before: what is held of it does not grow with its length.
+//! Request and response bodies. A small body is buffered as a whole. A larger one is streamed with backpressure: the next
+//! chunk is read only after the previous one was written, so that memory use does not grow with the body.
 
 pub mod buffer;
 pub mod memory;
@@ -21,7 +21,7 @@
 
 impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body broke off")
+        f.write_str("the body was aborted or exceeds the size limit")
     }
 }
 
--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request: the part that is buffered, and what follows it, which can be sent once only.
+//! The body of a request: the buffered start, which can be sent again, and the streamed remainder, which cannot.
 
 use crate::proxy::body::{BodyAborted, MAX_BODY};
 use crate::proxy::sync::lock;
@@ -27,30 +27,32 @@
 /// The part of a request's body after the buffered start.
 pub struct BodyRemainder {
     pub body: Mutex<Incoming>,
-    /// Its length, where that is known.
+    /// Length of the remainder in bytes, if known.
     pub length: Option<u64>,
-    /// How much more of it may come.
+    /// How many more bytes may be received before the body exceeds `MAX_BODY`.
     pub remaining: Mutex<u64>,
+    /// An attempt has started to read the remainder.
     pub consumed: AtomicBool,
-    /// It broke off, or was too long.
+    /// The body ended early or exceeded the size limit.
     pub aborted: AtomicBool,
-    /// Is told of the end.
-    pub ended: Mutex<Option<oneshot::Sender<()>>>,
+    /// Notified when the whole body has been received.
+    pub end_sender: Mutex<Option<oneshot::Sender<()>>>,
 }
 
 impl BodyRemainder {
-    /// The rest of a body, and what tells that all of it has come.
+    /// Creates the remainder of a body, and the receiver that is notified when all of it has been received.
     pub fn new(body: Incoming) -> (Arc<Self>, oneshot::Receiver<()>) {
-        let (tell, ended) = oneshot::channel();
-        let (length, ended_by) = (body.size_hint().exact(), Mutex::new(Some(tell)));
+        let (sender, end_receiver) = oneshot::channel();
+        let (length, end_sender) = (body.size_hint().exact(), Mutex::new(Some(sender)));
         let remaining = Mutex::new(MAX_BODY);
         let (consumed, aborted) = Default::default();
         (
-            Arc::new(Self { body: Mutex::new(body), length, remaining, consumed, aborted, ended: ended_by }),
-            ended,
+            Arc::new(Self { body: Mutex::new(body), length, remaining, consumed, aborted, end_sender }),
+            end_receiver,
         )
     }
 
+    /// Polls the next chunk. An error aborts the body.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         self.consumed.store(true, Ordering::Relaxed);
         let mut body = lock(&self.body);
@@ -58,12 +60,12 @@
             return match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
-                    let Ok(data) = frame.into_data() else { continue }; // trailers end here
-                    let left = &mut *lock(&self.remaining);
-                    let Some(less) = left.checked_sub(data.len() as u64) else {
+                    let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
+                    let remaining = &mut *lock(&self.remaining);
+                    let Some(remaining_after) = remaining.checked_sub(data.len() as u64) else {
                         return Poll::Ready(Some(Err(self.abort())));
                     };
-                    *left = less;
+                    *remaining = remaining_after;
                     if body.is_end_stream() {
                         self.notify_end();
                     }
@@ -78,53 +80,59 @@
         }
     }
 
-    /// How much more may come: it changes as long as the body gets on.
+    /// How many more bytes may be received. A change shows that the body is still making progress.
     pub fn remaining(&self) -> u64 {
         *lock(&self.remaining)
     }
 
-    /// Whether it broke off, or was too long: a fault of its caller.
+    /// Whether the body ended early or exceeded the size limit, which is the client's fault.
     pub fn is_aborted(&self) -> bool {
         self.aborted.load(Ordering::Relaxed)
     }
 
+    /// Marks the body as aborted and returns the error.
     pub fn abort(&self) -> BodyAborted {
         self.aborted.store(true, Ordering::Relaxed);
         BodyAborted
     }
 
+    /// Notifies the receiver that the whole body has been received.
     pub fn notify_end(&self) {
-        if let Some(ended) = lock(&self.ended).take() {
-            ended.send(()).ok(); // its caller may just have left
+        if let Some(sender) = lock(&self.end_sender).take() {
+            sender.send(()).ok(); // the client may just have disconnected
         }
     }
 
+    /// Whether the whole body has been received.
     pub fn is_end_stream(&self) -> bool {
         lock(&self.body).is_end_stream()
     }
 }
 
-/// A request's body as it is sent upstream; calls `taken` when its last part has been consumed.
+/// A request's body as it is sent upstream. Calls `on_consumed` when hyper has taken the last part.
 pub struct UpstreamRequestBody<F> {
+    /// The buffered start, until hyper has taken it.
     pub buffered: Option<Bytes>,
     pub remainder: Option<Arc<BodyRemainder>>,
+    /// Length of the whole body in bytes, if known.
     pub length: Option<u64>,
-    pub taken: F,
+    pub on_consumed: F,
 }
 
 impl<F: Fn()> UpstreamRequestBody<F> {
-    pub fn new(body: RequestBody, taken: F) -> Self {
+    /// Creates the body for one attempt. `on_consumed` is called at once if the body is empty.
+    pub fn new(body: RequestBody, on_consumed: F) -> Self {
         let buffered = Some(body.buffered).filter(|buffered| !buffered.is_empty());
-        let first = buffered.as_ref().map_or(0, Bytes::len) as u64;
-        let remainder = body.remainder.as_ref().map_or(Some(0), |remainder| remainder.length);
+        let buffered_length = buffered.as_ref().map_or(0, Bytes::len) as u64;
+        let remainder_length = body.remainder.as_ref().map_or(Some(0), |remainder| remainder.length);
         if buffered.is_none() && body.remainder.is_none() {
-            taken();
+            on_consumed();
         }
         Self {
             buffered,
             remainder: body.remainder,
-            length: remainder.map(|remainder| remainder + first),
-            taken,
+            length: remainder_length.map(|remainder_length| remainder_length + buffered_length),
+            on_consumed,
         }
     }
 }
@@ -145,9 +153,9 @@
             },
             (None, None) => None,
         };
-        let last = data.is_none() || self.is_end_stream();
-        if last && !matches!(data, Some(Err(_))) {
-            (self.taken)();
+        let is_last = data.is_none() || self.is_end_stream();
+        if is_last && !matches!(data, Some(Err(_))) {
+            (self.on_consumed)();
         }
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -15,20 +15,23 @@
 /// The body of a response to a client: fully buffered, or streamed as it is received.
 #[derive(Default)]
 pub struct ResponseBody {
+    /// The buffered part, until hyper has taken it.
     pub buffered: Option<Bytes>,
+    /// The part that is still being received from the upstream.
     pub streamed: Option<Box<StreamedResponse>>,
     /// Dropped when the response has ended.
     pub kept_until_end: Option<Box<dyn Send>>,
-    /// Is called if the body breaks off.
+    /// Called if the body is aborted.
     pub on_abort: Option<Box<dyn FnOnce() + Send>>,
 }
 
 /// The part of a response body that is forwarded while it is received.
 pub struct StreamedResponse {
     pub body: Incoming,
+    /// The upstream connection; `None` once the response has ended.
     pub connection: Option<Connection>,
     pub rate: MinimumRate,
-    /// Is told how the attempt ended.
+    /// Called once, when the attempt ends.
     pub on_end: Option<EndCallback>,
     pub _memory_permit: Option<MemoryPermit>,
 }
@@ -43,8 +46,8 @@
 }
 
 impl ResponseBody {
-    /// The start of a body, and the rest of it as it comes over a connection. Once its request's time is over, it is
-    /// broken off unless it goes on. `report` is told of its end.
+    /// Creates a body from its buffered start and the rest that is received over a connection. After `deadline` it is
+    /// aborted if it is slower than the minimum rate. `on_end` is called with the result of the attempt.
     pub fn streamed(
         buffered: Bytes,
         body: Incoming,
@@ -64,33 +67,34 @@
         Self { streamed: Some(Box::new(streamed)), ..Self::from(buffered) }
     }
 
-    /// Keeps this until the answer is over.
+    /// Keeps a value until the response has ended, and drops it then.
     pub fn keep_until_end(&mut self, kept_until_end: impl Send + 'static) {
         self.kept_until_end = Some(Box::new(kept_until_end));
     }
 
-    /// Has this done if the body breaks off.
-    pub fn on_abort(&mut self, act: impl FnOnce() + Send + 'static) {
-        self.on_abort = Some(Box::new(act));
+    /// Sets a callback for the case that the body is aborted.
+    pub fn on_abort(&mut self, callback: impl FnOnce() + Send + 'static) {
+        self.on_abort = Some(Box::new(callback));
     }
 
-    /// Whether it is kept whole.
+    /// Whether no part of the body is streamed.
     pub fn is_fully_buffered(&self) -> bool {
         self.streamed.is_none()
     }
 }
 
 impl StreamedResponse {
-    /// The upstream has given all; its connection is free once it says nothing against that.
-    pub fn done(&mut self) {
+    /// Ends the attempt with success, once the connection is ready for reuse or closed.
+    pub fn complete(&mut self) {
         if let (Some(on_end), Some(connection)) = (self.on_end.take(), self.connection.take()) {
             tokio::spawn(async move {
-                let connection = connection.settled().await;
+                let connection = connection.into_reusable().await;
                 on_end(AttemptResult { outcome: AttemptOutcome::Success, response: None, connection });
             });
         }
     }
 
+    /// Closes the connection and ends the attempt with this outcome, unless it has ended before.
     pub fn abort(&mut self, outcome: AttemptOutcome) -> BodyAborted {
         self.connection = None;
         if let Some(on_end) = self.on_end.take() {
@@ -99,20 +103,21 @@
         BodyAborted
     }
 
+    /// Polls the next chunk. The attempt ends with the last chunk, with an error, or if the upstream is too slow.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         loop {
             return match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    let Ok(data) = frame.into_data() else { continue }; // trailers end here
+                    let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
                     self.rate.received(data.len());
                     if self.body.is_end_stream() {
-                        self.done(); // whoever knows the length does not ask for more
+                        self.complete(); // hyper does not poll again when it knows the length
                     }
                     Poll::Ready(Some(Ok(data)))
                 }
                 Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(self.abort(AttemptOutcome::Reset)))),
                 Poll::Ready(None) => {
-                    self.done();
+                    self.complete();
                     Poll::Ready(None)
                 }
                 Poll::Pending => match self.rate.poll_too_slow(cx) {
@@ -125,7 +130,7 @@
 }
 
 impl Drop for StreamedResponse {
-    /// Its caller has left, unless the end was told before.
+    /// Cancels the attempt if it has not ended: the client has disconnected.
     fn drop(&mut self) {
         self.abort(AttemptOutcome::Cancelled);
     }
@@ -145,9 +150,9 @@
             (None, None) => Poll::Ready(None),
         };
         if let Poll::Ready(Some(Err(_))) = data
-            && let Some(act) = self.on_abort.take()
+            && let Some(callback) = self.on_abort.take()
         {
-            act();
+            callback();
         }
         data.map(|data| data.map(|data| data.map(Frame::data)))
     }
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -1,8 +1,8 @@
-//! What has to hold when bytes of a request leave for an upstream: its caller is still there, and has time left.
+//! Checks right before each write to an upstream that the client is still connected and has time left.
 //!
-//! Between the choice of an upstream and the write lie a connect, turns of the event loop and times in which the
-//! process is held up. So both are looked at right before each write: the clock first, as the process may be held
-//! up when it has read that, and then the kernel's state of the caller's connection.
+//! Connecting, other tasks of the event loop and pauses of the process can delay the write after the upstream has been
+//! chosen. The clock is read first and the kernel's state of the client connection after it, because the process may
+//! also be paused between the two.
 
 use crate::proxy::downstream::connection::ClientLiveness;
 use std::fmt;
@@ -12,177 +12,197 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The header that tells an upstream how long its answer is waited for, as it stands in a head.
-const BUDGET_FIELD: &[u8] = b"\r\nx-budget: ";
-/// The caller's time ran while its request was on its way here, and runs on until the upstream has the last byte.
-/// What an upstream is told is less by this, so that a hold-up has all of the slack.
+/// The header that carries the upstream's time budget, as it appears in a request head.
+const BUDGET_FIELD_START: &[u8] = b"\r\nx-budget: ";
+/// Subtracted from the client's remaining time before it is sent upstream: the client's time also ran while its request
+/// was on its way here, and runs until the upstream has the last byte. The slack before the client's deadline remains
+/// for pauses of the process.
 const BUDGET_MARGIN: Duration = Duration::from_millis(5);
-/// With less time than this an upstream could only drop the request.
-const LEAST_BUDGET: Duration = Duration::from_millis(5);
-/// A request whose bytes the upstream has not taken within this time of the first is given up: the time that its head
-/// tells is too long by then.
-const MOST_WRITE: Duration = Duration::from_millis(100);
-
-/// What an upstream may be told where its caller has so much time left; `None` if that is hardly any.
-pub fn upstream_budget(left: Duration) -> Option<Duration> {
-    left.checked_sub(BUDGET_MARGIN).filter(|budget| *budget >= LEAST_BUDGET)
+/// Smallest budget that is sent: with less time an upstream could only drop the request.
+const MIN_BUDGET: Duration = Duration::from_millis(5);
+/// Maximum time from the first write of a buffered request to the last. After that the budget in its head is outdated,
+/// and the write is aborted.
+const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
+
+/// The budget for an upstream when the client has `time_left`; `None` if that is too short for an attempt.
+pub fn upstream_budget(time_left: Duration) -> Option<Duration> {
+    time_left.checked_sub(BUDGET_MARGIN).filter(|budget| *budget >= MIN_BUDGET)
 }
 
-/// A time as it stands in a head.
-pub fn seconds(time: Duration) -> String {
-    format!("{:.6}", time.as_secs_f64())
+/// Formats a budget as in the `x-budget` header: seconds with six decimal places.
+pub fn format_seconds(budget: Duration) -> String {
+    format!("{:.6}", budget.as_secs_f64())
 }
 
-/// Why a request is not written, or not to its end.
+/// Why a request was not written, or not completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotSent {
+pub enum NotSentReason {
     ClientDisconnected,
     TooLate,
 }
 
-impl fmt::Display for NotSent {
+impl fmt::Display for NotSentReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ClientDisconnected => "the caller has left",
-            Self::TooLate => "hardly any time is left",
+            Self::ClientDisconnected => "the client has disconnected",
+            Self::TooLate => "too little time is left for the request",
         })
     }
 }
 
-impl std::error::Error for NotSent {}
+impl std::error::Error for NotSentReason {}
 
 /// The conditions under which an attempt may be written to its upstream.
 pub struct SendConditions {
-    /// Whose request it is, if it is a caller's.
+    /// The client that sent the request; `None` for a load query.
     pub client: Option<ClientLiveness>,
-    /// When the caller stops waiting, if it is a caller's request.
+    /// When the client stops waiting; `None` for a load query.
     pub client_deadline: Option<Instant>,
-    /// How long the answer is waited for.
+    /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// When it must have begun, or it is never sent.
+    /// The request is not written, or not completely, after this time.
     pub begin_by: Option<Instant>,
-    /// The time of its caller runs from its last byte, which is still to come.
+    /// The request body is streamed from the client, whose time runs only from its last byte.
     pub streamed: bool,
 }
 
 impl SendConditions {
-    /// Whether the attempt may begin now, and how long it may take as its upstream is told.
-    pub fn may_begin(&self) -> Result<Duration, NotSent> {
-        let budget = self.budget(Instant::now()).ok_or(NotSent::TooLate)?;
+    /// Checks that the attempt may start now, and returns the budget for its upstream.
+    pub fn check_start(&self) -> Result<Duration, NotSentReason> {
+        let budget = self.budget_at(Instant::now()).ok_or(NotSentReason::TooLate)?;
         self.check_client_connected(false)?;
         Ok(budget)
     }
 
-    fn budget(&self, now: Instant) -> Option<Duration> {
-        // An attempt that outlives its own limit is given up by that, not here.
-        let left = self.attempt_deadline.saturating_duration_since(now);
+    /// The budget for the upstream if the request is written now; `None` if it is too late.
+    fn budget_at(&self, now: Instant) -> Option<Duration> {
+        // An attempt past its own deadline is ended by its timer, not here.
+        let attempt_time_left = self.attempt_deadline.saturating_duration_since(now);
         let client_budget = match self.client_deadline {
             Some(end) => upstream_budget(end.saturating_duration_since(now))?,
-            None => left,
+            None => attempt_time_left,
         };
-        self.in_window(now).then_some(left.min(client_budget))
+        self.is_before_begin_by(now).then_some(attempt_time_left.min(client_budget))
     }
 
-    fn in_window(&self, now: Instant) -> bool {
+    fn is_before_begin_by(&self, now: Instant) -> bool {
         self.begin_by.is_none_or(|end| now < end)
     }
 
-    fn check_client_connected(&self, all_has_come: bool) -> Result<(), NotSent> {
+    /// Fails if the client has disconnected. `request_received` says that all of its request has been received.
+    fn check_client_connected(&self, request_received: bool) -> Result<(), NotSentReason> {
         match &self.client {
-            Some(client) if client.is_disconnected(all_has_come) => Err(NotSent::ClientDisconnected),
+            Some(client) if client.is_disconnected(request_received) => {
+                Err(NotSentReason::ClientDisconnected)
+            }
             _ => Ok(()),
         }
     }
 }
 
-/// Checks the send conditions before each write of a request, and tracks how far the write has got.
+/// Checks the send conditions before each write of a request and tracks the bytes written.
 pub struct SendCheck {
     conditions: SendConditions,
-    /// Is set once a byte may have been written.
+    /// Set once a byte may have been written.
     write_started: Arc<AtomicBool>,
-    /// When its first write was tried.
-    begun: Option<Instant>,
-    /// Bytes written.
-    written: usize,
-    budget: Option<BudgetField>,
-    not_sent: Option<NotSent>,
+    /// When the first write was tried.
+    first_write: Option<Instant>,
+    bytes_written: usize,
+    /// The `x-budget` field with the budget as of the first write.
+    budget_field: Option<BudgetField>,
+    /// Why a write was refused.
+    not_sent: Option<NotSentReason>,
 }
 
-/// Where the time for an upstream stands in a head, and what it says.
+/// The value of the `x-budget` field in a request head.
 struct BudgetField {
-    place: Range<usize>,
-    text: Vec<u8>,
+    /// Position of the value in the head.
+    range: Range<usize>,
+    /// The digits to write there.
+    digits: Vec<u8>,
 }
 
 impl SendCheck {
     pub fn new(conditions: SendConditions, write_started: Arc<AtomicBool>) -> Self {
-        Self { conditions, write_started, begun: None, written: 0, budget: None, not_sent: None }
+        Self {
+            conditions,
+            write_started,
+            first_write: None,
+            bytes_written: 0,
+            budget_field: None,
+            not_sent: None,
+        }
     }
 
-    /// Why it was not written, or not to its end.
-    pub fn not_sent(&self) -> Option<NotSent> {
+    /// Why the request was not written, or not completely.
+    pub fn not_sent(&self) -> Option<NotSentReason> {
         self.not_sent
     }
 
-    /// Notes that so many bytes have left.
-    pub fn wrote(&mut self, bytes: usize) {
-        self.written += bytes;
+    /// Records that `bytes` more bytes were written.
+    pub fn record_written(&mut self, bytes: usize) {
+        self.bytes_written += bytes;
     }
 
-    /// Asked right before each write. Tells what is written in place of the `first` bytes that are offered, if not
-    /// those: the time for the upstream as it is now. `last` says that the last byte of the request is among them.
-    pub fn before_write(&mut self, first: &[u8], last: bool) -> Result<Option<Vec<u8>>, NotSent> {
-        let checked = match self.written {
-            0 => self.before_first(first, last),
-            _ => self.before_more(last),
+    /// Checks the conditions right before a write. Returns the bytes to write in place of `first_part` if the budget
+    /// has to be filled in. `ends_request` says that the write includes the last byte of the request.
+    pub fn before_write(
+        &mut self,
+        first_part: &[u8],
+        ends_request: bool,
+    ) -> Result<Option<Vec<u8>>, NotSentReason> {
+        let checked = match self.bytes_written {
+            0 => self.check_first_write(first_part, ends_request),
+            _ => self.check_later_write(ends_request),
         };
         if let Err(not_sent) = checked {
             self.not_sent = Some(not_sent);
             return Err(not_sent);
         }
         self.write_started.store(true, Ordering::Relaxed);
-        Ok(self.with_budget(first))
+        Ok(self.with_budget(first_part))
     }
 
-    fn before_first(&mut self, first: &[u8], last: bool) -> Result<(), NotSent> {
+    fn check_first_write(&mut self, first_part: &[u8], ends_request: bool) -> Result<(), NotSentReason> {
         let now = Instant::now();
-        let budget = self.conditions.budget(now).ok_or(NotSent::TooLate)?;
-        self.begun = Some(now);
-        self.budget = BudgetField::find(first, budget);
-        self.conditions.check_client_connected(last)
+        let budget = self.conditions.budget_at(now).ok_or(NotSentReason::TooLate)?;
+        self.first_write = Some(now);
+        self.budget_field = BudgetField::find(first_part, budget);
+        self.conditions.check_client_connected(ends_request)
     }
 
-    /// An upstream begins with the last byte: a request that may not begin any more must not come to its end.
-    fn before_more(&self, last: bool) -> Result<(), NotSent> {
+    /// The upstream runs a request once it has the last byte, so a request that must not start any more must not be
+    /// completed either.
+    fn check_later_write(&self, ends_request: bool) -> Result<(), NotSentReason> {
         let now = Instant::now();
-        let is_old = self.begun.is_some_and(|begun| now > begun + MOST_WRITE);
-        if !self.conditions.in_window(now) || is_old && !self.conditions.streamed {
-            return Err(NotSent::TooLate);
+        let is_slow = self.first_write.is_some_and(|first_write| now > first_write + MAX_WRITE_TIME);
+        if !self.conditions.is_before_begin_by(now) || is_slow && !self.conditions.streamed {
+            return Err(NotSentReason::TooLate);
         }
-        self.conditions.check_client_connected(last)
+        self.conditions.check_client_connected(ends_request)
     }
 
-    /// The bytes that are offered next, with the time for the upstream where it stands in them.
-    fn with_budget(&self, first: &[u8]) -> Option<Vec<u8>> {
-        let field = self.budget.as_ref().filter(|field| self.written < field.place.end)?;
-        let mut bytes = first.to_vec();
-        for (at, digit) in field.place.clone().zip(&field.text) {
-            let place = at.checked_sub(self.written).and_then(|at| bytes.get_mut(at));
-            place.into_iter().for_each(|byte| *byte = *digit);
+    /// Fills the budget as of the first write into `first_part`; `None` if the budget field is already written.
+    fn with_budget(&self, first_part: &[u8]) -> Option<Vec<u8>> {
+        let field = self.budget_field.as_ref().filter(|field| self.bytes_written < field.range.end)?;
+        let mut bytes = first_part.to_vec();
+        for (position, digit) in field.range.clone().zip(&field.digits) {
+            let target = position.checked_sub(self.bytes_written).and_then(|offset| bytes.get_mut(offset));
+            target.into_iter().for_each(|byte| *byte = *digit);
         }
         Some(bytes)
     }
 }
 
 impl BudgetField {
-    /// The field in a head, to say this time in as many digits as stand there.
+    /// Locates the field in a head and formats the budget with as many digits as the field has.
     fn find(head: &[u8], budget: Duration) -> Option<Self> {
-        let start = head.windows(BUDGET_FIELD.len()).position(|part| part == BUDGET_FIELD)?;
-        let start = start + BUDGET_FIELD.len();
+        let start = head.windows(BUDGET_FIELD_START.len()).position(|part| part == BUDGET_FIELD_START)?;
+        let start = start + BUDGET_FIELD_START.len();
         let length = head[start..].iter().position(|byte| *byte == b'\r')?;
-        let mut text = seconds(budget).into_bytes();
-        text.resize(length, b'0'); // time only runs out, and zeros behind the point change nothing
-        Some(Self { place: start..start + length, text })
+        let mut digits = format_seconds(budget).into_bytes();
+        digits.resize(length, b'0'); // the budget only shrinks, and trailing zeros do not change it
+        Some(Self { range: start..start + length, digits })
     }
 }
 
--- a/src/proxy/send_check/tests.rs
+++ b/src/proxy/send_check/tests.rs
@@ -1,74 +1,80 @@
+//! Tests of the checks before each write to an upstream.
+
 use super::*;
 
 const HEAD: &[u8] = b"GET /look HTTP/1.1\r\nx-budget: 10.000100\r\nhost: b\r\n\r\n";
 
-fn send_check(left: Duration) -> SendCheck {
-    let until = Instant::now() + left;
+/// A send check for a client that stops waiting after `time_left`.
+fn send_check(time_left: Duration) -> SendCheck {
+    let deadline = Instant::now() + time_left;
     let conditions = SendConditions {
         client: None,
-        client_deadline: Some(until),
-        attempt_deadline: until,
+        client_deadline: Some(deadline),
+        attempt_deadline: deadline,
         begin_by: None,
         streamed: false,
     };
     SendCheck::new(conditions, Arc::default())
 }
 
-fn told(head: &[u8]) -> f64 {
+/// The budget in a request head, in seconds.
+fn sent_budget(head: &[u8]) -> f64 {
     let text = String::from_utf8(head.to_vec()).unwrap();
     let budget = text.split("x-budget: ").nth(1).unwrap().split('\r').next().unwrap();
     assert_eq!(budget.len(), "10.000100".len());
     budget.parse().unwrap()
 }
 
-/// Guards the time that an upstream is told against all that lies between the choice and the write.
+/// Guards against an outdated budget when the write is delayed after the upstream was chosen.
 #[test]
-fn an_upstream_is_told_the_time_at_the_write() {
+fn the_budget_is_computed_at_the_write() {
     let mut send_check = send_check(Duration::from_secs(9));
-    let head = send_check.before_write(HEAD, true).unwrap().expect("a head of its own");
+    let head = send_check.before_write(HEAD, true).unwrap().expect("a head with the current budget");
     assert_eq!(head.len(), HEAD.len());
-    assert!(told(&head) < 9.0 && told(&head) > 8.0, "{}", told(&head));
+    assert!(sent_budget(&head) < 9.0 && sent_budget(&head) > 8.0, "{}", sent_budget(&head));
     assert!(send_check.write_started.load(Ordering::Relaxed));
 }
 
-/// Guards the same where a head leaves in pieces.
+/// Guards against mixed digits of two budgets when a head is written in pieces.
 #[test]
-fn a_head_in_pieces_tells_one_time() {
+fn a_head_written_in_pieces_carries_one_budget() {
     let mut send_check = send_check(Duration::from_secs(9));
     let mut sent = Vec::new();
     while sent.len() < HEAD.len() {
         let offered = &HEAD[sent.len()..];
         let bytes = send_check.before_write(offered, true).unwrap().unwrap_or(offered.to_vec());
         sent.push(bytes[0]);
-        send_check.wrote(1);
+        send_check.record_written(1);
     }
-    assert!(told(&sent) < 9.0 && told(&sent) > 8.0, "{}", told(&sent));
+    assert!(sent_budget(&sent) < 9.0 && sent_budget(&sent) > 8.0, "{}", sent_budget(&sent));
 }
 
-/// Guards upstreams against requests that nobody could use the answer of.
+/// Guards upstreams against requests whose response would come too late for the client.
 #[test]
-fn with_hardly_any_time_left_nothing_is_written() {
-    let mut send_check = send_check(BUDGET_MARGIN + LEAST_BUDGET - Duration::from_millis(1));
-    assert_eq!(send_check.before_write(HEAD, true), Err(NotSent::TooLate));
-    assert_eq!(send_check.not_sent(), Some(NotSent::TooLate));
+fn with_too_little_time_left_nothing_is_written() {
+    let mut send_check = send_check(BUDGET_MARGIN + MIN_BUDGET - Duration::from_millis(1));
+    assert_eq!(send_check.before_write(HEAD, true), Err(NotSentReason::TooLate));
+    assert_eq!(send_check.not_sent(), Some(NotSentReason::TooLate));
     assert!(!send_check.write_started.load(Ordering::Relaxed));
 }
 
-/// Guards callers of fast upstreams, whose attempts have short limits: those are for whoever waits for the answer.
+/// Guards clients of fast upstreams, whose attempts have short deadlines: the attempt's timer enforces those, not the
+/// send check.
 #[test]
-fn an_attempt_beyond_its_own_limit_is_written() {
+fn an_attempt_past_its_own_deadline_is_written() {
     let mut send_check = send_check(Duration::from_secs(9));
     send_check.conditions.attempt_deadline = Instant::now();
     assert!(send_check.before_write(HEAD, true).is_ok());
 }
 
-/// Guards the time that an upstream was told: it would begin with the last byte, long after that.
+/// Guards against an outdated budget: the upstream runs the request once it has the last byte, long after the head with
+/// the budget was written.
 #[test]
 fn a_request_that_takes_long_to_write_is_not_written_to_its_end() {
     let mut send_check = send_check(Duration::from_secs(9));
     send_check.before_write(HEAD, false).unwrap();
-    send_check.wrote(HEAD.len());
+    send_check.record_written(HEAD.len());
     assert_eq!(send_check.before_write(b"b", false), Ok(None));
-    send_check.begun = Instant::now().checked_sub(2 * MOST_WRITE);
-    assert_eq!(send_check.before_write(b"b", true), Err(NotSent::TooLate));
+    send_check.first_write = Instant::now().checked_sub(2 * MAX_WRITE_TIME);
+    assert_eq!(send_check.before_write(b"b", true), Err(NotSentReason::TooLate));
 }
--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -1,7 +1,7 @@
-//! Connections to peers. What the own machine fails in is tried again and not held against the peer.
+//! Connects to peers. Failures of the local machine are retried and not attributed to the peer.
 
 use crate::proxy::sync::lock;
-use crate::transient_errors::{Backoff, Origin, origin};
+use crate::transient_errors::{Backoff, ErrorOrigin, error_origin};
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -11,76 +11,79 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Tries in a row after which an error that may be the peer's is no failure of the moment. With one try in three
-/// failing alike, one connection in 729 gets so far.
-const LASTING: u32 = 6;
+/// Consecutive failures after which an error is considered persistent. If one try in three fails with such an error at
+/// random, one connection in 729 reaches this count.
+const PERSISTENT_FAILURE_COUNT: u32 = 6;
 
-/// Why a connection did not come up.
+/// Why a connection could not be established.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// The own machine's failure: it says nothing of the peer.
+    /// A failure of the local machine or network, not of the peer.
     Local(io::Error),
-    /// The peer refused it, or is out of reach.
+    /// The peer refused the connection or is unreachable.
     Peer(io::Error),
-    /// Nothing came of it in time.
+    /// The peer did not accept the connection before the deadline.
     TimedOut,
 }
 
 impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Local(error) => write!(f, "no connection could be made here: {error}"),
+            Self::Local(error) => write!(f, "cannot connect because of a local failure: {error}"),
             Self::Peer(error) => write!(f, "{error}"),
-            Self::TimedOut => f.write_str("no connection in time"),
+            Self::TimedOut => f.write_str("connecting timed out"),
         }
     }
 }
 
 impl Error for ConnectError {}
 
-/// Which peers were heard of last. It tells a peer that is out of reach from a network that is down here.
+/// The peers that were reached last. Distinguishes an unreachable peer from a local network that is down.
 #[derive(Default)]
-pub struct Reachability(Mutex<Latest>);
+pub struct Reachability(Mutex<LatestContacts>);
 
+/// The last contact with a peer, and the last contact with any other peer.
 #[derive(Default)]
-struct Latest {
+struct LatestContacts {
     latest: Option<(SocketAddr, Instant)>,
-    /// The latest of all other peers.
-    other: Option<(SocketAddr, Instant)>,
+    /// The latest contact with a peer other than the one in `latest`.
+    latest_other: Option<(SocketAddr, Instant)>,
 }
 
 impl Reachability {
-    /// Notes that a peer has let itself be heard: a connection came up, or an answer.
-    pub fn heard(&self, peer: SocketAddr) {
-        let mut heard = lock(&self.0);
-        if heard.latest.is_some_and(|(latest, _)| latest != peer) {
-            heard.other = heard.latest;
+    /// Records that a peer was reached: it accepted a connection or sent a response.
+    pub fn record_contact(&self, peer: SocketAddr) {
+        let mut contacts = lock(&self.0);
+        if contacts.latest.is_some_and(|(latest, _)| latest != peer) {
+            contacts.latest_other = contacts.latest;
         }
-        heard.latest = Some((peer, Instant::now()));
+        contacts.latest = Some((peer, Instant::now()));
     }
 
-    /// Whether a peer other than this one was heard of since then.
-    fn others_heard(&self, peer: SocketAddr, since: Instant) -> bool {
-        let heard = lock(&self.0);
-        let mut heard = [heard.latest, heard.other].into_iter().flatten();
-        heard.any(|(other, at)| other != peer && at >= since)
+    /// Whether a peer other than `peer` was reached since the given time.
+    fn other_peer_reached(&self, peer: SocketAddr, since: Instant) -> bool {
+        let contacts = lock(&self.0);
+        let mut contacts = [contacts.latest, contacts.latest_other].into_iter().flatten();
+        contacts.any(|(other, at)| other != peer && at >= since)
     }
 }
 
-/// When an attempt to connect is given up.
+/// When connecting is given up.
 pub struct ConnectDeadline<'a> {
-    /// When it is given up.
+    /// Applies while there has been no failure that may be local.
     pub end: Instant,
-    /// The same if the own machine has failed in it meanwhile: that is not a matter of the peer's time.
+    /// Replaces `end` after such a failure: the time it took is not counted as the peer's.
     pub end_after_local_failure: Instant,
-    /// Is set where that is so.
+    /// Set when connecting fails and this machine or its network may be the cause.
     pub local_failure: &'a AtomicBool,
 }
 
-/// Connects in time. Failures of the own machine are retried until then, after pauses that grow. One that has to do
-/// with this peer's address is given up sooner if it lasts while others are heard of: another peer may do. So is one
-/// that may be the peer's, and then it is taken to be: an error that many peers share is the own network's, and where
-/// all of them fail, none is at fault.
+/// Connects to a peer before the deadline. Errors that are or may be local are retried until then, with increasing
+/// pauses.
+///
+/// A persistent error returns early if it concerns the route to this peer or may be the peer's while other peers are
+/// reached: the caller can then use another peer. An error that may be the peer's is attributed to the peer if others
+/// are reached, and to the local network if all of them fail.
 pub async fn connect(
     peer: SocketAddr,
     connect_deadline: ConnectDeadline<'_>,
@@ -88,48 +91,49 @@
 ) -> Result<TcpStream, ConnectError> {
     let mut end = connect_deadline.end;
     let (mut backoff, mut failures) = (Backoff::default(), 0_u32);
-    let (mut since, mut latest) = (None, None);
+    let (mut first_failure, mut last_error) = (None, None);
     loop {
-        let Failure { origin, error } = match timeout_at(end, open(peer)).await {
+        let ConnectFailure { origin, error } = match timeout_at(end, open_socket(peer)).await {
             Ok(Ok(tcp)) => {
-                reachability.heard(peer);
+                reachability.record_contact(peer);
                 return Ok(tcp);
             }
             Ok(Err(failure)) => failure,
-            // A peer that was not asked for all of its time has not failed.
-            Err(_) => return Err(latest.map_or(ConnectError::TimedOut, ConnectError::Local)),
+            // After a local failure the peer did not have all the time to accept: it is not at fault.
+            Err(_) => return Err(last_error.map_or(ConnectError::TimedOut, ConnectError::Local)),
         };
-        if origin == Origin::Peer {
+        if origin == ErrorOrigin::Peer {
             return Err(ConnectError::Peer(error));
         }
         connect_deadline.local_failure.store(true, Ordering::Relaxed);
         end = connect_deadline.end_after_local_failure;
         failures += 1;
         let now = Instant::now();
-        let next = now + backoff.pause();
-        let is_alone = reachability.others_heard(peer, *since.get_or_insert(now));
-        let is_lasting = failures >= LASTING && is_alone && origin != Origin::Machine;
-        if is_lasting || next >= end {
+        let next_try = now + backoff.pause();
+        let others_reached = reachability.other_peer_reached(peer, *first_failure.get_or_insert(now));
+        let is_persistent =
+            failures >= PERSISTENT_FAILURE_COUNT && others_reached && origin != ErrorOrigin::LocalMachine;
+        if is_persistent || next_try >= end {
             return Err(match origin {
-                Origin::Unclear if is_alone => ConnectError::Peer(error),
+                ErrorOrigin::Ambiguous if others_reached => ConnectError::Peer(error),
                 _ => ConnectError::Local(error),
             });
         }
-        latest = Some(error);
-        sleep_until(next).await;
+        last_error = Some(error);
+        sleep_until(next_try).await;
     }
 }
 
-/// Why one try failed.
-struct Failure {
-    origin: Origin,
+/// Why one try to connect failed.
+struct ConnectFailure {
+    origin: ErrorOrigin,
     error: io::Error,
 }
 
-async fn open(peer: SocketAddr) -> Result<TcpStream, Failure> {
-    let failed = |error| Failure { origin: origin(&error), error };
-    let tcp = TcpStream::connect(peer).await.map_err(failed)?;
-    // Whatever the error is, the peer has no part in it.
-    tcp.set_nodelay(true).map_err(|error| Failure { origin: Origin::Machine, error })?;
+async fn open_socket(peer: SocketAddr) -> Result<TcpStream, ConnectFailure> {
+    let connect_failure = |error| ConnectFailure { origin: error_origin(&error), error };
+    let tcp = TcpStream::connect(peer).await.map_err(connect_failure)?;
+    // The peer cannot cause any error of this call.
+    tcp.set_nodelay(true).map_err(|error| ConnectFailure { origin: ErrorOrigin::LocalMachine, error })?;
     Ok(tcp)
 }
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an upstream, and how far a request has got on it.
+//! A connection to an upstream, and the write progress of the request on it.
 
 use crate::proxy::body::request_body::UpstreamRequestBody;
 use crate::proxy::downstream::connection::poll_io;
@@ -20,47 +20,50 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// hyper's buffer for an answer: a head without end is given up at this size.
-pub const READ_BUFFER: usize = 16 << 10;
+/// Size of hyper's read buffer for responses, in bytes. A response head that exceeds it is an error.
+pub const READ_BUFFER_SIZE: usize = 16 << 10;
 
-/// A connection to an upstream. Dropping it closes it.
+/// An HTTP/1.1 connection to an upstream, closed on drop.
 pub struct Connection {
     pub sender: SendRequest<UpstreamRequestBody<BodyConsumedCallback>>,
+    /// The socket, for checks outside hyper.
     pub tcp: Arc<TcpStream>,
-    pub progress: Arc<Progress>,
+    pub progress: Arc<WriteProgress>,
+    /// The task that runs hyper's side of the connection.
     pub task: AbortHandle,
     pub permit: ConnectionPermit,
 }
 
 impl Connection {
+    /// Connects to an upstream and starts the task that runs the connection.
     pub async fn open(
         address: SocketAddr,
         permit: ConnectionPermit,
         connect_deadline: ConnectDeadline<'_>,
     ) -> Result<Self, ConnectError> {
         let tcp = connect(address, connect_deadline, &permit.0.reachability).await?;
-        let (tcp, progress) = (Arc::new(tcp), Arc::new(Progress::default()));
-        let socket = Socket { tcp: tcp.clone(), progress: progress.clone() };
+        let (tcp, progress) = (Arc::new(tcp), Arc::new(WriteProgress::default()));
+        let socket = UpstreamSocket { tcp: tcp.clone(), progress: progress.clone() };
         let builder = &mut Builder::new();
-        let builder = builder.max_buf_size(READ_BUFFER);
+        let builder = builder.max_buf_size(READ_BUFFER_SIZE);
         let handshake = builder.handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.map_err(|error| ConnectError::Peer(io::Error::other(error)))?;
         let task = tokio::spawn(connection).abort_handle();
         Ok(Self { sender, tcp, progress, task, permit })
     }
 
-    /// The connection after its answer: ready again unless its upstream closes it, which it has said by now, or is
-    /// still being told more of the request.
-    pub async fn settled(mut self) -> Option<Self> {
+    /// Waits after a response until the connection is ready for another request. Returns `None` if the upstream closes
+    /// the connection or the request has not been written completely.
+    pub async fn into_reusable(mut self) -> Option<Self> {
         if !self.progress.written.load(Ordering::Relaxed) {
             return None;
         }
         self.sender.ready().await.is_ok().then_some(self)
     }
 
-    /// Whether nothing has come since the last answer. What an idle connection brings is its end, and the
-    /// runtime may not have heard of that yet: a request written to it would be lost.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether an idle connection is still open. Anything readable on it is its end, which the runtime may not have
+    /// noticed yet; a request written after that would be lost.
+    pub fn is_usable(&self) -> bool {
         let peeked = SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]);
         self.sender.is_ready() && peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
@@ -72,40 +75,41 @@
     }
 }
 
-/// How far a request has got on its way out.
+/// How far a request has been written.
 #[derive(Default)]
-pub struct Progress {
-    /// The last of its body is in hyper's hands.
+pub struct WriteProgress {
+    /// The whole request body has been handed to hyper.
     pub body_consumed: AtomicBool,
-    /// Its last byte is written: the upstream may run it from here on.
+    /// The last byte of the request is written: from now on the upstream may run it.
     pub written: AtomicBool,
-    /// Counts it once that is so.
+    /// Incremented when the request is written completely.
     pub attempt_counter: Mutex<Option<Arc<AtomicU64>>>,
-    /// What has to hold until it is written.
+    /// Checks that each write of the request is still allowed; `None` once it is written completely.
     pub send_check: Mutex<Option<SendCheck>>,
 }
 
-impl Progress {
-    /// Writes more of a request, unless that must not leave any more.
+impl WriteProgress {
+    /// Writes more of a request, unless the send check forbids it.
     pub fn write(&self, tcp: &TcpStream, parts: &[IoSlice<'_>]) -> io::Result<usize> {
         let mut send_check = lock(&self.send_check);
-        let (Some(send_check), Some(first)) = (send_check.as_mut(), parts.first()) else {
+        let (Some(send_check), Some(first_part)) = (send_check.as_mut(), parts.first()) else {
             return tcp.try_write_vectored(parts);
         };
-        let last = self.body_consumed.load(Ordering::Relaxed);
-        let head = send_check.before_write(first, last).map_err(io::Error::other)?;
-        let written = match &head {
-            Some(head) => {
+        let ends_request = self.body_consumed.load(Ordering::Relaxed);
+        let replacement = send_check.before_write(first_part, ends_request).map_err(io::Error::other)?;
+        let written = match &replacement {
+            Some(replacement) => {
                 let mut parts = parts.to_vec();
-                parts[0] = IoSlice::new(head);
+                parts[0] = IoSlice::new(replacement);
                 tcp.try_write_vectored(&parts)
             }
             None => tcp.try_write_vectored(parts),
         }?;
-        send_check.wrote(written);
+        send_check.record_written(written);
         Ok(written)
     }
 
+    /// Records that the request is written completely and counts the attempt.
     pub fn mark_written(&self) {
         lock(&self.send_check).take();
         self.written.store(true, Ordering::Relaxed);
@@ -118,26 +122,28 @@
 /// Called when the last part of a request body has been handed to hyper.
 pub type BodyConsumedCallback = Box<dyn Fn() + Send>;
 
-/// A socket that notes when the last byte of a request is written, and whose other handle can be peeked at.
-pub struct Socket {
+/// The socket as hyper uses it: tracks when the last byte of a request is written. `tcp` is shared, so that the
+/// connection can be checked outside hyper.
+pub struct UpstreamSocket {
     pub tcp: Arc<TcpStream>,
-    pub progress: Arc<Progress>,
+    pub progress: Arc<WriteProgress>,
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for UpstreamSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let room = buffer.initialize_unfilled();
-        let got = ready!(poll_io(cx, &self.tcp, TcpStream::poll_read_ready, |tcp| tcp.try_read(room)))?;
-        buffer.advance(got);
+        let unfilled = buffer.initialize_unfilled();
+        let received =
+            ready!(poll_io(cx, &self.tcp, TcpStream::poll_read_ready, |tcp| tcp.try_read(unfilled)))?;
+        buffer.advance(received);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for UpstreamSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(bytes)])
     }
@@ -148,13 +154,13 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let write = |tcp: &TcpStream| self.progress.write(tcp, parts);
-        let done = ready!(poll_io(cx, &self.tcp, TcpStream::poll_write_ready, write))?;
-        // All that hyper had is written, and it had all.
+        let written = ready!(poll_io(cx, &self.tcp, TcpStream::poll_write_ready, write))?;
+        // The request is complete when hyper has the whole body and all that it offered is written.
         let offered: usize = parts.iter().map(|part| part.len()).sum();
-        if done == offered && self.progress.body_consumed.load(Ordering::Relaxed) {
+        if written == offered && self.progress.body_consumed.load(Ordering::Relaxed) {
             self.progress.mark_written();
         }
-        Poll::Ready(Ok(done))
+        Poll::Ready(Ok(written))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -1,11 +1,11 @@
-//! One attempt: a request on a connection, and its response.
+//! One attempt: sends a request on an upstream connection and receives its response.
 
 use crate::proxy::body::buffer::{BufferedBody, buffer_body};
 use crate::proxy::body::memory::{BodyMemory, MemoryPermit};
 use crate::proxy::body::request_body::{RequestBody, UpstreamRequestBody};
 use crate::proxy::body::{MAX_BODY, MAX_BUFFERED_BODY};
 use crate::proxy::downstream::connection::ClientLiveness;
-use crate::proxy::send_check::{NotSent, SendCheck, SendConditions, seconds};
+use crate::proxy::send_check::{NotSentReason, SendCheck, SendConditions, format_seconds};
 use crate::proxy::sync::lock;
 use crate::proxy::upstream::connect::{ConnectDeadline, ConnectError};
 use crate::proxy::upstream::connection::{BodyConsumedCallback, Connection};
@@ -20,10 +20,11 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::time::{Duration, Instant};
 
-/// How long the start of a long answer may be held, for a server that breaks off at once to be found out.
-pub const MAX_START_BUFFERING: Duration = Duration::from_millis(50);
+/// How long the start of a long response is buffered before it is forwarded. The attempt can still be retried if the
+/// upstream aborts the response within this time.
+pub const MAX_BUFFERING_TIME: Duration = Duration::from_millis(50);
 
-/// How an attempt ended, with the response if it is complete and the connection if it can be reused.
+/// How an attempt ended: its outcome, the response if it is complete, and the connection if it can be reused.
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
     pub response: Option<Response<Bytes>>,
@@ -36,20 +37,24 @@
     }
 }
 
-/// How the exchange of a request and its response ended.
+/// How an exchange returned: with a finished attempt, or with a response whose body is still to be received.
 pub enum ExchangeOutcome {
+    /// The attempt has ended.
     Ended(AttemptResult),
     /// The attempt ended because the client has disconnected.
     ClientDisconnected(AttemptResult),
-    /// The response to the client has started and is too long to wait for its end.
+    /// The start of the response is buffered; the rest is too long or too slow to be buffered and has to be streamed.
     ResponseStarted(Box<StartedResponse>),
 }
 
 /// A response that has started and whose body is still being received.
 pub struct StartedResponse {
+    /// The head, with the buffered start of the body.
     pub head: Response<Bytes>,
+    /// The rest of the body.
     pub body: Incoming,
     pub connection: Connection,
+    /// Reservation for the buffered start; `None` if the memory limit was reached.
     pub memory_permit: Option<MemoryPermit>,
 }
 
@@ -59,48 +64,50 @@
     }
 }
 
-/// What an attempt needs besides its request.
+/// The connection, deadlines and shared state of one attempt.
 pub struct ExchangeContext {
     pub connection_source: ConnectionSource,
     pub address: SocketAddr,
     pub connect_timeout: Duration,
-    /// How long the answer is waited for.
+    /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// When its request's time is over, where that is known: an attempt that the own machine holds up has until then.
+    /// When the request times out; `None` while its body is still being received. After a local failure the attempt has
+    /// until then.
     pub request_deadline: Option<Instant>,
-    /// Is set when the own machine holds it up.
+    /// Set when connecting fails for a reason on this machine, not on the upstream.
     pub local_failure: Arc<AtomicBool>,
-    /// When it must have begun, or it is never sent.
+    /// The request is not written, or not completely, after this time.
     pub begin_by: Option<Instant>,
-    /// Counts the attempts that are written whole.
+    /// Counts the attempts whose request was written completely.
     pub attempt_counter: Option<Arc<AtomicU64>>,
     pub body_memory: Arc<BodyMemory>,
-    /// Whose request it is, if it is a caller's.
+    /// The client that sent the request; `None` for a load query.
     pub client: Option<ClientLiveness>,
-    /// When the caller stops waiting, if it is a caller's request.
+    /// When the client stops waiting; `None` for a load query.
     pub client_deadline: Option<Instant>,
-    /// Is set right before the first byte is written.
+    /// Set right before the first byte is written.
     pub write_started: Arc<AtomicBool>,
 }
 
-/// Sends a request on a connection, or on a new one, and waits for its whole answer, or for enough of a long one.
+/// Sends a request on an idle or a new connection. Returns when the response is complete, when enough of a long response
+/// has been received to start forwarding it, or when the attempt has failed.
 pub async fn exchange(mut request: Request<RequestBody>, context: ExchangeContext) -> ExchangeOutcome {
-    let is_late = || context.begin_by.is_some_and(|end| Instant::now() >= end);
+    let is_past_begin_by = || context.begin_by.is_some_and(|end| Instant::now() >= end);
     let mut connection = match context.connection_source {
         ConnectionSource::Idle(connection) => connection,
         ConnectionSource::New(permit) => {
-            let in_any_case = Instant::now() + context.connect_timeout;
-            let in_any_case = context.begin_by.map_or(in_any_case, |begin_by| begin_by.min(in_any_case));
+            let latest_end = Instant::now() + context.connect_timeout;
+            let latest_end = context.begin_by.map_or(latest_end, |begin_by| begin_by.min(latest_end));
             let connect_deadline = ConnectDeadline {
-                end: in_any_case.min(context.attempt_deadline),
-                end_after_local_failure: in_any_case
+                end: latest_end.min(context.attempt_deadline),
+                end_after_local_failure: latest_end
                     .min(context.request_deadline.unwrap_or(context.attempt_deadline)),
                 local_failure: &context.local_failure,
             };
             match Connection::open(context.address, permit, connect_deadline).await {
                 Ok(connection) => connection,
                 Err(ConnectError::Local(_)) => return AttemptOutcome::NotSent.into(),
-                Err(ConnectError::TimedOut) if is_late() => return AttemptOutcome::NotSent.into(), // before its own time was over
+                Err(ConnectError::TimedOut) if is_past_begin_by() => return AttemptOutcome::NotSent.into(), // before the connect timeout
                 Err(ConnectError::Peer(_) | ConnectError::TimedOut) => {
                     return AttemptOutcome::ConnectFailed.into();
                 }
@@ -119,13 +126,13 @@
         streamed: remainder.is_some(),
     };
     let never_sent = AttemptResult { outcome: AttemptOutcome::NotSent, response: None, connection: None };
-    match conditions.may_begin() {
+    match conditions.check_start() {
         Ok(budget) => {
-            let budget = HeaderValue::from_str(&seconds(budget));
-            request.headers_mut().insert("x-budget", budget.unwrap_or(HeaderValue::from_static("0")));
+            let header_value = HeaderValue::from_str(&format_seconds(budget));
+            request.headers_mut().insert("x-budget", header_value.unwrap_or(HeaderValue::from_static("0")));
         }
         Err(reason) => {
-            return not_sent(reason, AttemptResult { connection: Some(connection), ..never_sent });
+            return unsent_outcome(reason, AttemptResult { connection: Some(connection), ..never_sent });
         }
     }
     let progress = connection.progress.clone();
@@ -133,21 +140,22 @@
     progress.written.store(false, Ordering::Relaxed);
     *lock(&progress.attempt_counter) = context.attempt_counter;
     *lock(&progress.send_check) = Some(SendCheck::new(conditions, context.write_started.clone()));
-    let taken = connection.progress.clone();
-    let taken: BodyConsumedCallback = Box::new(move || taken.body_consumed.store(true, Ordering::Relaxed));
+    let callback_progress = connection.progress.clone();
+    let on_body_consumed: BodyConsumedCallback =
+        Box::new(move || callback_progress.body_consumed.store(true, Ordering::Relaxed));
     let client_disconnected = || context.client.as_ref().is_some_and(|client| client.is_disconnected(false));
-    let broken = || -> ExchangeOutcome {
+    let on_connection_error = || -> ExchangeOutcome {
         if let Some(reason) = lock(&progress.send_check).as_ref().and_then(SendCheck::not_sent) {
-            let begun = context.write_started.load(Ordering::Relaxed);
-            let outcome = if begun && reason == NotSent::ClientDisconnected {
+            let write_started = context.write_started.load(Ordering::Relaxed);
+            let outcome = if write_started && reason == NotSentReason::ClientDisconnected {
                 AttemptOutcome::Cancelled
             } else {
                 AttemptOutcome::NotSent
             };
-            return not_sent(reason, outcome.into());
+            return unsent_outcome(reason, outcome.into());
         }
         match progress.written.load(Ordering::Relaxed) {
-            // Its caller broke the request off, which says nothing of the upstream.
+            // The client aborted the request body: not a fault of the upstream.
             _ if remainder.as_ref().is_some_and(|remainder| remainder.is_aborted()) => {
                 match client_disconnected() {
                     true => ExchangeOutcome::ClientDisconnected(AttemptOutcome::Cancelled.into()),
@@ -158,37 +166,37 @@
             false => AttemptOutcome::ConnectFailed.into(),
         }
     };
-    let request = request.map(|body| UpstreamRequestBody::new(body, taken));
+    let request = request.map(|body| UpstreamRequestBody::new(body, on_body_consumed));
     let Ok(response) = connection.sender.send_request(request).await else {
-        return broken();
+        return on_connection_error();
     };
-    connection.permit.0.reachability.heard(context.address);
+    connection.permit.0.reachability.record_contact(context.address);
     let (head, mut body) = response.into_parts();
     let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
     let outcome = match head.status {
         StatusCode::OK => AttemptOutcome::Success,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => AttemptOutcome::Rejected,
-        // 408 and 429 are about the connection and the load; all else of its kind is about the request.
+        // 408 and 429 concern the connection and the load; all other 4xx codes concern the request itself.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
         status if status.is_client_error() => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::Error,
     };
     if body.size_hint().lower() > MAX_BODY {
-        return AttemptOutcome::Error.into(); // larger than any answer may be
+        return AttemptOutcome::Error.into(); // exceeds the response size limit
     }
     let size = body.size_hint().exact().and_then(|size| usize::try_from(size).ok());
-    let small = size.filter(|size| *size <= MAX_BUFFERED_BODY);
-    let memory_permit = context.body_memory.try_reserve(small.unwrap_or(MAX_BUFFERED_BODY));
-    // One of unknown length may be a small one that comes slowly: its caller gets it as it comes.
-    let until = small.is_none().then(|| Instant::now() + MAX_START_BUFFERING);
-    let most = if memory_permit.is_some() { MAX_BUFFERED_BODY } else { 0 };
-    let (buffered, complete) = match buffer_body(&mut body, most, until).await {
+    let bufferable_size = size.filter(|size| *size <= MAX_BUFFERED_BODY);
+    let memory_permit = context.body_memory.try_reserve(bufferable_size.unwrap_or(MAX_BUFFERED_BODY));
+    // A response of unknown length may be small but slow: the client receives it as a stream after this time.
+    let buffering_deadline = bufferable_size.is_none().then(|| Instant::now() + MAX_BUFFERING_TIME);
+    let max_buffered = if memory_permit.is_some() { MAX_BUFFERED_BODY } else { 0 };
+    let (buffered, complete) = match buffer_body(&mut body, max_buffered, buffering_deadline).await {
         Ok(BufferedBody { buffered, complete }) => (buffered, complete || body.is_end_stream()),
-        Err(_) => return broken(),
+        Err(_) => return on_connection_error(),
     };
     let head = Response::from_parts(head, buffered);
     if complete {
-        let connection = connection.settled().await;
+        let connection = connection.into_reusable().await;
         return ExchangeOutcome::Ended(AttemptResult { outcome, response: Some(head), connection });
     }
     match outcome {
@@ -200,14 +208,14 @@
                 memory_permit,
             }))
         }
-        outcome => outcome.into(), // nobody gets the rest
+        outcome => outcome.into(), // a failed response is not streamed to the client
     }
 }
 
-/// The end of an attempt that was not written, or not to its end, so that it cannot have run.
-pub fn not_sent(reason: NotSent, finished: AttemptResult) -> ExchangeOutcome {
+/// The end of an attempt whose request was not written completely, so that the upstream cannot have run it.
+pub fn unsent_outcome(reason: NotSentReason, result: AttemptResult) -> ExchangeOutcome {
     match reason {
-        NotSent::ClientDisconnected => ExchangeOutcome::ClientDisconnected(finished),
-        NotSent::TooLate => ExchangeOutcome::Ended(finished),
+        NotSentReason::ClientDisconnected => ExchangeOutcome::ClientDisconnected(result),
+        NotSentReason::TooLate => ExchangeOutcome::Ended(result),
     }
 }
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, and attempts on them: one attempt at a time on each.
+//! Upstream connections and the attempts sent on them. A connection carries one attempt at a time.
 
 pub mod connect;
 pub mod connection;
--- a/src/proxy/upstream/permit.rs
+++ b/src/proxy/upstream/permit.rs
@@ -1,21 +1,22 @@
-//! Permits for connections to upstreams: each counts until it is dropped.
+//! Permits that count upstream connections and share the state that all of them have in common.
 
 use crate::proxy::upstream::connect::Reachability;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The number of open upstream connections, and what they show of the network's state.
+/// State shared by all upstream connections: their number, and which peers they reached last.
 #[derive(Default)]
 pub struct SharedConnectionState {
-    /// How many are open, or coming up.
+    /// Number of connections that are open or being established.
     pub open: AtomicUsize,
     pub reachability: Reachability,
 }
 
-/// A permit for one connection, open or being established; it counts until it is dropped.
+/// A permit for one connection, open or being established. Dropping it releases the permit.
 pub struct ConnectionPermit(pub Arc<SharedConnectionState>);
 
 impl ConnectionPermit {
+    /// Counts one more connection. The caller checks the limit.
     pub fn acquire(shared: &Arc<SharedConnectionState>) -> Self {
         shared.open.fetch_add(1, Ordering::Relaxed);
         Self(shared.clone())
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to upstreams: idle ones, and room for new ones.
+//! The pool of idle upstream connections, and the limit on open ones.
 
 use crate::proxy::upstream::connection::Connection;
 use crate::proxy::upstream::permit::{ConnectionPermit, SharedConnectionState};
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use tokio::time::{Duration, Instant};
 
-/// An idle connection is dropped by this much, or by half its time, before its upstream may close it.
+/// How long before the upstream's idle timeout a connection is closed here; at most half of that timeout.
 pub const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
 /// The connection that an attempt uses: an idle one, or a permit to open a new one.
@@ -17,43 +17,48 @@
     New(ConnectionPermit),
 }
 
-/// Idle connections to endpoints; in each list the most recently used one is last.
+/// Idle connections by endpoint.
 pub struct IdlePool {
-    pub keep: Duration,
-    pub most: usize,
+    /// How long an idle connection can be reused.
+    pub max_idle_time: Duration,
+    /// Maximum number of open connections, idle or not.
+    pub max_open: usize,
     pub shared: Arc<SharedConnectionState>,
+    /// The connections and when they became idle, the most recently used one last.
     pub idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
 }
 
 impl IdlePool {
-    /// Connections are kept for less than `limit`, and no more than `most` are open, idle or not.
-    pub fn new(limit: Duration, most: usize) -> Self {
-        let keep = limit - IDLE_MARGIN.min(limit / 2);
-        Self { keep, most, shared: Arc::default(), idle: HashMap::new() }
+    /// Creates a pool for upstreams that close idle connections after `idle_timeout`. At most `max_open` connections are
+    /// open, idle or not.
+    pub fn new(idle_timeout: Duration, max_open: usize) -> Self {
+        let max_idle_time = idle_timeout - IDLE_MARGIN.min(idle_timeout / 2);
+        Self { max_idle_time, max_open, shared: Arc::default(), idle: HashMap::new() }
     }
 
-    /// Changes how many may be open, and closes idle ones that are too many then.
-    pub fn set_max_open(&mut self, most: usize) {
-        self.most = most;
-        while self.shared.open.load(Ordering::Relaxed) > most && self.close_oldest() {}
+    /// Changes the maximum number of open connections and closes idle ones above it.
+    pub fn set_max_open(&mut self, max_open: usize) {
+        self.max_open = max_open;
+        while self.shared.open.load(Ordering::Relaxed) > max_open && self.close_oldest() {}
     }
 
-    /// What an attempt at an upstream goes on: the latest used connection that is sound, or a new one if there is room.
+    /// Returns the connection for an attempt: the most recently used idle one that is still open, or a permit for a new
+    /// one. `None` if the limit is reached.
     pub fn acquire(&mut self, endpoint: EndpointId) -> Option<ConnectionSource> {
-        while let Some((since, connection)) = self.idle.get_mut(&endpoint).and_then(Vec::pop) {
-            if since.elapsed() < self.keep && connection.is_quiet() {
+        while let Some((idle_since, connection)) = self.idle.get_mut(&endpoint).and_then(Vec::pop) {
+            if idle_since.elapsed() < self.max_idle_time && connection.is_usable() {
                 return Some(ConnectionSource::Idle(connection));
             }
         }
         self.make_room().then(|| ConnectionSource::New(ConnectionPermit::acquire(&self.shared)))
     }
 
-    /// Keeps a connection for the next attempt.
+    /// Returns a connection to the pool for reuse.
     pub fn release(&mut self, endpoint: EndpointId, connection: Connection) {
         self.idle.entry(endpoint).or_default().push((Instant::now(), connection));
     }
 
-    /// Closes the idle connections to an upstream.
+    /// Closes the idle connections to an endpoint.
     pub fn close(&mut self, endpoint: EndpointId) {
         self.idle.remove(&endpoint);
     }
@@ -63,24 +68,26 @@
         self.idle.clear();
     }
 
-    /// Closes what has been idle for too long, or has ended.
+    /// Closes idle connections that have been idle for too long or were closed by the upstream.
     pub fn sweep(&mut self) {
         self.idle.retain(|_, idle| {
-            idle.retain(|(since, connection)| since.elapsed() < self.keep && connection.is_quiet());
+            idle.retain(|(idle_since, connection)| {
+                idle_since.elapsed() < self.max_idle_time && connection.is_usable()
+            });
             !idle.is_empty()
         });
     }
 
-    /// Whether one more connection may be opened, after closing the one idle for longest if need be.
+    /// Whether one more connection may be opened. At the limit, the connection idle for longest is closed first.
     pub fn make_room(&mut self) -> bool {
-        let full = |idle: &Self| idle.shared.open.load(Ordering::Relaxed) >= idle.most;
-        if full(self) {
+        let is_full = |pool: &Self| pool.shared.open.load(Ordering::Relaxed) >= pool.max_open;
+        if is_full(self) {
             self.close_oldest();
         }
-        !full(self)
+        !is_full(self)
     }
 
-    /// Closes the connection that has been idle for longest, if there is one.
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
     pub fn close_oldest(&mut self) -> bool {
         let oldest = self.idle.iter().filter_map(|(endpoint, idle)| Some((idle.first()?.0, *endpoint))).min();
         let idle = oldest.and_then(|(_, endpoint)| self.idle.get_mut(&endpoint));
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -38,147 +38,154 @@
     }
 }
 
-/// A connection that has had an answer, and its peer.
-async fn used(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
+/// A connection that has received a response, and the peer's end of it.
+async fn reused_connection(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
     let address = listener.local_addr().unwrap();
-    let peer = listener.try_clone().unwrap();
+    let peer_listener = listener.try_clone().unwrap();
     let peer = tokio::task::spawn_blocking(move || {
-        let mut stream = peer.accept().unwrap().0;
-        let mut got = Vec::new();
-        while !got.ends_with(b"\r\n\r\n") {
+        let mut stream = peer_listener.accept().unwrap().0;
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
             stream.read_exact(&mut byte).unwrap();
-            got.push(byte[0]);
+            received.push(byte[0]);
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         stream
     });
     let context = context(address, ConnectionSource::New(ConnectionPermit::acquire(&Arc::default())));
-    let ExchangeOutcome::Ended(finished) = exchange(Request::new(RequestBody::default()), context).await
-    else {
-        panic!("the answer is whole");
+    let ExchangeOutcome::Ended(result) = exchange(Request::new(RequestBody::default()), context).await else {
+        panic!("the response is not complete");
     };
-    (finished.connection.expect("a connection to use again"), peer.await.unwrap())
+    (result.connection.expect("a reusable connection"), peer.await.unwrap())
 }
 
-/// Guards against a balancer that is held up: between the end of an idle connection and the runtime's
-/// next look at its sockets, work would be written to it and lost.
+/// Guards against requests lost on a closed connection: the peer closes an idle connection and a request is written to
+/// it before the runtime polls its sockets again.
 #[tokio::test]
-async fn an_end_shows_before_the_runtime_has_heard_of_it() {
+async fn a_closed_connection_is_detected_before_the_runtime_polls_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (connection, peer) = used(&listener).await;
-    assert!(connection.is_quiet());
+    let (connection, peer) = reused_connection(&listener).await;
+    assert!(connection.is_usable());
     drop(peer);
-    let asked = Instant::now();
-    while connection.is_quiet() {
-        assert!(asked.elapsed() < Duration::from_secs(30)); // no await: the runtime hears of nothing
+    let start = Instant::now();
+    while connection.is_usable() {
+        assert!(start.elapsed() < Duration::from_secs(30)); // no await: the runtime does not poll its sockets
     }
 }
 
-/// What becomes of an attempt on a used connection where the process does this between the choice and the write.
-async fn held_up(client: Option<ClientLiveness>, left: Duration, by: impl FnOnce() + Send + 'static) -> Held {
+/// Runs an attempt on a reused connection, with `action` between the choice of the connection and the write.
+async fn delayed_exchange(
+    client: Option<ClientLiveness>,
+    time_left: Duration,
+    action: impl FnOnce() + Send + 'static,
+) -> DelayedExchange {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (connection, mut peer) = used(&listener).await;
+    let (connection, mut peer) = reused_connection(&listener).await;
     let write_started = Arc::new(AtomicBool::new(false));
-    let until = Instant::now() + left;
+    let deadline = Instant::now() + time_left;
     let context = ExchangeContext {
         connection_source: ConnectionSource::Idle(connection),
         client,
-        client_deadline: Some(until),
-        attempt_deadline: until,
+        client_deadline: Some(deadline),
+        attempt_deadline: deadline,
         write_started: write_started.clone(),
         ..context(
             listener.local_addr().unwrap(),
             ConnectionSource::New(ConnectionPermit::acquire(&Arc::default())),
         )
     };
-    let exchanged = tokio::spawn(exchange(Request::new(RequestBody::default()), context));
-    tokio::spawn(async move { by() }); // its turn is after that of the exchange, and before that of the connection
-    let got = tokio::task::spawn_blocking(move || {
+    let exchange_task = tokio::spawn(exchange(Request::new(RequestBody::default()), context));
+    tokio::spawn(async move { action() }); // runs after the exchange task and before the connection task
+    let received = tokio::task::spawn_blocking(move || {
         peer.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-        let mut got = vec![0; 1 << 10];
-        let length = peer.read(&mut got).unwrap();
-        String::from_utf8(got[..length].to_vec()).unwrap()
+        let mut buffer = vec![0; 1 << 10];
+        let length = peer.read(&mut buffer).unwrap();
+        String::from_utf8(buffer[..length].to_vec()).unwrap()
     });
-    let got = got.await.unwrap();
-    exchanged.abort();
-    let exchanged = exchanged.await.ok();
-    Held { got, exchanged, write_started: write_started.load(Ordering::Relaxed) }
+    let received = received.await.unwrap();
+    exchange_task.abort();
+    let outcome = exchange_task.await.ok();
+    DelayedExchange { received, outcome, write_started: write_started.load(Ordering::Relaxed) }
 }
 
-struct Held {
-    /// What the upstream got.
-    got: String,
-    exchanged: Option<ExchangeOutcome>,
+/// What a delayed exchange resulted in.
+struct DelayedExchange {
+    /// The bytes that the upstream received.
+    received: String,
+    /// `None` if the exchange had not ended.
+    outcome: Option<ExchangeOutcome>,
     write_started: bool,
 }
 
-/// A caller's end of a connection, and what an attempt for it is given.
+/// A client's socket and the balancer's end of its connection.
 async fn client() -> (std::net::TcpStream, ClientConnection) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let taken = listener.accept().unwrap().0;
-    taken.set_nonblocking(true).unwrap();
-    (client, SingleRequestStream::new(TcpStream::from_std(taken).unwrap()).1)
+    let accepted = listener.accept().unwrap().0;
+    accepted.set_nonblocking(true).unwrap();
+    (client, SingleRequestStream::new(TcpStream::from_std(accepted).unwrap()).1)
 }
 
-/// Guards upstreams against work that nobody waits for: a late turn of the event loop lies between the choice and
-/// the write.
+/// Guards upstreams against requests of disconnected clients: the client disconnects while the event loop delays the
+/// write.
 #[tokio::test]
-async fn a_caller_that_leaves_before_the_write_gets_no_attempt() {
+async fn a_client_that_disconnects_before_the_write_gets_no_attempt() {
     for reset in [false, true] {
-        let (client, line) = client().await;
-        let held = held_up(Some(line.liveness()), Duration::from_secs(30), move || {
-            if reset {
-                SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
-            }
-            drop(client);
-        });
-        let held = held.await;
-        assert_eq!(held.got, "", "reset: {reset}");
-        assert!(!held.write_started, "it ends as never sent");
+        let (client, client_connection) = client().await;
+        let delayed =
+            delayed_exchange(Some(client_connection.liveness()), Duration::from_secs(30), move || {
+                if reset {
+                    SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+                }
+                drop(client);
+            });
+        let delayed = delayed.await;
+        assert_eq!(delayed.received, "", "reset: {reset}");
+        assert!(!delayed.write_started, "the attempt counts as written");
         assert!(matches!(
-            held.exchanged,
+            delayed.outcome,
             Some(ExchangeOutcome::ClientDisconnected(AttemptResult { outcome: AttemptOutcome::NotSent, .. }))
         ));
     }
 }
 
-/// Guards the time that an upstream is told against the same.
+/// Guards against an outdated budget when the process is paused before the write.
 #[tokio::test]
-async fn an_upstream_is_told_what_is_left_at_the_write() {
-    const HELD_UP: Duration = Duration::from_millis(300);
-    let hold_up = || std::thread::sleep(HELD_UP);
-    let held = held_up(None, Duration::from_secs(20), hold_up).await;
-    let told = held.got.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
-    let told = Duration::from_secs_f64(told.parse().unwrap());
-    assert!(told <= Duration::from_secs(20) - HELD_UP, "{told:?}");
-    assert!(held.write_started);
+async fn the_budget_is_the_time_left_at_the_write() {
+    const PAUSE: Duration = Duration::from_millis(300);
+    let pause = || std::thread::sleep(PAUSE);
+    let delayed = delayed_exchange(None, Duration::from_secs(20), pause).await;
+    let budget = delayed.received.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
+    let budget = Duration::from_secs_f64(budget.parse().unwrap());
+    assert!(budget <= Duration::from_secs(20) - PAUSE, "{budget:?}");
+    assert!(delayed.write_started);
 
-    let held = held_up(None, HELD_UP, hold_up).await;
-    assert_eq!(held.got, "", "nothing is left");
-    assert!(!held.write_started);
+    let delayed = delayed_exchange(None, PAUSE, pause).await;
+    assert_eq!(delayed.received, "", "written with no time left");
+    assert!(!delayed.write_started);
     assert!(matches!(
-        held.exchanged,
+        delayed.outcome,
         Some(ExchangeOutcome::Ended(AttemptResult { outcome: AttemptOutcome::NotSent, .. }))
     ));
 }
 
-/// Guards rule 2: only a request whose last byte was not written is known not to have run.
+/// Guards against repeating a request that may have run: only one whose last byte was not written is known not to have
+/// run.
 #[tokio::test]
-async fn written_is_what_has_left_to_the_last_byte() {
+async fn a_request_counts_as_written_after_its_last_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let tcp = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    let progress = Arc::new(Progress::default());
-    let mut socket = Socket { tcp: Arc::new(tcp), progress: progress.clone() };
-    let written = || progress.written.load(Ordering::Relaxed);
+    let progress = Arc::new(WriteProgress::default());
+    let mut socket = UpstreamSocket { tcp: Arc::new(tcp), progress: progress.clone() };
+    let is_written = || progress.written.load(Ordering::Relaxed);
     socket.write_all(b"head").await.unwrap();
-    assert!(!written(), "the body is still to come");
+    assert!(!is_written(), "the body is not written yet");
     progress.body_consumed.store(true, Ordering::Relaxed);
-    let most = socket.write(&vec![0; 64 << 20]).await.unwrap();
-    assert!(most < 64 << 20 && !written(), "the peer's buffer holds a part only");
+    let written = socket.write(&vec![0; 64 << 20]).await.unwrap();
+    assert!(written < 64 << 20 && !is_written(), "the peer's buffer takes only a part");
     let mut peer = listener.accept().unwrap().0;
     std::thread::spawn(move || std::io::copy(&mut peer, &mut std::io::sink()));
     socket.write_all(b"the rest").await.unwrap();
-    assert!(written());
+    assert!(is_written());
 }
--- a/src/transient_errors.rs
+++ b/src/transient_errors.rs
@@ -1,4 +1,4 @@
-//! Failures of system calls that pass: whose they are, and how long to wait before the next try.
+//! Transient failures of system calls: which side caused them, and how long to wait before a retry.
 
 use rustix::io::Errno;
 use std::io;
@@ -6,36 +6,37 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// First pause after a failure, doubling with each up to the longest.
+/// Pause after the first failure. It doubles with each further failure, up to `MAX_PAUSE`.
 const FIRST_PAUSE: Duration = Duration::from_millis(2);
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between two tries.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before a read or write that the machine had no memory for is made again.
+/// Pause before retrying a read or write that failed for lack of memory or descriptors.
 pub const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
-/// How long what the program cannot do without is tried.
-const LASTING: Duration = Duration::from_secs(3);
-/// Errors of files and addresses that may pass, beside those of the machine: a disk that does not answer, an address
-/// that is just being set up.
+/// How long an operation that the program depends on is retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Errors of files and addresses that may be transient, besides those of the local machine: a disk that does not
+/// respond, an address that is still being configured.
 const TRANSIENT: [Errno; 4] = [Errno::ADDRNOTAVAIL, Errno::IO, Errno::NETUNREACH, Errno::STALE];
 
-/// Whose failure an error is.
+/// Which side caused a connect error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
-    /// The own machine lacks something, whatever the peer.
-    Machine,
-    /// The own machine has no way to this peer just now, or does not allow it: no port, route or permission.
+pub enum ErrorOrigin {
+    /// The local machine lacks a resource, whichever the peer.
+    LocalMachine,
+    /// The local machine cannot reach this peer's address: no port, route or permission.
     Route,
-    /// The own network may be at fault, or the peer's.
-    Unclear,
-    /// The peer's.
+    /// Either the local network or the peer is at fault.
+    Ambiguous,
+    /// The peer is at fault.
     Peer,
 }
 
-/// Whose failure it is that a connection could not be made.
-pub fn origin(error: &io::Error) -> Origin {
+/// Determines which side caused a connect error.
+pub fn error_origin(error: &io::Error) -> ErrorOrigin {
     match Errno::from_io_error(error) {
-        // EAGAIN is a lack of local ports or of room in the routing cache; ENOSPC one of watches in epoll.
+        // EAGAIN: no free local port or routing cache entry. ENOSPC: the limit of epoll watches is reached.
         Some(
             Errno::AGAIN
             | Errno::INTR
@@ -45,20 +46,20 @@
             | Errno::NOBUFS
             | Errno::NOMEM
             | Errno::NOSPC,
-        ) => Origin::Machine,
-        Some(Errno::ACCESS | Errno::ADDRNOTAVAIL | Errno::NETUNREACH | Errno::PERM) => Origin::Route,
-        Some(Errno::HOSTDOWN | Errno::HOSTUNREACH | Errno::TIMEDOUT) => Origin::Unclear,
-        _ => Origin::Peer,
+        ) => ErrorOrigin::LocalMachine,
+        Some(Errno::ACCESS | Errno::ADDRNOTAVAIL | Errno::NETUNREACH | Errno::PERM) => ErrorOrigin::Route,
+        Some(Errno::HOSTDOWN | Errno::HOSTUNREACH | Errno::TIMEDOUT) => ErrorOrigin::Ambiguous,
+        _ => ErrorOrigin::Peer,
     }
 }
 
-/// Whether the machine is out of descriptors or of memory for sockets: closing some would help.
+/// Whether the machine is out of descriptors or socket memory. Closing connections frees both.
 pub fn is_shortage(error: &io::Error) -> bool {
     let error = Errno::from_io_error(error);
     matches!(error, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Has the task polled again after a pause.
+/// Returns `Pending` and wakes the task after `SHORTAGE_PAUSE`.
 pub fn poll_later<T>(cx: &Context<'_>) -> Poll<T> {
     let waker = cx.waker().clone();
     tokio::spawn(async move {
@@ -68,67 +69,68 @@
     Poll::Pending
 }
 
-/// The pauses between tries, each twice as long as the one before.
+/// Exponential backoff between tries: each pause is twice as long as the previous one.
 pub struct Backoff {
-    next: Duration,
+    next_pause: Duration,
 }
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { next: FIRST_PAUSE }
+        Self { next_pause: FIRST_PAUSE }
     }
 }
 
 impl Backoff {
-    /// How long to wait after one more failure.
+    /// Returns how long to wait after a further failure.
     pub fn pause(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (2 * pause).min(LONGEST_PAUSE);
+        let pause = self.next_pause;
+        self.next_pause = (2 * pause).min(MAX_PAUSE);
         pause
     }
 }
 
-/// The tries that something gets before its failure is taken for lasting.
-struct Tries {
+/// Limits how long a failing operation is retried.
+struct RetryLimit {
     end: Instant,
     backoff: Backoff,
 }
 
-impl Tries {
+impl RetryLimit {
     fn new() -> Self {
-        Self { end: Instant::now() + LASTING, backoff: Backoff::default() }
+        Self { end: Instant::now() + RETRY_TIMEOUT, backoff: Backoff::default() }
     }
 
-    /// How long to wait before the next one, if there is to be one.
-    fn next_after(&mut self, error: &io::Error) -> Option<Duration> {
+    /// Returns how long to wait before the next try, or `None` if the error is permanent or the time is over.
+    fn pause_after(&mut self, error: &io::Error) -> Option<Duration> {
         (is_transient(error) && Instant::now() < self.end).then(|| self.backoff.pause())
     }
 }
 
-/// Whether what failed may be done a moment later, with nothing changed by anybody's hand.
+/// Whether the operation may succeed a moment later without intervention.
 fn is_transient(error: &io::Error) -> bool {
-    origin(error) == Origin::Machine
+    error_origin(error) == ErrorOrigin::LocalMachine
         || Errno::from_io_error(error).is_some_and(|error| TRANSIENT.contains(&error))
 }
 
-/// Does something at the start, while nobody is served, until it is done or fails for good.
-pub fn retry_blocking<T>(mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut tries = Tries::new();
+/// Retries an operation until it succeeds, fails permanently or the retry timeout is over. Blocks the thread: for use
+/// during startup, before any request is served.
+pub fn retry_blocking<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut retry_limit = RetryLimit::new();
     loop {
-        match act() {
-            Ok(done) => return Ok(done),
-            Err(error) => std::thread::sleep(tries.next_after(&error).ok_or(error)?),
+        match operation() {
+            Ok(value) => return Ok(value),
+            Err(error) => std::thread::sleep(retry_limit.pause_after(&error).ok_or(error)?),
         }
     }
 }
 
-/// Does something until it is done or fails for good, while others are served.
-pub async fn retry<T>(mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut tries = Tries::new();
+/// Retries an operation until it succeeds, fails permanently or the retry timeout is over, without blocking the thread.
+pub async fn retry<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut retry_limit = RetryLimit::new();
     loop {
-        match act() {
-            Ok(done) => return Ok(done),
-            Err(error) => sleep(tries.next_after(&error).ok_or(error)?).await,
+        match operation() {
+            Ok(value) => return Ok(value),
+            Err(error) => sleep(retry_limit.pause_after(&error).ok_or(error)?).await,
         }
     }
 }
