--- a/src/proxy/body/mod.rs
+++ b/src/proxy/body/mod.rs
@@ -1,5 +1,5 @@
-//! Request and response bodies. A small body is buffered as a whole. A larger one is streamed with backpressure: the next
-//! chunk is read only after the previous one was written, so that memory use does not grow with the body.
+//! Request and response bodies. A small body is buffered as a whole. A larger one is streamed with backpressure: the
+//! next chunk is read only after the previous one was written, so that memory use does not grow with the body.
 
 pub mod buffer;
 pub mod memory;
@@ -8,8 +8,9 @@
 
 use std::fmt;
 
-/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that it
-/// can be judged before the client receives any of it. The latency of a longer response is that of its first bytes.
+/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that
+/// its outcome is known before the client receives any of it. The latency of a longer response is that of its first
+/// bytes.
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
 /// Largest body of a request or response, in bytes.
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The header that carries the upstream's time budget, as it appears in a request head.
+/// Start of the header field that carries the upstream's time budget, as it appears in a request head.
 const BUDGET_FIELD_START: &[u8] = b"\r\nx-budget: ";
 /// Subtracted from the client's remaining time before it is sent upstream: the client's time also ran while its request
 /// was on its way here, and runs until the upstream has the last byte. The slack before the client's deadline remains
@@ -38,6 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
     ClientDisconnected,
+    /// Too little of the client's time is left, or the last time to begin has passed.
     TooLate,
 }
 
@@ -123,6 +124,7 @@
 }
 
 impl SendCheck {
+    /// Creates the check for one attempt. `write_started` is set before the first write.
     pub fn new(conditions: SendConditions, write_started: Arc<AtomicBool>) -> Self {
         Self {
             conditions,
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -71,10 +71,10 @@
     pub connect_timeout: Duration,
     /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// When the request times out; `None` while its body is still being received. After a local failure the attempt has
-    /// until then.
+    /// When the request times out; `None` while its body is still being received.
     pub request_deadline: Option<Instant>,
-    /// Set when connecting fails for a reason on this machine, not on the upstream.
+    /// Set when connecting fails and this machine or its network may be the cause. The attempt then has until
+    /// `request_deadline`.
     pub local_failure: Arc<AtomicBool>,
     /// The request is not written, or not completely, after this time.
     pub begin_by: Option<Instant>,
@@ -89,8 +89,8 @@
     pub write_started: Arc<AtomicBool>,
 }
 
-/// Sends a request on an idle or a new connection. Returns when the response is complete, when enough of a long response
-/// has been received to start forwarding it, or when the attempt has failed.
+/// Sends a request on an idle or a new connection. Returns when the response is complete, when enough of a long
+/// response has been received to start forwarding it, or when the attempt has failed.
 pub async fn exchange(mut request: Request<RequestBody>, context: ExchangeContext) -> ExchangeOutcome {
     let is_past_begin_by = || context.begin_by.is_some_and(|end| Instant::now() >= end);
     let mut connection = match context.connection_source {
@@ -107,7 +107,8 @@
             match Connection::open(context.address, permit, connect_deadline).await {
                 Ok(connection) => connection,
                 Err(ConnectError::Local(_)) => return AttemptOutcome::NotSent.into(),
-                Err(ConnectError::TimedOut) if is_past_begin_by() => return AttemptOutcome::NotSent.into(), // before the connect timeout
+                // Connecting was cut short by `begin_by`: the upstream is not at fault.
+                Err(ConnectError::TimedOut) if is_past_begin_by() => return AttemptOutcome::NotSent.into(),
                 Err(ConnectError::Peer(_) | ConnectError::TimedOut) => {
                     return AttemptOutcome::ConnectFailed.into();
                 }
@@ -172,10 +173,12 @@
     };
     connection.permit.0.reachability.record_contact(context.address);
     let (head, mut body) = response.into_parts();
-    let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
+    let is_rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
     let outcome = match head.status {
         StatusCode::OK => AttemptOutcome::Success,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => AttemptOutcome::Rejected,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
+            AttemptOutcome::Rejected
+        }
         // 408 and 429 concern the connection and the load; all other 4xx codes concern the request itself.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
         status if status.is_client_error() => AttemptOutcome::InvalidRequest,
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -29,8 +29,8 @@
 }
 
 impl IdlePool {
-    /// Creates a pool for upstreams that close idle connections after `idle_timeout`. At most `max_open` connections are
-    /// open, idle or not.
+    /// Creates a pool for upstreams that close idle connections after `idle_timeout`. At most `max_open` connections
+    /// are open, idle or not.
     pub fn new(idle_timeout: Duration, max_open: usize) -> Self {
         let max_idle_time = idle_timeout - IDLE_MARGIN.min(idle_timeout / 2);
         Self { max_idle_time, max_open, shared: Arc::default(), idle: HashMap::new() }
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -39,7 +39,7 @@
 }
 
 /// A connection that has received a response, and the peer's end of it.
-async fn reused_connection(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
+async fn idle_connection(listener: &TcpListener) -> (Connection, std::net::TcpStream) {
     let address = listener.local_addr().unwrap();
     let peer_listener = listener.try_clone().unwrap();
     let peer = tokio::task::spawn_blocking(move || {
@@ -65,7 +65,7 @@
 #[tokio::test]
 async fn a_closed_connection_is_detected_before_the_runtime_polls_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (connection, peer) = reused_connection(&listener).await;
+    let (connection, peer) = idle_connection(&listener).await;
     assert!(connection.is_usable());
     drop(peer);
     let start = Instant::now();
@@ -74,14 +74,14 @@
     }
 }
 
-/// Runs an attempt on a reused connection, with `action` between the choice of the connection and the write.
+/// Runs an attempt on an idle connection, with `action` between the choice of the connection and the write.
 async fn delayed_exchange(
     client: Option<ClientLiveness>,
     time_left: Duration,
     action: impl FnOnce() + Send + 'static,
 ) -> DelayedExchange {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (connection, mut peer) = reused_connection(&listener).await;
+    let (connection, mut peer) = idle_connection(&listener).await;
     let write_started = Arc::new(AtomicBool::new(false));
     let deadline = Instant::now() + time_left;
     let context = ExchangeContext {
@@ -156,7 +156,14 @@
     const PAUSE: Duration = Duration::from_millis(300);
     let pause = || std::thread::sleep(PAUSE);
     let delayed = delayed_exchange(None, Duration::from_secs(20), pause).await;
-    let budget = delayed.received.split("x-budget: ").nth(1).expect("a request").split('\r').next().unwrap();
+    let budget = delayed
+        .received
+        .split("x-budget: ")
+        .nth(1)
+        .expect("a request with a budget")
+        .split('\r')
+        .next()
+        .unwrap();
     let budget = Duration::from_secs_f64(budget.parse().unwrap());
     assert!(budget <= Duration::from_secs(20) - PAUSE, "{budget:?}");
     assert!(delayed.write_started);
