--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -29,7 +29,7 @@
     pub body: Mutex<Incoming>,
     /// Length of the remainder in bytes, if known.
     pub length: Option<u64>,
-    /// How many more bytes may be received before the body exceeds `MAX_BODY`.
+    /// How many more bytes may be received before the remainder exceeds `MAX_BODY`.
     pub remaining: Mutex<u64>,
     /// An attempt has started to read the remainder.
     pub consumed: AtomicBool,
--- a/src/transient_errors.rs
+++ b/src/transient_errors.rs
@@ -18,7 +18,7 @@
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Errors of files and addresses that may be transient, besides those of the local machine: a disk that does not
 /// respond, an address that is still being configured.
-const TRANSIENT: [Errno; 4] = [Errno::ADDRNOTAVAIL, Errno::IO, Errno::NETUNREACH, Errno::STALE];
+const TRANSIENT_ERRORS: [Errno; 4] = [Errno::ADDRNOTAVAIL, Errno::IO, Errno::NETUNREACH, Errno::STALE];
 
 /// Which side caused a connect error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,7 +109,7 @@
 /// Whether the operation may succeed a moment later without intervention.
 fn is_transient(error: &io::Error) -> bool {
     error_origin(error) == ErrorOrigin::LocalMachine
-        || Errno::from_io_error(error).is_some_and(|error| TRANSIENT.contains(&error))
+        || Errno::from_io_error(error).is_some_and(|error| TRANSIENT_ERRORS.contains(&error))
 }
 
 /// Retries an operation until it succeeds, fails permanently or the retry timeout is over. Blocks the thread: for use
