--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -81,9 +81,9 @@
 /// Connects to a peer before the deadline. Errors that are or may be local are retried until then, with increasing
 /// pauses.
 ///
-/// A persistent error returns early if it concerns the route to this peer or may be the peer's while other peers are
-/// reached: the caller can then use another peer. An error that may be the peer's is attributed to the peer if others
-/// are reached, and to the local network if all of them fail.
+/// While other peers are reached, a persistent error that concerns the route to this peer or may be the peer's returns
+/// early, so that another peer can be used. An error that may be the peer's is attributed to the peer if others are
+/// reached, and to the local network if all of them fail.
 pub async fn connect(
     peer: SocketAddr,
     connect_deadline: ConnectDeadline<'_>,
