--- a/src/proxy/body/mod.rs
+++ b/src/proxy/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies both ways. A small one is kept whole. A longer one is passed on as it comes, each piece only once the
-//! other side has taken the one before: what is held of it does not grow with its length.
+//! Request and response bodies. A small body is buffered as a whole. A larger one is streamed with backpressure: the
+//! next chunk is read only after the previous one was written, so that memory use does not grow with the body.
 
 pub mod buffer;
 pub mod memory;
@@ -8,8 +8,9 @@
 
 use std::fmt;
 
-/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that it
-/// can be judged before the client receives any of it. The latency of a longer response is that of its first bytes.
+/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that
+/// its outcome is known before the client receives any of it. The latency of a longer response is that of its first
+/// bytes.
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
 /// Largest body of a request or response, in bytes.
@@ -21,7 +22,7 @@
 
 impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body broke off")
+        f.write_str("the body was aborted or exceeds the size limit")
     }
 }
 
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use crate::proxy::messages::{DispatcherMessage, FinalResponse};
 use crate::proxy::metrics::{self};
 use crate::proxy::minimum_rate::IDLE_TIMEOUT;
-use crate::proxy::send_check::budget;
+use crate::proxy::send_check::upstream_budget;
 use crate::proxy::upstream::exchange::{
     AttemptResult, ExchangeContext, ExchangeOutcome, StartedResponse, exchange,
 };
@@ -41,7 +41,7 @@
         pending_request.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = pending_request.client_deadline;
-        let has_budget = budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
+        let has_budget = upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
         let in_time = has_budget && now < until && begin_by.is_none_or(|begin_by| now < begin_by);
         let is_allowed = in_time && number < self.config.settings.max_attempts;
         let can_send = pending_request.response_sender.is_some()
@@ -81,7 +81,7 @@
         let client_deadline = Some(self.clock.instant(client_deadline));
         let context = ExchangeContext {
             write_started: write_started_flag.clone(),
-            deadline,
+            request_deadline: deadline,
             begin_by,
             client,
             client_deadline,
@@ -134,8 +134,8 @@
             connection_source,
             address,
             connect_timeout: self.config.proxy_settings.connect_timeout,
-            until,
-            deadline: None,
+            attempt_deadline: until,
+            request_deadline: None,
             local_failure: Arc::default(),
             begin_by: None,
             attempt_counter,
@@ -213,7 +213,7 @@
         let is_reusable =
             attempt.upstream.in_service && self.endpoints.get(&attempt.endpoint) == Some(&attempt.upstream);
         if let Some(connection) = result.connection.filter(|_| is_reusable) {
-            self.idle_pool.put(attempt.endpoint, connection);
+            self.idle_pool.release(attempt.endpoint, connection);
         }
         let mut load = result.response.as_ref().and_then(|response| self.response_load_report(response));
         if let Some((request_outcome, started_load)) = attempt.started_response {
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -38,7 +38,7 @@
     /// Passes the result of a load query to the decision module and keeps its connection.
     pub(super) fn on_load_query_ended(&mut self, endpoint: EndpointId, result: AttemptResult) {
         if let Some(connection) = result.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
-            self.idle_pool.put(endpoint, connection);
+            self.idle_pool.release(endpoint, connection);
         }
         let load = result.response.and_then(|response| {
             parse_load_report(response.body(), &self.config.proxy_settings.report_fields)
