--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// What there is reaches a balancer.
-    Told(u32, u32),
+    ListDelivered(u32, u32),
     /// A call of a balancer reaches discovery.
     Asked(u32, u32),
     /// The wait of a call is over.
@@ -83,7 +83,7 @@
 
 /// What comes of an event for a balancer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Notification {
     /// Nothing.
     Nothing,
     /// The entries that changed, perhaps none.
@@ -131,14 +131,14 @@
 
 /// Times from a change until balancers follow it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Followed {
+pub struct PropagationStats {
     /// Changes told to a balancer each.
     pub count: u64,
     /// From the change itself, in nanoseconds: the longest, and the sum.
     pub longest: Time,
     pub sum: u128,
     /// The longest from when discovery had it and could be reached.
-    pub longest_told: Time,
+    pub max_notification_delay: Time,
 }
 
 /// Discovery, and the agents of all balancers.
@@ -153,10 +153,10 @@
     busy_until: Time,
     /// Calls and pushes, and entries told with them.
     pub messages: u64,
-    pub entries_told: u64,
+    pub entries_sent: u64,
     /// Calls that got no answer.
     pub failures: u64,
-    pub followed: Followed,
+    pub propagation: PropagationStats,
 }
 
 impl Discovery {
@@ -182,9 +182,9 @@
             down: false,
             busy_until: 0,
             messages: 0,
-            entries_told: 0,
+            entries_sent: 0,
             failures: 0,
-            followed: Followed::default(),
+            propagation: PropagationStats::default(),
         }
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// When a change that happens now is listed; later if its machine has just fallen silent.
-    pub fn notice(&mut self, now: Time, silent: bool) -> Time {
+    pub fn listing_time(&mut self, now: Time, silent: bool) -> Time {
         let (least, most) = match silent {
             false => (self.config.notice_min_s, self.config.notice_max_s),
             true => (self.config.silent_notice_min_s, self.config.silent_notice_max_s),
@@ -235,7 +235,7 @@
         watcher.busy = true;
         watcher.number += 1;
         let at = queue.now() + millis(least + (most - least) * self.rng.random::<f64>());
-        queue.push(at, Event::Told(instance as u32, watcher.number).into());
+        queue.push(at, Event::ListDelivered(instance as u32, watcher.number).into());
     }
 
     /// Answers the calls that wait for news of a service.
@@ -257,11 +257,11 @@
         if self.config.ask && watcher.alive && !watcher.busy {
             watcher.busy = true;
             watcher.continues = false;
-            self.call(instance as u32, queue);
+            self.send_request(instance as u32, queue);
         }
     }
 
-    fn call<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) {
+    fn send_request<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance as usize];
         watcher.number += 1;
         self.messages += 1;
@@ -284,7 +284,7 @@
         let continues = self.watchers[instance as usize].continues;
         let cost = if continues { self.config.watch_us } else { self.config.call_us };
         let at = self.works(queue.now(), cost) + millis(self.config.network_ms);
-        queue.push(at, Event::Told(instance, number).into());
+        queue.push(at, Event::ListDelivered(instance, number).into());
     }
 
     /// Works on a call that costs a machine so many microseconds, after those before it; tells when that is done.
@@ -294,8 +294,12 @@
     }
 
     /// Takes an event; tells the balancer that it concerns, and what that one hears.
-    pub fn handle<E: Copy + From<Event>>(&mut self, event: Event, queue: &mut Queue<E>) -> (usize, Told) {
-        let (Event::Told(instance, number)
+    pub fn handle<E: Copy + From<Event>>(
+        &mut self,
+        event: Event,
+        queue: &mut Queue<E>,
+    ) -> (usize, Notification) {
+        let (Event::ListDelivered(instance, number)
         | Event::Asked(instance, number)
         | Event::WaitOver(instance, number)
         | Event::Silent(instance, number)
@@ -303,13 +307,13 @@
         let at = instance as usize;
         let watcher = &self.watchers[at];
         if watcher.number != number || !watcher.alive || !watcher.busy {
-            return (at, Told::Nothing);
+            return (at, Notification::Nothing);
         }
         let reachable = !self.down && !watcher.cut;
         let (service, version, continues) = (watcher.service, watcher.version, watcher.continues);
         match event {
-            Event::Told(..) if reachable => return (at, self.on_told(instance, queue)),
-            Event::Told(..) if !self.config.ask => self.watchers[at].busy = false,
+            Event::ListDelivered(..) if reachable => return (at, self.on_list_delivered(instance, queue)),
+            Event::ListDelivered(..) if !self.config.ask => self.watchers[at].busy = false,
             Event::Asked(..) if reachable => {
                 // What was missed is asked for without a wait, and so answered even where there is nothing new.
                 if version < self.lists[service].changes.len() || !continues {
@@ -321,7 +325,7 @@
             }
             Event::WaitOver(..) if reachable => {
                 let waiting = &mut self.lists[service].waiting;
-                if let Some(place) = waiting.iter().position(|&call| call == (instance, number)) {
+                if let Some(place) = waiting.iter().position(|&request| request == (instance, number)) {
                     waiting.remove(place);
                     self.answer(instance, number, queue);
                 }
@@ -332,27 +336,31 @@
                 watcher.number += 1;
                 self.lists[service].waiting.retain(|&call| call != (instance, number));
                 self.failures += 1;
-                return (at, Told::Failed);
+                return (at, Notification::Failed);
             }
-            Event::Next(..) => self.call(instance, queue),
-            Event::Told(..) | Event::Asked(..) | Event::WaitOver(..) => {} // it hears nothing, and gives up
+            Event::Next(..) => self.send_request(instance, queue),
+            Event::ListDelivered(..) | Event::Asked(..) | Event::WaitOver(..) => {} // it hears nothing, and gives up
         }
-        (at, Told::Nothing)
+        (at, Notification::Nothing)
     }
 
-    fn on_told<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) -> Told {
+    fn on_list_delivered<E: Copy + From<Event>>(
+        &mut self,
+        instance: u32,
+        queue: &mut Queue<E>,
+    ) -> Notification {
         let now = queue.now();
         let watcher = &mut self.watchers[instance as usize];
         let list = &self.lists[watcher.service];
         let news = &list.changes[watcher.version..];
         for change in news {
             let age = now - change.happened;
-            let followed = &mut self.followed;
-            followed.count += 1;
-            followed.sum += u128::from(age);
-            followed.longest = followed.longest.max(age);
-            let told = now.saturating_sub(change.listed.max(watcher.reachable_from));
-            followed.longest_told = followed.longest_told.max(told);
+            let propagation = &mut self.propagation;
+            propagation.count += 1;
+            propagation.sum += u128::from(age);
+            propagation.longest = propagation.longest.max(age);
+            let notification_delay = now.saturating_sub(change.listed.max(watcher.reachable_from));
+            propagation.max_notification_delay = propagation.max_notification_delay.max(notification_delay);
         }
         let mut changed: Vec<usize> = news.iter().map(|change| change.entry).collect();
         changed.sort_unstable();
@@ -361,7 +369,7 @@
             changed.into_iter().map(|entry| list.entries[entry].clone()).collect();
         watcher.version = list.changes.len();
         watcher.number += 1;
-        self.entries_told += entries.len() as u64;
+        self.entries_sent += entries.len() as u64;
         if self.config.ask {
             watcher.continues = true;
             let pause = if entries.is_empty() { WATCH_PAUSE } else { 0 };
@@ -370,7 +378,7 @@
             watcher.busy = false;
             self.messages += 1;
         }
-        Told::Changes(entries)
+        Notification::Changes(entries)
     }
 
     /// Discovery falls silent, or answers again. Calls that wait with it are dropped.
@@ -415,7 +423,7 @@
         watcher.reachable_from = now;
         watcher.version = self.lists[watcher.service].changes.len();
         self.messages += 1;
-        self.entries_told += self.lists[watcher.service].entries.len() as u64;
+        self.entries_sent += self.lists[watcher.service].entries.len() as u64;
         if self.down || watcher.cut {
             return now + CONNECT;
         }
@@ -426,7 +434,7 @@
     }
 
     /// Changes that balancers which live and can be reached have not been told.
-    pub fn untold(&self) -> usize {
+    pub fn undelivered_changes(&self) -> usize {
         let reachable = self.watchers.iter().filter(|watcher| watcher.alive && !watcher.cut && !self.down);
         reachable.map(|watcher| self.lists[watcher.service].changes.len() - watcher.version).sum()
     }
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -4,7 +4,7 @@
 use crate::interrupt::{Interrupt, Interrupted};
 use crate::lock;
 use crate::real;
-use crate::report::{Circumstances, Promise, Run, Table, number};
+use crate::report::{Expectation, Run, RunEnvironment, Table, number};
 use crate::scenario::{Axis, Mode, Scenario, ScenarioError, Source};
 use anyhow::{Context, Result};
 use rayon::prelude::*;
@@ -63,10 +63,10 @@
                 outcome
             }
         };
-        let promises = Promise::all(scenario, &outcome);
-        let circumstances = Circumstances::of(start.elapsed(), balancer.as_deref());
+        let expectations = Expectation::all(scenario, &outcome);
+        let environment = RunEnvironment::of(start.elapsed(), balancer.as_deref());
         let (name, mode) = (scenario.name.clone(), scenario.mode);
-        Ok(Run { scenario: name, mode, seed, values, outcome, promises, circumstances })
+        Ok(Run { scenario: name, mode, seed, values, outcome, expectations, environment })
     }
 }
 
@@ -98,7 +98,7 @@
     /// Finished runs, in the order of the plan.
     pub runs: Vec<Run>,
     #[serde(skip)]
-    pub circumstances: Circumstances,
+    pub environment: RunEnvironment,
 }
 
 impl Sweep {
@@ -186,7 +186,7 @@
             keys: self.axes.iter().map(|axis| axis.key.clone()).collect(),
             planned: self.plan.len(),
             runs: runs.into_iter().flatten().collect(),
-            circumstances: Circumstances::of(start.elapsed(), None),
+            environment: RunEnvironment::of(start.elapsed(), None),
         };
         Ok((report, fault.into_inner().unwrap_or_else(|broken| broken.into_inner())))
     }
@@ -225,15 +225,15 @@
         self.fits().write(&mut text);
         let broken = self.broken().map(|line| vec![line]);
         Table::new("Broken promises", ["broken"], broken.collect()).write(&mut text);
-        self.circumstances.write(&mut text);
+        self.environment.write(&mut text);
         text
     }
 
     /// The report for programs, with the circumstances.
     pub fn json(&self) -> serde_json::Value {
-        let each: Vec<_> = self.runs.iter().map(|run| &run.circumstances).collect();
+        let each: Vec<_> = self.runs.iter().map(|run| &run.environment).collect();
         let (points, fits) = (self.points(), self.fits());
-        serde_json::json!({"sweep": self, "points": points, "fits": fits, "circumstances": self.circumstances,
+        serde_json::json!({"sweep": self, "points": points, "fits": fits, "circumstances": self.environment,
             "circumstances_of_runs": each})
     }
 
--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -1,4 +1,4 @@
-//! The project's own decision module, unchanged, for a whole fleet in one process on virtual time.
+//! The project's own decision module, unchanged, for a whole fleet in one incarnation on virtual time.
 //!
 //! Each module instance gets the events, and has its actions carried out, as the real balancer does it; all around
 //! it is hollow. The same configuration and seed always give the same outcome.
@@ -8,7 +8,7 @@
 
 pub use config::{Config, Shape};
 
-use crate::discovery::{self, Discovery, Told};
+use crate::discovery::{self, Discovery, Notification};
 use crate::engine::{Key, Queue, SECOND, Slab, Time, millis, seconds};
 use crate::faults::Step;
 use crate::load::{self, Arrival, Load};
@@ -28,9 +28,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
 
-/// Where the virtual clock starts: a server may have started long before.
+/// Where the virtual clock starts: a state may have started long before.
 const START: Time = 1_000 * SECOND;
-/// Steps of the window in which the calls of a cold server are counted.
+/// Steps of the window in which the requests of a cold state are counted.
 const FALL_STEPS: usize = 10;
 /// How often progress is told of.
 const PROGRESS_EVERY: Time = SECOND / 10;
@@ -62,10 +62,10 @@
     Timer(u32, u64),
     Discovery(discovery::Event),
     /// A change of a list is noticed.
-    Notice(u32),
+    EndpointUpdate(u32),
     /// A step of the plan of faults.
     Fault(u32),
-    /// An upstream's process ends, starts, and has its lists.
+    /// An upstream's incarnation ends, starts, and has its lists.
     Stop(u32),
     Start(u32),
     Ready(u32),
@@ -82,9 +82,9 @@
     }
 }
 
-/// Who a call is made for.
+/// Who a request is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Caller {
+enum RequestSource {
     Client,
     /// An upstream, for the attempt that it works on.
     Attempt(Key),
@@ -92,10 +92,10 @@
 
 /// A request at a balancer that is not answered yet, or has an attempt out.
 #[derive(Debug)]
-struct Call {
+struct Request {
     instance: usize,
     id: RequestId,
-    caller: Caller,
+    source: RequestSource,
     class: usize,
     came: Time,
     deadline: Time,
@@ -109,13 +109,13 @@
 
 /// Where an attempt is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Coming,
+enum AttemptStage {
+    InTransit,
     Queued,
-    Working,
-    /// The upstream has made a call of its own for it.
-    Calling(Key),
-    Answering,
+    Processing,
+    /// The upstream has made a request of its own for it.
+    WaitingForCallee(Key),
+    Responding,
     /// Nothing will come of it any more.
     Lost,
 }
@@ -123,27 +123,27 @@
 /// An attempt.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    call: Key,
+    request: Key,
     number: u32,
     upstream: usize,
     class: usize,
     sent: Time,
     until: Time,
-    /// It opens a connection, or goes out on one to a process that is gone.
+    /// It opens a connection, or goes out on one to a incarnation that is gone.
     connects: bool,
     stale: bool,
     /// Its balancer waits for it.
     waited: bool,
-    place: Place,
+    stage: AttemptStage,
     outcome: AttemptOutcome,
     /// The next callee of its service to be called or not.
     callee: usize,
     measured: bool,
 }
 
-/// Whether a process runs.
+/// Whether a incarnation runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ProcessState {
     Up,
     /// Its connections are reset and refused.
     Down,
@@ -153,10 +153,10 @@
 
 /// An upstream at work.
 #[derive(Debug)]
-struct Server {
-    life: Life,
+struct UpstreamState {
+    process_state: ProcessState,
     /// Its processes so far.
-    process: u32,
+    incarnation: u32,
     started: Option<Time>,
     busy: u32,
     queue: VecDeque<Key>,
@@ -170,7 +170,7 @@
     balancer: LoadBalancer,
     alive: bool,
     next_id: u32,
-    calls: HashMap<RequestId, Key>,
+    requests: HashMap<RequestId, Key>,
     /// Idle connections to each upstream of its service.
     idle: Vec<Idle>,
 }
@@ -179,22 +179,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Idle {
     count: u32,
-    /// When the last was used, and the process of the upstream that it leads to.
+    /// When the last was used, and the incarnation of the upstream that it leads to.
     used: Time,
-    process: u32,
+    incarnation: u32,
 }
 
 /// When a change of a list holds, once it is noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Holds {
-    /// As long as the upstream's process is this one.
+    /// As long as the upstream's incarnation is this one.
     Process(u32),
     /// As long as the regions are cut for this time.
     Cut(u32),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Notice {
+struct EndpointUpdate {
     upstream: usize,
     lifecycle: EndpointState,
     happened: Time,
@@ -211,17 +211,17 @@
     load: Load,
     next: Arrival,
     nodes: Vec<Node>,
-    servers: Vec<Server>,
+    upstream_states: Vec<UpstreamState>,
     discovery: Discovery,
-    calls: Slab<Call>,
+    requests: Slab<Request>,
     attempts: Slab<Attempt>,
-    notices: Vec<Notice>,
+    endpoint_updates: Vec<EndpointUpdate>,
     plan: Vec<Step>,
     restart_order: Vec<usize>,
     tier_fails: bool,
     regions_cut: bool,
     cuts: u32,
-    /// Front balancers that run, and those that clients call.
+    /// Front balancers that run, and those that clients request.
     front_up: Vec<bool>,
     front_called: Vec<bool>,
     actions: Vec<Action>,
@@ -238,12 +238,12 @@
         let stream = |purpose| crate::random(seed, purpose);
         let topology = Topology::new(config, &mut stream(1));
         let mut rng = stream(2);
-        let servers: Vec<Server> = topology
+        let upstream_states: Vec<UpstreamState> = topology
             .upstreams
             .iter()
-            .map(|_| Server {
-                life: Life::Up,
-                process: 0,
+            .map(|_| UpstreamState {
+                process_state: ProcessState::Up,
+                incarnation: 0,
                 started: rng.random_bool(config.cold_share).then_some(START),
                 busy: 0,
                 queue: VecDeque::new(),
@@ -257,7 +257,7 @@
             cell: 0,
             state: EndpointState::InService,
             capacity: 1.0,
-            started: servers[upstream].started,
+            started: upstream_states[upstream].started,
         };
         let lists =
             topology.services.iter().map(|service| service.upstreams.clone().map(entry).collect()).collect();
@@ -274,7 +274,7 @@
                 balancer: balancer(config, &classes, &topology, instance, rng.random(), START),
                 alive: true,
                 next_id: 0,
-                calls: HashMap::new(),
+                requests: HashMap::new(),
                 idle: vec![Idle::default(); topology.services[instance.service].upstreams.len()],
             })
             .collect();
@@ -309,11 +309,11 @@
             load,
             next,
             nodes,
-            servers,
+            upstream_states,
             discovery,
-            calls: Slab::default(),
+            requests: Slab::default(),
             attempts: Slab::default(),
-            notices: Vec::new(),
+            endpoint_updates: Vec::new(),
             plan: steps.into_iter().map(|(_, step)| step).collect(),
             restart_order,
             tier_fails: false,
@@ -362,19 +362,22 @@
             Event::Withdrawn(key) => self.on_withdrawn(key),
             Event::Timer(instance, token) => self.tell(instance as usize, ModuleEvent::Timer(token)),
             Event::Discovery(event) => {
-                let (instance, told) = self.discovery.handle(event, &mut self.queue);
-                match told {
-                    Told::Nothing => {}
-                    Told::Changes(entries) if entries.is_empty() => {}
-                    Told::Changes(entries) => self.tell(instance, ModuleEvent::EndpointsChanged(&entries)),
-                    Told::Failed => self.tell(instance, ModuleEvent::DiscoveryFailed),
+                let (instance, notification) = self.discovery.handle(event, &mut self.queue);
+                match notification {
+                    Notification::Nothing => {}
+                    Notification::Changes(entries) if entries.is_empty() => {}
+                    Notification::Changes(entries) => {
+                        self.tell(instance, ModuleEvent::EndpointsChanged(&entries))
+                    }
+                    Notification::Failed => self.tell(instance, ModuleEvent::DiscoveryFailed),
                 }
             }
-            Event::Notice(notice) => self.on_notice(notice as usize),
+            Event::EndpointUpdate(update) => self.on_endpoint_update(update as usize),
             Event::Fault(step) => self.on_fault(self.plan[step as usize]),
-            Event::Stop(upstream) if self.servers[upstream as usize].life != Life::Up => {} // its zone was lost
+            Event::Stop(upstream)
+                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // its zone was lost
             Event::Stop(upstream) => {
-                self.stop(upstream as usize, Life::Down);
+                self.stop(upstream as usize, ProcessState::Down);
                 let after = seconds(self.config.rolling_restart.down_s);
                 self.queue.push(self.queue.now() + after, Event::Start(upstream));
             }
@@ -413,7 +416,7 @@
         self.open_measured += u64::from(measured);
         let instance = self.topology.fronts[front].instances.start + entry;
         let deadline = at + self.classes[class].deadline;
-        self.call(instance, Caller::Client, class, deadline, measured);
+        self.start_request(instance, RequestSource::Client, class, deadline, measured);
     }
 
     fn count_request(&mut self, came: Time, measured: bool, field: impl Fn(&mut RequestCount) -> &mut u64) {
@@ -422,22 +425,29 @@
             *field(count) += 1;
         }
         if measured {
-            *field(&mut self.counts.requests) += 1;
+            *field(&mut self.counts.client_requests) += 1;
         }
     }
 
     // ---- Calls ----
 
     /// A request comes to a balancer.
-    fn call(&mut self, instance: usize, caller: Caller, class: usize, deadline: Time, measured: bool) -> Key {
+    fn start_request(
+        &mut self,
+        instance: usize,
+        source: RequestSource,
+        class: usize,
+        deadline: Time,
+        measured: bool,
+    ) -> Key {
         let now = self.queue.now();
         let node = &mut self.nodes[instance];
         let id = RequestId(node.next_id);
         node.next_id = node.next_id.wrapping_add(1);
-        let call = Call {
+        let request = Request {
             instance,
             id,
-            caller,
+            source,
             class,
             came: now,
             deadline,
@@ -446,15 +456,15 @@
             out: None,
             measured,
         };
-        let key = self.calls.insert(call);
-        node.calls.insert(id, key);
-        self.counts.most_held = self.counts.most_held.max(node.calls.len());
+        let key = self.requests.insert(request);
+        node.requests.insert(id, key);
+        self.counts.most_held = self.counts.most_held.max(node.requests.len());
         let time_left = deadline.saturating_sub(now);
         let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
-        if let Caller::Attempt(caller) = caller
-            && let Some(attempt) = self.attempts.get_mut(caller)
+        if let RequestSource::Attempt(source) = source
+            && let Some(attempt) = self.attempts.get_mut(source)
         {
-            attempt.place = Place::Calling(key);
+            attempt.stage = AttemptStage::WaitingForCallee(key);
         }
         self.tell(instance, ModuleEvent::Request(id, demand));
         key
@@ -462,15 +472,15 @@
 
     /// Gives a request its final answer, if one is owed still.
     fn answer(&mut self, key: Key, answer: Answer) {
-        let Some(call) = self.calls.get_mut(key) else { return };
-        if !std::mem::replace(&mut call.owed, false) {
+        let Some(request) = self.requests.get_mut(key) else { return };
+        if !std::mem::replace(&mut request.owed, false) {
             return;
         }
-        let (caller, came, measured) = (call.caller, call.came, call.measured);
-        self.counts.refused_calls += u64::from(answer == Answer::Refused);
+        let (source, came, measured) = (request.source, request.came, request.measured);
+        self.counts.refused_requests += u64::from(answer == Answer::Refused);
         self.forget_if_done(key);
-        match caller {
-            Caller::Client => {
+        match source {
+            RequestSource::Client => {
                 self.open_measured -= u64::from(measured);
                 self.count_request(came, measured, |count| match answer {
                     Answer::Served => &mut count.served,
@@ -481,46 +491,46 @@
                     self.latency.saturating_record(self.queue.now() - came);
                 }
             }
-            Caller::Attempt(attempt) => match answer {
-                Answer::Served => self.call_on(attempt),
-                // An upstream fails if any of its calls does.
+            RequestSource::Attempt(attempt) => match answer {
+                Answer::Served => self.continue_attempt(attempt),
+                // An upstream fails if any of its requests does.
                 Answer::Refused | Answer::Failed => self.finish(attempt, AttemptOutcome::Error),
             },
         }
     }
 
     fn forget_if_done(&mut self, key: Key) {
-        if self.calls.get(key).is_some_and(|call| !call.owed && call.out.is_none())
-            && let Some(call) = self.calls.remove(key)
+        if self.requests.get(key).is_some_and(|request| !request.owed && request.out.is_none())
+            && let Some(request) = self.requests.remove(key)
         {
-            self.nodes[call.instance].calls.remove(&call.id);
+            self.nodes[request.instance].requests.remove(&request.id);
         }
     }
 
     // ---- Attempts, at the balancer ----
 
     /// `times` are when the attempt is given up, and when it must have begun.
-    fn send(&mut self, instance: usize, id: RequestId, server: EndpointId, times: (Time, Option<Time>)) {
+    fn send(&mut self, instance: usize, id: RequestId, endpoint: EndpointId, times: (Time, Option<Time>)) {
         let now = self.queue.now();
         let (until, begin_by) = times;
         let node = &mut self.nodes[instance];
-        let Some(&key) = node.calls.get(&id) else { return };
-        let Some(call) = self.calls.get_mut(key) else { return };
-        let (number, until) = (call.attempts, until.min(call.deadline));
-        call.attempts += 1;
-        let upstream = server.0 as usize;
+        let Some(&key) = node.requests.get(&id) else { return };
+        let Some(request) = self.requests.get_mut(key) else { return };
+        let (number, until) = (request.attempts, until.min(request.deadline));
+        request.attempts += 1;
+        let upstream = endpoint.0 as usize;
         let (zone, other) = (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
-        let way = way(self.config, zone, other);
-        let idle = &mut node.idle[self.topology.place(upstream)];
+        let delay = network_delay(self.config, zone, other);
+        let idle = &mut node.idle[self.topology.index_in_service(upstream)];
         let connects = idle.count == 0 || now.saturating_sub(idle.used) >= seconds(self.config.conn_idle_s);
-        let handshake = if connects { 2 * way } else { 0 };
-        let begins = now + own_time(self.config) + handshake;
-        if !call.owed
+        let handshake = if connects { 2 * delay } else { 0 };
+        let begins = now + balancer_service_time(self.config) + handshake;
+        if !request.owed
             || now >= until
             || begin_by.is_some_and(|end| begins >= end)
             || number >= self.config.max_attempts
         {
-            let closed = !call.owed;
+            let closed = !request.owed;
             let end = AttemptEnd {
                 attempt: number,
                 outcome: AttemptOutcome::NotSent,
@@ -532,42 +542,42 @@
             return self.pending.push_back((instance, id, end));
         }
         idle.count = if connects { 0 } else { idle.count - 1 };
-        let stale = !connects && idle.process != self.servers[upstream].process;
+        let stale = !connects && idle.incarnation != self.upstream_states[upstream].incarnation;
         let attempt = Attempt {
-            call: key,
+            request: key,
             number,
             upstream,
-            class: call.class,
+            class: request.class,
             sent: now,
             until,
             connects,
             stale,
             waited: true,
-            place: Place::Coming,
+            stage: AttemptStage::InTransit,
             outcome: AttemptOutcome::Success,
             callee: 0,
-            measured: call.measured,
+            measured: request.measured,
         };
         let tier = self.topology.service_of(upstream).tier as usize;
         let out = self.attempts.insert(attempt);
-        call.out = Some(out);
-        self.counts.tiers[tier].calls += u64::from(call.measured);
-        self.counts.retries += u64::from(call.measured && number > 0);
+        request.out = Some(out);
+        self.counts.tiers[tier].attempts += u64::from(request.measured);
+        self.counts.retries += u64::from(request.measured && number > 0);
         self.counts.sends += 1;
         self.counts.sends_in_time += u64::from(now >= self.measure_from && now < self.arrivals_end);
         self.counts.connects += u64::from(connects);
         self.counts.cross_zone += u64::from(zone != other);
         self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, other));
-        self.queue.push(begins + way, Event::Reached(out));
+        self.queue.push(begins + delay, Event::Reached(out));
         self.queue.push(until, Event::Expired(out));
     }
 
     /// Time from a balancer to the upstream of an attempt; `None` if nothing gets through.
-    fn way_of(&self, attempt: &Attempt) -> Option<Time> {
-        let zone = self.topology.instances[self.calls.get(attempt.call)?.instance].zone;
+    fn upstream_delay(&self, attempt: &Attempt) -> Option<Time> {
+        let zone = self.topology.instances[self.requests.get(attempt.request)?.instance].zone;
         let other = self.topology.upstreams[attempt.upstream].zone;
         let cut = self.regions_cut && Topology::regions_differ(self.config, zone, other);
-        (!cut).then(|| way(self.config, zone, other))
+        (!cut).then(|| network_delay(self.config, zone, other))
     }
 
     fn on_answered(&mut self, key: Key) {
@@ -579,7 +589,7 @@
 
     fn on_expired(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.waited) else { return };
-        let lost = attempt.place == Place::Lost;
+        let lost = attempt.stage == AttemptStage::Lost;
         let outcome =
             if lost && attempt.connects { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Timeout };
         let ended = *attempt;
@@ -592,11 +602,11 @@
     fn give_up(&mut self, key: Key, silent: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         attempt.waited = false;
-        let lost = attempt.place == Place::Lost;
-        let way = self.attempts.get(key).and_then(|attempt| self.way_of(attempt));
-        match way.filter(|_| !silent) {
+        let lost = attempt.stage == AttemptStage::Lost;
+        let delay = self.attempts.get(key).and_then(|attempt| self.upstream_delay(attempt));
+        match delay.filter(|_| !silent) {
             _ if lost => drop(self.attempts.remove(key)),
-            Some(way) => self.queue.push(self.queue.now() + way, Event::Withdrawn(key)),
+            Some(delay) => self.queue.push(self.queue.now() + delay, Event::Withdrawn(key)),
             None => {}
         }
     }
@@ -617,15 +627,15 @@
                 AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.withdrawn,
             } += 1;
         }
-        let key = attempt.call;
-        let Some(call) = self.calls.get_mut(key) else { return };
-        call.out = None;
-        let (instance, id, owed) = (call.instance, call.id, call.owed);
+        let key = attempt.request;
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.out = None;
+        let (instance, id, owed) = (request.instance, request.id, request.owed);
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::Rejected) {
-            let idle = &mut self.nodes[instance].idle[self.topology.place(attempt.upstream)];
-            let process = self.servers[attempt.upstream].process;
-            let count = if idle.process == process { idle.count + 1 } else { 1 };
-            *idle = Idle { count, used: now, process };
+            let idle = &mut self.nodes[instance].idle[self.topology.index_in_service(attempt.upstream)];
+            let incarnation = self.upstream_states[attempt.upstream].incarnation;
+            let count = if idle.incarnation == incarnation { idle.count + 1 } else { 1 };
+            *idle = Idle { count, used: now, incarnation };
         }
         let served = outcome == AttemptOutcome::Success && owed;
         let end = AttemptEnd {
@@ -655,18 +665,18 @@
         }
         let (upstream, connects, stale, sent) =
             (attempt.upstream, attempt.connects, attempt.stale, attempt.sent);
-        let through = self.way_of(attempt).is_some();
-        let life = self.servers[upstream].life;
-        if !through || life == Life::Silent {
+        let through = self.upstream_delay(attempt).is_some();
+        let process_state = self.upstream_states[upstream].process_state;
+        if !through || process_state == ProcessState::Silent {
             let Some(attempt) = self.attempts.get_mut(key) else { return };
-            attempt.place = Place::Lost;
+            attempt.stage = AttemptStage::Lost;
             if connects {
-                (attempt.place, attempt.outcome) = (Place::Answering, AttemptOutcome::ConnectFailed);
+                (attempt.stage, attempt.outcome) = (AttemptStage::Responding, AttemptOutcome::ConnectFailed);
                 self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::Answered(key));
             }
             return;
         }
-        if life == Life::Down {
+        if process_state == ProcessState::Down {
             return self.finish(key, AttemptOutcome::ConnectFailed);
         }
         if stale {
@@ -674,19 +684,24 @@
         }
         if self.falls(upstream) {
             self.counts.cold_falls += 1;
-            let process = self.servers[upstream].process;
-            self.stop(upstream, Life::Down);
-            self.notice(upstream, EndpointState::Removed, false, Holds::Process(process + 1));
+            let incarnation = self.upstream_states[upstream].incarnation;
+            self.stop(upstream, ProcessState::Down);
+            self.schedule_endpoint_update(
+                upstream,
+                EndpointState::Removed,
+                false,
+                Holds::Process(incarnation + 1),
+            );
             return self.finish(key, AttemptOutcome::ConnectFailed);
         }
         let slots = self.topology.service_of(upstream).slots;
-        let server = &mut self.servers[upstream];
-        if server.busy < slots {
+        let state = &mut self.upstream_states[upstream];
+        if state.busy < slots {
             self.begin(key);
-        } else if server.queue.len() < self.config.queue_limit {
-            server.queue.push_back(key);
+        } else if state.queue.len() < self.config.queue_limit {
+            state.queue.push_back(key);
             if let Some(attempt) = self.attempts.get_mut(key) {
-                attempt.place = Place::Queued;
+                attempt.stage = AttemptStage::Queued;
             }
         } else {
             self.finish(key, AttemptOutcome::Rejected);
@@ -696,51 +711,53 @@
 
     /// Part of its capacity that an upstream has: all of it once it is warm.
     fn warmth(&self, upstream: usize) -> f64 {
-        let Some(started) = self.servers[upstream].started else { return 1.0 };
+        let Some(started) = self.upstream_states[upstream].started else { return 1.0 };
         let age = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
         (self.config.start_capacity + (1.0 - self.config.start_capacity) * age).min(1.0)
     }
 
-    /// Counts a call of a cold upstream, and tells whether it falls over: more came in the window than the
+    /// Counts a request of a cold upstream, and tells whether it falls over: more came in the window than the
     /// multiple of what it can do, and than chance adds to that.
     fn falls(&mut self, upstream: usize) -> bool {
         let warmth = self.warmth(upstream);
         if warmth >= 1.0 {
             return false;
         }
-        self.counts.cold_calls += 1;
+        self.counts.cold_attempts += 1;
         let service = self.topology.service_of(upstream);
         let capacity = f64::from(service.slots) / service.work * 1e9 * warmth;
         let step = self.queue.now() / seconds(self.config.fall_s / FALL_STEPS as f64).max(1);
-        let server = &mut self.servers[upstream];
-        for passed in server.step + 1..=step.min(server.step + FALL_STEPS as Time) {
-            server.recent[(passed % FALL_STEPS as Time) as usize] = 0;
+        let state = &mut self.upstream_states[upstream];
+        for passed in state.step + 1..=step.min(state.step + FALL_STEPS as Time) {
+            state.recent[(passed % FALL_STEPS as Time) as usize] = 0;
         }
-        if step > server.step + FALL_STEPS as Time {
-            server.recent = [0; FALL_STEPS];
+        if step > state.step + FALL_STEPS as Time {
+            state.recent = [0; FALL_STEPS];
         }
-        server.step = step;
-        server.recent[(step % FALL_STEPS as Time) as usize] += 1;
+        state.step = step;
+        state.recent[(step % FALL_STEPS as Time) as usize] += 1;
         let most = self.config.tip_multiple * capacity * self.config.fall_s;
-        f64::from(server.recent.iter().sum::<u32>()) > most + 2.0 * most.sqrt() + 2.0
+        f64::from(state.recent.iter().sum::<u32>()) > most + 2.0 * most.sqrt() + 2.0
     }
 
     fn begin(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
-        attempt.place = Place::Working;
+        attempt.stage = AttemptStage::Processing;
         let upstream = attempt.upstream;
-        self.servers[upstream].busy += 1;
+        self.upstream_states[upstream].busy += 1;
         let mean = self.topology.service_of(upstream).work;
         let took = mean * self.work.sample(&mut self.rng) / self.warmth(upstream);
         self.queue.push(self.queue.now() + took as Time, Event::Worked(key));
     }
 
     fn on_worked(&mut self, key: Key) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.place == Place::Working) else {
+        let Some(attempt) =
+            self.attempts.get(key).filter(|attempt| attempt.stage == AttemptStage::Processing)
+        else {
             return;
         };
         let (upstream, waited) = (attempt.upstream, attempt.waited);
-        self.servers[upstream].busy -= 1;
+        self.upstream_states[upstream].busy -= 1;
         self.begin_next(upstream);
         if !waited {
             self.attempts.remove(key);
@@ -752,14 +769,14 @@
         if failing && self.rng.random_bool(fault.share) {
             self.finish(key, AttemptOutcome::Error);
         } else {
-            self.call_on(key);
+            self.continue_attempt(key);
         }
     }
 
-    /// Takes the next call from an upstream's queue; one whose time is over is not begun any more.
+    /// Takes the next request from an upstream's queue; one whose time is over is not begun any more.
     fn begin_next(&mut self, upstream: usize) {
         let now = self.queue.now();
-        while let Some(key) = self.servers[upstream].queue.pop_front() {
+        while let Some(key) = self.upstream_states[upstream].queue.pop_front() {
             match self.attempts.get(key).map(|attempt| (attempt.waited, now < attempt.until)) {
                 Some((true, true)) => return self.begin(key),
                 Some((true, false)) => self.finish(key, AttemptOutcome::Rejected),
@@ -769,18 +786,18 @@
         }
     }
 
-    /// An upstream makes the next of its calls for an attempt, or has its answer.
-    fn call_on(&mut self, key: Key) {
+    /// An upstream makes the next of its requests for an attempt, or has its answer.
+    fn continue_attempt(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         let (class, until, measured, upstream) =
             (attempt.class, attempt.until, attempt.measured, attempt.upstream);
-        let place = &self.topology.upstreams[upstream];
-        let callees = &self.topology.services[place.service].callees;
+        let sender = &self.topology.upstreams[upstream];
+        let callees = &self.topology.services[sender.service].callees;
         while let Some(callee) = callees.get(attempt.callee) {
-            let instance = place.instances.start + attempt.callee;
+            let instance = sender.instances.start + attempt.callee;
             attempt.callee += 1;
             if callee.chance >= 1.0 || self.rng.random_bool(callee.chance) {
-                self.call(instance, Caller::Attempt(key), class, until, measured);
+                self.start_request(instance, RequestSource::Attempt(key), class, until, measured);
                 return;
             }
         }
@@ -790,19 +807,19 @@
     /// An upstream answers an attempt.
     fn finish(&mut self, key: Key, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(key) else { return };
-        let way = self.way_of(attempt).filter(|_| attempt.waited);
+        let delay = self.upstream_delay(attempt).filter(|_| attempt.waited);
         let waited = attempt.waited;
-        match way {
-            Some(way) => {
-                let at = self.queue.now() + way + own_time(self.config);
+        match delay {
+            Some(delay) => {
+                let at = self.queue.now() + delay + balancer_service_time(self.config);
                 self.queue.push(at, Event::Answered(key));
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    (attempt.place, attempt.outcome) = (Place::Answering, outcome);
+                    (attempt.stage, attempt.outcome) = (AttemptStage::Responding, outcome);
                 }
             }
             None if waited => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    attempt.place = Place::Lost;
+                    attempt.stage = AttemptStage::Lost;
                     attempt.connects = false; // it has reached the upstream: nothing says that it never ran
                 }
             }
@@ -812,25 +829,25 @@
 
     fn on_withdrawn(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(key) else { return };
-        match attempt.place {
-            Place::Queued => {
+        match attempt.stage {
+            AttemptStage::Queued => {
                 let upstream = attempt.upstream;
-                self.servers[upstream].queue.retain(|&queued| queued != key);
+                self.upstream_states[upstream].queue.retain(|&queued| queued != key);
                 self.attempts.remove(key);
             }
-            Place::Calling(call) => {
+            AttemptStage::WaitingForCallee(request) => {
                 self.attempts.remove(key);
-                self.caller_gone(call);
+                self.client_disconnected(request);
             }
-            Place::Lost => drop(self.attempts.remove(key)),
-            Place::Coming | Place::Working | Place::Answering => {} // seen when that is over
+            AttemptStage::Lost => drop(self.attempts.remove(key)),
+            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {} // seen when that is over
         }
     }
 
-    fn caller_gone(&mut self, key: Key) {
-        let Some(call) = self.calls.get_mut(key).filter(|call| call.owed) else { return };
-        call.owed = false;
-        let (instance, id) = (call.instance, call.id);
+    fn client_disconnected(&mut self, key: Key) {
+        let Some(request) = self.requests.get_mut(key).filter(|request| request.owed) else { return };
+        request.owed = false;
+        let (instance, id) = (request.instance, request.id);
         self.tell(instance, ModuleEvent::ClientDisconnected(id));
         self.forget_if_done(key);
     }
@@ -838,17 +855,23 @@
     // ---- Lists ----
 
     /// A change of an upstream's entry comes into the list once discovery has noticed it.
-    fn notice(&mut self, upstream: usize, lifecycle: EndpointState, silent: bool, holds: Holds) {
+    fn schedule_endpoint_update(
+        &mut self,
+        upstream: usize,
+        lifecycle: EndpointState,
+        silent: bool,
+        holds: Holds,
+    ) {
         let happened = self.queue.now();
-        let at = self.discovery.notice(happened, silent);
-        self.queue.push(at, Event::Notice(self.notices.len() as u32));
-        self.notices.push(Notice { upstream, lifecycle, happened, holds });
+        let at = self.discovery.listing_time(happened, silent);
+        self.queue.push(at, Event::EndpointUpdate(self.endpoint_updates.len() as u32));
+        self.endpoint_updates.push(EndpointUpdate { upstream, lifecycle, happened, holds });
     }
 
-    fn on_notice(&mut self, notice: usize) {
-        let Notice { upstream, lifecycle, happened, holds } = self.notices[notice];
+    fn on_endpoint_update(&mut self, update: usize) {
+        let EndpointUpdate { upstream, lifecycle, happened, holds } = self.endpoint_updates[update];
         let holds = match holds {
-            Holds::Process(process) => self.servers[upstream].process == process,
+            Holds::Process(incarnation) => self.upstream_states[upstream].incarnation == incarnation,
             Holds::Cut(cut) => self.regions_cut && self.cuts == cut,
         };
         if holds {
@@ -857,8 +880,9 @@
     }
 
     fn list(&mut self, upstream: usize, lifecycle: EndpointState, happened: Time) {
-        let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
-        let started = self.servers[upstream].started;
+        let (service, entry) =
+            (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
+        let started = self.upstream_states[upstream].started;
         let change = |entry: &mut EndpointEntry| (entry.state, entry.started) = (lifecycle, started);
         self.discovery.change(service, entry, change, happened, &mut self.queue);
         self.counts.changes += 1;
@@ -876,8 +900,9 @@
     /// An upstream is given another size, in turn a little less and all of it.
     fn on_change(&mut self) {
         self.next_change();
-        let upstream = self.rng.random_range(0..self.servers.len());
-        let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
+        let upstream = self.rng.random_range(0..self.upstream_states.len());
+        let (service, entry) =
+            (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
         let change =
             |entry: &mut EndpointEntry| entry.capacity = if entry.capacity < 1.0 { 1.0 } else { 0.9 };
         self.discovery.change(service, entry, change, self.queue.now(), &mut self.queue);
@@ -894,7 +919,7 @@
             Step::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
             Step::Restart(at) => {
                 let upstream = self.restart_order[at as usize];
-                if self.servers[upstream].life == Life::Up {
+                if self.upstream_states[upstream].process_state == ProcessState::Up {
                     self.counts.restarts += 1;
                     self.list(upstream, EndpointState::Draining, self.queue.now());
                     let at = self.queue.now() + seconds(self.config.rolling_restart.drain_s);
@@ -906,13 +931,19 @@
 
     fn on_zone(&mut self, zone: usize, lost: bool) {
         let now = self.queue.now();
-        for upstream in
-            (0..self.servers.len()).filter(|&at| self.topology.upstreams[at].zone == zone).collect::<Vec<_>>()
+        for upstream in (0..self.upstream_states.len())
+            .filter(|&at| self.topology.upstreams[at].zone == zone)
+            .collect::<Vec<_>>()
         {
             if lost {
-                self.stop(upstream, Life::Silent);
-                let process = self.servers[upstream].process;
-                self.notice(upstream, EndpointState::Removed, true, Holds::Process(process));
+                self.stop(upstream, ProcessState::Silent);
+                let incarnation = self.upstream_states[upstream].incarnation;
+                self.schedule_endpoint_update(
+                    upstream,
+                    EndpointState::Removed,
+                    true,
+                    Holds::Process(incarnation),
+                );
             } else {
                 self.on_start(upstream);
             }
@@ -941,44 +972,57 @@
                 self.discovery.set_cut(instance, cut, &mut self.queue);
             }
         }
-        for upstream in 0..self.servers.len() {
+        for upstream in 0..self.upstream_states.len() {
             if Topology::regions_differ(self.config, 0, self.topology.upstreams[upstream].zone) {
                 let list = self.discovery.list(self.topology.upstreams[upstream].service);
-                let gone = list[self.topology.place(upstream)].state == EndpointState::Removed;
+                let gone = list[self.topology.index_in_service(upstream)].state == EndpointState::Removed;
                 if cut {
-                    self.notice(upstream, EndpointState::Removed, true, Holds::Cut(self.cuts));
-                } else if gone && self.servers[upstream].life == Life::Up {
-                    let process = self.servers[upstream].process;
-                    self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
+                    self.schedule_endpoint_update(
+                        upstream,
+                        EndpointState::Removed,
+                        true,
+                        Holds::Cut(self.cuts),
+                    );
+                } else if gone && self.upstream_states[upstream].process_state == ProcessState::Up {
+                    let incarnation = self.upstream_states[upstream].incarnation;
+                    self.schedule_endpoint_update(
+                        upstream,
+                        EndpointState::InService,
+                        false,
+                        Holds::Process(incarnation),
+                    );
                 }
             }
         }
     }
 
-    /// The process of an upstream ends, and with it its balancer. Connections to it are reset, unless its machine
+    /// The incarnation of an upstream ends, and with it its balancer. Connections to it are reset, unless its machine
     /// is gone: then they are found out when they are used.
-    fn stop(&mut self, upstream: usize, life: Life) {
-        if life == Life::Down {
-            let place = self.topology.place(upstream);
+    fn stop(&mut self, upstream: usize, process_state: ProcessState) {
+        if process_state == ProcessState::Down {
+            let index = self.topology.index_in_service(upstream);
             self.topology
                 .service_of(upstream)
-                .callers
+                .client_instances
                 .iter()
-                .for_each(|&caller| self.nodes[caller].idle[place].count = 0);
+                .for_each(|&instance| self.nodes[instance].idle[index].count = 0);
         }
-        let server = &mut self.servers[upstream];
-        server.life = life;
-        server.process += 1;
-        server.busy = 0;
-        server.queue.clear();
+        let state = &mut self.upstream_states[upstream];
+        state.process_state = process_state;
+        state.incarnation += 1;
+        state.busy = 0;
+        state.queue.clear();
         let held = |attempt: &Attempt| {
-            let there = matches!(attempt.place, Place::Queued | Place::Working | Place::Calling(_));
+            let there = matches!(
+                attempt.stage,
+                AttemptStage::Queued | AttemptStage::Processing | AttemptStage::WaitingForCallee(_)
+            );
             attempt.upstream == upstream && there
         };
         for key in self.attempts.keys(held) {
-            if life == Life::Silent {
+            if process_state == ProcessState::Silent {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    (attempt.place, attempt.connects) = (Place::Lost, false);
+                    (attempt.stage, attempt.connects) = (AttemptStage::Lost, false);
                 }
                 if self.attempts.get(key).is_some_and(|attempt| !attempt.waited) {
                     self.attempts.remove(key);
@@ -987,37 +1031,40 @@
                 self.finish(key, AttemptOutcome::Reset);
             }
         }
-        self.end_instances(self.topology.upstreams[upstream].instances.clone(), life == Life::Silent);
+        self.end_instances(
+            self.topology.upstreams[upstream].instances.clone(),
+            process_state == ProcessState::Silent,
+        );
     }
 
     /// Module instances end: nobody waits for their attempts any more, and clients' requests are lost.
     fn end_instances(&mut self, instances: Range<usize>, silent: bool) {
-        for key in self.calls.keys(|call| instances.contains(&call.instance)) {
-            let Some(call) = self.calls.get(key) else { continue };
-            let (out, caller, came, measured, owed) =
-                (call.out, call.caller, call.came, call.measured, call.owed);
-            if owed && caller == Caller::Client {
+        for key in self.requests.keys(|request| instances.contains(&request.instance)) {
+            let Some(request) = self.requests.get(key) else { continue };
+            let (out, source, came, measured, owed) =
+                (request.out, request.source, request.came, request.measured, request.owed);
+            if owed && source == RequestSource::Client {
                 self.open_measured -= u64::from(measured);
                 self.count_request(came, measured, |count| &mut count.lost);
             }
             if let Some(out) = out {
                 self.give_up(out, silent);
             }
-            self.calls.remove(key);
+            self.requests.remove(key);
         }
         for instance in instances {
             let node = &mut self.nodes[instance];
             node.alive = false;
-            node.calls.clear();
+            node.requests.clear();
             node.idle.fill(Idle::default());
             self.discovery.gone(instance);
         }
     }
 
-    /// A new process starts: cold, and of use once its balancer has its lists.
+    /// A new incarnation starts: cold, and of use once its balancer has its lists.
     fn on_start(&mut self, upstream: usize) {
         let now = self.queue.now();
-        self.servers[upstream].started = Some(now);
+        self.upstream_states[upstream].started = Some(now);
         let instances = self.topology.upstreams[upstream].instances.clone();
         let ready = self.first_lists(instances);
         self.counts.longest_start = self.counts.longest_start.max(ready - now);
@@ -1031,15 +1078,15 @@
     }
 
     fn on_ready(&mut self, upstream: usize) {
-        let server = &mut self.servers[upstream];
-        if server.life == Life::Up {
+        let state = &mut self.upstream_states[upstream];
+        if state.process_state == ProcessState::Up {
             return; // started twice: after a restart, and with its zone
         }
-        server.life = Life::Up;
-        (server.recent, server.step) = ([0; FALL_STEPS], 0);
-        let process = server.process;
+        state.process_state = ProcessState::Up;
+        (state.recent, state.step) = ([0; FALL_STEPS], 0);
+        let incarnation = state.incarnation;
         self.renew(self.topology.upstreams[upstream].instances.clone());
-        self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
+        self.schedule_endpoint_update(upstream, EndpointState::InService, false, Holds::Process(incarnation));
     }
 
     /// Module instances start anew, and know their lists.
@@ -1067,7 +1114,7 @@
         self.handle(instance, event);
         while let Some((instance, id, end)) = self.pending.pop_front() {
             self.handle(instance, ModuleEvent::AttemptEnded(id, end));
-            if let Some(&key) = self.nodes[instance].calls.get(&id) {
+            if let Some(&key) = self.nodes[instance].requests.get(&id) {
                 self.forget_if_done(key);
             }
         }
@@ -1087,14 +1134,14 @@
 
     fn act(&mut self, instance: usize, action: Action) {
         match action {
-            Action::Send { id, endpoint: server, until, begin_by } => {
-                self.send(instance, id, server, (until, begin_by))
+            Action::Send { id, endpoint, until, begin_by } => {
+                self.send(instance, id, endpoint, (until, begin_by))
             }
             Action::Reject { id, .. } => self.answer_id(instance, id, Answer::Refused),
             Action::Fail(id) => self.answer_id(instance, id, Answer::Failed),
             Action::Cancel { id, attempt } => self.withdraw(instance, id, attempt),
-            Action::CloseIdle(server) => {
-                self.nodes[instance].idle[self.topology.place(server.0 as usize)].count = 0;
+            Action::CloseIdle(endpoint) => {
+                self.nodes[instance].idle[self.topology.index_in_service(endpoint.0 as usize)].count = 0;
             }
             Action::SetTimer { after, token } => {
                 self.queue.push(self.queue.now().saturating_add(after), Event::Timer(instance as u32, token));
@@ -1106,21 +1153,21 @@
     }
 
     fn answer_id(&mut self, instance: usize, id: RequestId, answer: Answer) {
-        if let Some(&key) = self.nodes[instance].calls.get(&id) {
+        if let Some(&key) = self.nodes[instance].requests.get(&id) {
             self.answer(key, answer);
         }
     }
 
     fn withdraw(&mut self, instance: usize, id: RequestId, number: u32) {
-        let Some(&key) = self.nodes[instance].calls.get(&id) else { return };
-        let Some(out) = self.calls.get(key).and_then(|call| call.out) else { return };
+        let Some(&key) = self.nodes[instance].requests.get(&id) else { return };
+        let Some(out) = self.requests.get(key).and_then(|request| request.out) else { return };
         let Some(attempt) = self.attempts.get(out).filter(|attempt| attempt.number == number) else { return };
         let sent = attempt.sent;
         self.counts.withdrawals += 1;
         self.give_up(out, false);
-        let Some(call) = self.calls.get_mut(key) else { return };
-        call.out = None;
-        let (elapsed, closed) = (self.queue.now() - sent, !call.owed);
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.out = None;
+        let (elapsed, closed) = (self.queue.now() - sent, !request.owed);
         let end = AttemptEnd {
             attempt: number,
             outcome: AttemptOutcome::Cancelled,
@@ -1161,7 +1208,7 @@
         weight_by_work: false,
         zone: ZoneId(instance.zone as u8),
         zones: config.zones,
-        replicas: topology.services[instance.service].callers.len() as u32,
+        replicas: topology.services[instance.service].client_instances.len() as u32,
         tier,
         propagates_deadline: true,
         polls_discovery: config.discovery.ask,
@@ -1181,13 +1228,13 @@
     LoadBalancer::new(settings, seed, now).expect("settings that come from a checked configuration hold")
 }
 
-/// What a balancer adds to a call, or to its answer.
-fn own_time(config: &Config) -> Time {
+/// What a balancer adds to a request, or to its answer.
+fn balancer_service_time(config: &Config) -> Time {
     (config.balancer_us * 1e3) as Time
 }
 
 /// Time from one zone to another.
-fn way(config: &Config, zone: usize, other: usize) -> Time {
+fn network_delay(config: &Config, zone: usize, other: usize) -> Time {
     millis(match (zone == other, Topology::regions_differ(config, zone, other)) {
         (true, _) => config.same_zone_ms,
         (_, true) => config.cross_region_ms,
--- a/emulator/src/interrupt.rs
+++ b/emulator/src/interrupt.rs
@@ -44,7 +44,7 @@
 impl Interrupt {
     /// Takes both signals over from now on; they no longer end the process. A thread waits for them.
     pub fn listen() -> Result<Self> {
-        let (tell, told) = watch::channel(None);
+        let (sender, receiver) = watch::channel(None);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -60,19 +60,19 @@
                     _ = int.recv() => Signal::Interrupt,
                     _ = term.recv() => Signal::Terminate,
                 };
-                tell.send_replace(Some(signal));
-                tell.closed().await; // waiters must not take the end of this thread for a signal
+                sender.send_replace(Some(signal));
+                sender.closed().await; // waiters must not take the end of this thread for a signal
             });
         };
         std::thread::Builder::new().name("signals".into()).spawn(wait).context("cannot start a thread")?;
-        Ok(Self(told))
+        Ok(Self(receiver))
     }
 
     /// One that never comes.
     pub fn never() -> Self {
-        let (tell, told) = watch::channel(None);
-        drop(tell);
-        Self(told)
+        let (sender, receiver) = watch::channel(None);
+        drop(sender);
+        Self(receiver)
     }
 
     /// Fails once a signal has come.
@@ -82,8 +82,8 @@
 
     /// Waits until a signal comes.
     pub async fn wait(&self) -> Interrupted {
-        let mut told = self.0.clone();
-        let signal = told.wait_for(Option::is_some).await.ok().and_then(|signal| *signal);
+        let mut receiver = self.0.clone();
+        let signal = receiver.wait_for(Option::is_some).await.ok().and_then(|signal| *signal);
         match signal {
             Some(signal) => Interrupted(signal),
             None => std::future::pending().await, // nobody listens
--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -154,7 +154,7 @@
         let (at, ready) = joined.context("a start was not finished")?;
         let ready = ready?;
         fleet.with(at, Balancer::serves);
-        discovery.follows(at);
+        discovery.start_tracking(at);
         measured.ready.push(ready.after);
         addresses[at] = Some(ready.address);
     }
@@ -164,7 +164,7 @@
     let watch = Watch::new(fleet, &discovery);
 
     let body = async {
-        clients.call(config.warmup(), false).await;
+        clients.send_requests(config.warmup(), false).await;
         let changing = change(config, seed, &discovery, &upstreams);
         let phases = async {
             // Control alone first, and then the same with calls: the difference is what calls cost.
@@ -179,7 +179,7 @@
                 )
             };
             // Restarts that the calls do not see to their end are waited for.
-            let (((), restarts), ()) = tokio::join!(faults, clients.call(config.load(), true));
+            let (((), restarts), ()) = tokio::join!(faults, clients.send_requests(config.load(), true));
             measured.load = watch.since(&from);
             measured.attempts = upstreams.attempts() - attempts;
             restarts
@@ -204,7 +204,7 @@
         restarts = body => restarts?,
         error = ticking => return Err(error),
     };
-    timeout(SETTLE, discovery.all_followed()).await.ok();
+    timeout(SETTLE, discovery.all_changes_propagated()).await.ok();
     watch.peaks();
     fleet.check()?;
     measured.peaks = watch.into_peaks();
@@ -263,7 +263,7 @@
     let mut ready = Vec::new();
     sleep(Duration::from_secs_f64(restart.at_s)).await;
     for at in 0..config.balancers {
-        discovery.follows_no_more(at);
+        discovery.stop_tracking(at);
         let known = discovery.known();
         fleet.with(at, Balancer::terminate);
         sleep(Duration::from_secs_f64(restart.front_lag_s)).await;
@@ -282,7 +282,7 @@
         let new = start.ready().await?;
         fleet.with(at, Balancer::serves);
         ready.push(new.after);
-        discovery.follows(at);
+        discovery.start_tracking(at);
         front.admit(at, new.address);
         sleep(Duration::from_secs_f64(restart.pause_s)).await;
     }
--- a/emulator/src/real/client.rs
+++ b/emulator/src/real/client.rs
@@ -147,7 +147,7 @@
     }
 
     /// Sends calls for so long, and waits until all have ended.
-    pub async fn call(&self, length: Duration, measured: bool) {
+    pub async fn send_requests(&self, length: Duration, measured: bool) {
         let stop = StopOnDrop::default();
         let start = Instant::now();
         for (path, rate) in [(Path::Balanced, self.config.rate), (Path::Direct, self.config.direct_rate)] {
@@ -251,7 +251,7 @@
                     Path::Direct => &self.direct_pool,
                 };
                 let until = (due + self.deadline + SLACK).into();
-                tokio::time::timeout_at(until, pool.call(address, request)).await.ok()
+                tokio::time::timeout_at(until, pool.send(address, request)).await.ok()
             }
         };
         let taken = due.elapsed();
--- a/emulator/src/real/discovery.rs
+++ b/emulator/src/real/discovery.rs
@@ -56,7 +56,7 @@
     kept_back: usize,
     /// One for each version after the first.
     changes: Vec<Change>,
-    followers: Vec<Follower>,
+    subscribers: Vec<Subscriber>,
 }
 
 struct Target {
@@ -73,12 +73,12 @@
     /// Balancers that have not taken it.
     missing: usize,
     /// Time until the last of them had.
-    followed: Option<Duration>,
+    propagation_delay: Option<Duration>,
 }
 
 /// What a balancer has.
 #[derive(Clone, Default)]
-struct Follower {
+struct Subscriber {
     /// The version it last asked beyond.
     rev: u64,
     /// Changes beyond this version are counted, if it is to follow at all.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Default)]
 struct Meter {
     bytes: Arc<AtomicU64>,
-    calls: Arc<AtomicU64>,
+    requests: Arc<AtomicU64>,
 }
 
 /// What control has cost one balancer, since the beginning.
@@ -97,7 +97,7 @@
 pub struct Cost {
     /// Bytes on the connections, both ways, without what TCP adds.
     pub bytes: u64,
-    pub calls: u64,
+    pub requests: u64,
 }
 
 impl Discovery {
@@ -105,8 +105,9 @@
     pub async fn start(balancers: usize, listed: Vec<Listed>) -> Result<Self> {
         let targets =
             listed.into_iter().map(|listed| Target { listed, draining: false, rev: FIRST }).collect();
-        let followers = vec![Follower::default(); balancers];
-        let state = State { rev: FIRST, targets, down: false, kept_back: 0, changes: Vec::new(), followers };
+        let subscribers = vec![Subscriber::default(); balancers];
+        let state =
+            State { rev: FIRST, targets, down: false, kept_back: 0, changes: Vec::new(), subscribers };
         let meters = (0..balancers).map(|_| Meter::default()).collect();
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: watch::Sender::new(()), meters });
         let mut agents = Vec::new();
@@ -133,17 +134,17 @@
     }
 
     /// From now on a balancer is to follow changes.
-    pub fn follows(&self, at: usize) {
+    pub fn start_tracking(&self, at: usize) {
         let mut state = lock(&self.shared.state);
-        state.followers[at].counted_from = Some(state.rev);
+        state.subscribers[at].counted_from = Some(state.rev);
     }
 
     /// A balancer is about to end: what it has not taken, it need not.
-    pub fn follows_no_more(&self, at: usize) {
+    pub fn stop_tracking(&self, at: usize) {
         let mut state = lock(&self.shared.state);
         let rev = state.rev;
         state.has_taken(at, rev);
-        state.followers[at].counted_from = None;
+        state.subscribers[at].counted_from = None;
     }
 
     /// An upstream starts to drain, or is back in service.
@@ -153,8 +154,8 @@
         let rev = state.rev;
         state.targets[at].draining = draining;
         state.targets[at].rev = rev;
-        let missing = state.followers.iter().filter(|follower| follower.counted_from.is_some()).count();
-        state.changes.push(Change { since: Instant::now(), missing, followed: None });
+        let missing = state.subscribers.iter().filter(|subscriber| subscriber.counted_from.is_some()).count();
+        state.changes.push(Change { since: Instant::now(), missing, propagation_delay: None });
         drop(state);
         self.shared.changed.send_replace(());
     }
@@ -178,7 +179,7 @@
     }
 
     /// Waits until every change is followed by everyone.
-    pub async fn all_followed(&self) {
+    pub async fn all_changes_propagated(&self) {
         let mut changed = self.shared.changed.subscribe();
         let all = |shared: &Shared| lock(&shared.state).changes.iter().all(|change| change.missing == 0);
         while !all(&self.shared) {
@@ -190,8 +191,8 @@
 
     /// Time from each change, or from when discovery could be reached again, to the last balancer that had taken
     /// it; `None` where one has not.
-    pub fn followed(&self) -> Vec<Option<Duration>> {
-        lock(&self.shared.state).changes.iter().map(|change| change.followed).collect()
+    pub fn propagation_delays(&self) -> Vec<Option<Duration>> {
+        lock(&self.shared.state).changes.iter().map(|change| change.propagation_delay).collect()
     }
 
     /// Changes that a time without discovery has kept from someone.
@@ -203,7 +204,7 @@
     pub fn costs(&self) -> Vec<Cost> {
         let cost = |meter: &Meter| Cost {
             bytes: meter.bytes.load(Ordering::Relaxed),
-            calls: meter.calls.load(Ordering::Relaxed),
+            requests: meter.requests.load(Ordering::Relaxed),
         };
         self.shared.meters.iter().map(cost).collect()
     }
@@ -227,15 +228,15 @@
     /// the last to take some change.
     fn has_taken(&mut self, at: usize, rev: u64) -> bool {
         let rev = rev.min(self.rev);
-        let follower = &mut self.followers[at];
-        let had = follower.rev.max(follower.counted_from.unwrap_or(u64::MAX)).min(rev);
-        follower.rev = follower.rev.max(rev);
+        let subscriber = &mut self.subscribers[at];
+        let had = subscriber.rev.max(subscriber.counted_from.unwrap_or(u64::MAX)).min(rev);
+        subscriber.rev = subscriber.rev.max(rev);
         let change_at = |rev: u64| (rev.max(FIRST) - FIRST) as usize;
         let mut was_last = false;
         for change in &mut self.changes[change_at(had)..change_at(rev)] {
             change.missing = change.missing.saturating_sub(1);
             if change.missing == 0 {
-                change.followed = Some(change.since.elapsed());
+                change.propagation_delay = Some(change.since.elapsed());
                 was_last = true;
             }
         }
@@ -245,9 +246,9 @@
 
 async fn serve(shared: Arc<Shared>, at: usize, tcp: TcpStream) {
     let meter = shared.meters[at].clone();
-    let calls = meter.calls.clone();
+    let requests = meter.requests.clone();
     let service = service_fn(|request: Request<Incoming>| {
-        calls.fetch_add(1, Ordering::Relaxed);
+        requests.fetch_add(1, Ordering::Relaxed);
         let shared = shared.clone();
         async move { Ok::<_, Infallible>(answer(&shared, at, &request).await) }
     });
--- a/emulator/src/real/measure.rs
+++ b/emulator/src/real/measure.rs
@@ -48,7 +48,7 @@
     /// Control bytes a second, by balancer.
     bytes: Vec<f64>,
     /// Control calls a second, by balancer.
-    calls: Vec<f64>,
+    requests: Vec<f64>,
 }
 
 impl<'a> Watch<'a> {
@@ -79,7 +79,7 @@
             length,
             cpu: cpu.collect(),
             bytes: costs().map(|(from, to)| (to.bytes - from.bytes) as f64 / length).collect(),
-            calls: costs().map(|(from, to)| (to.calls - from.calls) as f64 / length).collect(),
+            requests: costs().map(|(from, to)| (to.requests - from.requests) as f64 / length).collect(),
         }
     }
 
@@ -187,12 +187,15 @@
             figures.add("restarts", self.restarts.len() as f64);
         }
 
-        let followed = discovery.followed();
-        let mut times = milliseconds(&followed.iter().copied().flatten().collect::<Vec<_>>());
+        let propagation_delays = discovery.propagation_delays();
+        let mut times = milliseconds(&propagation_delays.iter().copied().flatten().collect::<Vec<_>>());
         times.sort_by(f64::total_cmp);
         if config.change_rate > 0.0 {
-            figures.add("changes", followed.len() as f64);
-            figures.add("changes_not_followed", followed.iter().filter(|time| time.is_none()).count() as f64);
+            figures.add("changes", propagation_delays.len() as f64);
+            figures.add(
+                "changes_not_followed",
+                propagation_delays.iter().filter(|time| time.is_none()).count() as f64,
+            );
         }
         if config.discovery_down.is_some() {
             figures.add("changes_kept_back", discovery.kept_back() as f64);
@@ -209,7 +212,7 @@
             let cpu: Vec<f64> = used.cpu.iter().flatten().map(|part| 100.0 * part).collect();
             figures.spread(&format!("cpu_{phase}"), "_percent", &cpu);
             figures.spread(&format!("control_{phase}"), "_bytes_per_s", &used.bytes);
-            figures.spread(&format!("control_{phase}"), "_calls_per_s", &used.calls);
+            figures.spread(&format!("control_{phase}"), "_calls_per_s", &used.requests);
         }
         figures.spread(
             "memory_peak",
@@ -269,7 +272,7 @@
                 cpu(&self.idle),
                 cpu(&self.load),
                 cell(self.load.bytes.get(at).copied()),
-                cell(self.load.calls.get(at).copied()),
+                cell(self.load.requests.get(at).copied()),
             ]
         };
         let columns = [
--- a/emulator/src/real/pool.rs
+++ b/emulator/src/real/pool.rs
@@ -21,7 +21,7 @@
 impl Pool {
     /// Sends a call on the connection that was used last, or on a new one, and waits for its whole answer. Where
     /// one that was kept is closed before it is answered, the call goes once more over a new one.
-    pub async fn call(&self, address: SocketAddr, request: Request<Full<Bytes>>) -> Result<StatusCode> {
+    pub async fn send(&self, address: SocketAddr, request: Request<Full<Bytes>>) -> Result<StatusCode> {
         while let Some(sender) = self.idle(address) {
             if sender.is_ready() {
                 match self.exchange(address, sender, request.clone()).await {
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -27,7 +27,7 @@
 
 /// A promise of a scenario, and what became of it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Promise {
+pub struct Expectation {
     pub figure: String,
     #[serde(flatten)]
     pub bounds: Bounds,
@@ -36,15 +36,15 @@
     pub kept: bool,
 }
 
-impl Promise {
+impl Expectation {
     /// All promises of a scenario. What was not measured is not kept.
     pub fn all(scenario: &Scenario, outcome: &Outcome) -> Vec<Self> {
-        let promise = |(figure, bounds): (&String, &Bounds)| {
+        let expectation = |(figure, bounds): (&String, &Bounds)| {
             let measured = outcome.figures.get(figure).copied();
             let kept = measured.is_some_and(|measured| bounds.hold(measured));
             Self { figure: figure.clone(), bounds: *bounds, measured, kept }
         };
-        scenario.expect.iter().map(promise).collect()
+        scenario.expect.iter().map(expectation).collect()
     }
 
     /// What is expected, in words.
@@ -65,7 +65,7 @@
     }
 }
 
-/// A run of a scenario. All of it but [`Run::circumstances`] repeats in hollow mode with the same seed.
+/// A run of a scenario. All of it but [`Run::environment`] repeats in hollow mode with the same seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Run {
     pub scenario: String,
@@ -74,14 +74,15 @@
     /// The values that a sweep gave to keys.
     pub values: BTreeMap<String, toml::Value>,
     pub outcome: Outcome,
-    pub promises: Vec<Promise>,
+    #[serde(rename = "promises")]
+    pub expectations: Vec<Expectation>,
     #[serde(skip)]
-    pub circumstances: Circumstances,
+    pub environment: RunEnvironment,
 }
 
 /// What a run took, and where: differs from run to run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Circumstances {
+pub struct RunEnvironment {
     /// Wall time in seconds.
     pub wall_s: f64,
     /// The most memory that this process has held up to the end of the run, in MB of 1,000,000 bytes.
@@ -115,7 +116,7 @@
     }
 }
 
-impl Circumstances {
+impl RunEnvironment {
     /// Those of a run of this process that took so long.
     pub fn of(wall: Duration, balancer: Option<&Path>) -> Self {
         Self {
@@ -138,7 +139,7 @@
 impl Run {
     /// Each broken promise in a line.
     pub fn broken(&self) -> impl Iterator<Item = String> {
-        self.promises.iter().filter_map(Promise::broken)
+        self.expectations.iter().filter_map(Expectation::broken)
     }
 
     /// The report for people.
@@ -153,34 +154,34 @@
         for table in &self.outcome.tables {
             table.write(&mut text);
         }
-        promises(&self.promises).write(&mut text);
-        self.circumstances.write(&mut text);
+        expectations_table(&self.expectations).write(&mut text);
+        self.environment.write(&mut text);
         text
     }
 
     /// The report for programs, with the circumstances.
     pub fn json(&self) -> serde_json::Value {
-        serde_json::json!({"run": self, "circumstances": self.circumstances})
+        serde_json::json!({"run": self, "circumstances": self.environment})
     }
 
     /// Writes the outcome and the circumstances into a folder, each as a whole or not at all.
     pub fn write(&self, folder: &Path) -> Result<()> {
         fs::create_dir_all(folder).with_context(|| format!("{}", folder.display()))?;
         write_whole(&folder.join("outcome.json"), &pretty(self)?)?;
-        write_whole(&folder.join("run.json"), &pretty(&self.circumstances)?)
+        write_whole(&folder.join("run.json"), &pretty(&self.environment)?)
     }
 }
 
-fn promises(promises: &[Promise]) -> Table {
-    let row = |promise: &Promise| {
-        let measured = promise.measured.map_or("not measured".into(), number);
-        let kept = if promise.kept { "kept" } else { "**broken**" };
-        vec![promise.figure.clone(), promise.expected(), measured, kept.into()]
+fn expectations_table(expectations: &[Expectation]) -> Table {
+    let row = |expectation: &Expectation| {
+        let measured = expectation.measured.map_or("not measured".into(), number);
+        let kept = if expectation.kept { "kept" } else { "**broken**" };
+        vec![expectation.figure.clone(), expectation.expected(), measured, kept.into()]
     };
-    Table::new("Promises", ["figure", "expected", "measured", ""], promises.iter().map(row).collect())
+    Table::new("Promises", ["figure", "expected", "measured", ""], expectations.iter().map(row).collect())
 }
 
-impl Circumstances {
+impl RunEnvironment {
     /// Adds a section of Markdown.
     pub fn write(&self, text: &mut String) {
         let memory = self.peak_memory_mb.map_or("unknown".into(), |memory| format!("{memory:.1} MB"));
--- a/emulator/src/topology.rs
+++ b/emulator/src/topology.rs
@@ -17,13 +17,13 @@
     /// The services that it calls.
     pub callees: Vec<Callee>,
     /// Expected calls of it for each request of a client.
-    pub calls_per_request: f64,
+    pub requests_per_client_request: f64,
     /// Mean time of its own work on a call, in nanoseconds, when it is warm.
     pub work: f64,
     /// Calls that one of its upstreams works on at a time.
     pub slots: u32,
     /// The module instances that send to it, by position in `Topology::instances`.
-    pub callers: Vec<usize>,
+    pub client_instances: Vec<usize>,
 }
 
 /// A service that is called by another one.
@@ -90,7 +90,7 @@
     /// The services that clients call.
     pub entries: Vec<usize>,
     /// Expected calls for each request of a client, over all tiers, if none fails.
-    pub calls_per_request: f64,
+    pub requests_per_client_request: f64,
     /// Requests of clients a second.
     pub request_rate: f64,
 }
@@ -103,9 +103,9 @@
             Shape::Chain => topology.add_chain(config),
             Shape::Graph => topology.add_graph(config, rng),
         }
-        topology.expect_calls();
+        topology.compute_expected_requests();
         topology.request_rate = match config.requests {
-            0.0 => config.rate / topology.calls_per_request,
+            0.0 => config.rate / topology.requests_per_client_request,
             requests => requests,
         };
         let sizes = match config.shape {
@@ -122,10 +122,10 @@
             tier,
             upstreams: 0..0,
             callees: Vec::new(),
-            calls_per_request: 0.0,
+            requests_per_client_request: 0.0,
             work: 0.0,
             slots: 1,
-            callers: Vec::new(),
+            client_instances: Vec::new(),
         });
     }
 
@@ -174,8 +174,8 @@
         for at in (0..config.services).filter(|&at| !called[at]) {
             let tier = self.services[at].tier as usize;
             if tier > 0 {
-                let caller = *in_tier[tier - 1].choose(rng).expect("each tier has a service");
-                self.services[caller].callees.push(Callee { service: at, chance: 0.0 });
+                let client = *in_tier[tier - 1].choose(rng).expect("each tier has a service");
+                self.services[client].callees.push(Callee { service: at, chance: 0.0 });
             }
         }
         // The first callee is the spine of the call tree and gets the weight of two.
@@ -189,24 +189,27 @@
         self.entries = in_tier[0].clone();
     }
 
-    fn expect_calls(&mut self) {
+    fn compute_expected_requests(&mut self) {
         for &entry in &self.entries {
-            self.services[entry].calls_per_request = 1.0 / self.entries.len() as f64;
+            self.services[entry].requests_per_client_request = 1.0 / self.entries.len() as f64;
         }
         for at in 0..self.services.len() {
-            let calls = self.services[at].calls_per_request;
+            let requests = self.services[at].requests_per_client_request;
             for callee in self.services[at].callees.clone() {
-                self.services[callee.service].calls_per_request += calls * callee.chance;
+                self.services[callee.service].requests_per_client_request += requests * callee.chance;
             }
         }
-        self.calls_per_request = self.services.iter().map(|service| service.calls_per_request).sum();
+        self.requests_per_client_request =
+            self.services.iter().map(|service| service.requests_per_client_request).sum();
     }
 
     /// Shares out the upstreams: two for each service, or one where there are too few, and the rest by calls.
     fn sizes(&self, upstreams: usize) -> Vec<usize> {
         let least = if upstreams >= 2 * self.services.len() { 2 } else { 1 };
         let rest = upstreams - least * self.services.len();
-        let share = |service: &Service| rest as f64 * service.calls_per_request / self.calls_per_request;
+        let share = |service: &Service| {
+            rest as f64 * service.requests_per_client_request / self.requests_per_client_request
+        };
         let mut sizes: Vec<usize> =
             self.services.iter().map(|service| least + share(service) as usize).collect();
         let mut by_remainder: Vec<usize> = (0..self.services.len()).collect();
@@ -234,7 +237,7 @@
             let service = &mut self.services[at];
             service.upstreams = start..self.upstreams.len();
             service.work = config.service_ms * 1e6 * spread.sample(rng);
-            let rate = service.calls_per_request * self.request_rate / size as f64;
+            let rate = service.requests_per_client_request * self.request_rate / size as f64;
             service.slots = (rate * service.work / 1e9 / config.utilisation).ceil().max(1.0) as u32;
         }
     }
@@ -257,7 +260,7 @@
     }
 
     fn add_instance(&mut self, instance: Instance) {
-        self.services[instance.service].callers.push(self.instances.len());
+        self.services[instance.service].client_instances.push(self.instances.len());
         self.instances.push(instance);
     }
 
@@ -267,7 +270,7 @@
     }
 
     /// The place of an upstream among those of its service.
-    pub fn place(&self, upstream: usize) -> usize {
+    pub fn index_in_service(&self, upstream: usize) -> usize {
         upstream - self.service_of(upstream).upstreams.start
     }
 
--- a/emulator/tests/hollow.rs
+++ b/emulator/tests/hollow.rs
@@ -98,13 +98,13 @@
     let config = Config::default();
     let topology = Topology::new(&config, &mut rand_chacha::ChaCha8Rng::seed_from_u64(1));
     assert_eq!((topology.upstreams.len(), topology.services.len()), (870, 150));
-    assert!((topology.request_rate * topology.calls_per_request - 92_000.0).abs() < 1e-6);
+    assert!((topology.request_rate * topology.requests_per_client_request - 92_000.0).abs() < 1e-6);
     let sizes: Vec<usize> = topology.services.iter().map(|service| service.upstreams.len()).collect();
     assert!(sizes.iter().all(|&size| size >= 2) && sizes.iter().max() > Some(&10), "{sizes:?}");
     // Each service is called, by deeper ones alone, and the deepest way is 21 calls long.
     let mut depth = vec![1; topology.services.len()];
     for (at, service) in topology.services.iter().enumerate() {
-        assert!(service.calls_per_request > 0.0, "service {at} is never called");
+        assert!(service.requests_per_client_request > 0.0, "service {at} is never called");
         for callee in &service.callees {
             assert!(topology.services[callee.service].tier > service.tier);
             depth[callee.service] = depth[callee.service].max(depth[at] + 1);
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -1,7 +1,7 @@
 //! What a report makes of figures.
 
 use fleet_emulator::experiment::Fit;
-use fleet_emulator::report::{Outcome, Promise, Table, number};
+use fleet_emulator::report::{Expectation, Outcome, Table, number};
 use fleet_emulator::scenario::{Axis, Bounds};
 use std::collections::BTreeMap;
 
@@ -32,8 +32,8 @@
     let text = "name = \"n\"\nmode = \"hollow\"\n[expect]\na = { max = 1 }\nb = { min = 1 }\nc = { min = 0, max = 9 }\n";
     let scenario = toml::from_str(text).unwrap();
     let figures = BTreeMap::from([("a".to_owned(), 1.5), ("c".to_owned(), 5.0)]);
-    let promises = Promise::all(&scenario, &Outcome { figures, tables: Vec::new() });
-    let broken: Vec<_> = promises.iter().map(Promise::broken).collect();
+    let expectations = Expectation::all(&scenario, &Outcome { figures, tables: Vec::new() });
+    let broken: Vec<_> = expectations.iter().map(Expectation::broken).collect();
     let expected = [
         Some("`a` is 1.500, expected 1 at most".to_owned()),
         Some("`b` was not measured, expected 1 at least".to_owned()),
