--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -13,8 +13,8 @@
 /// How long a watch waits, how long one may be silent beyond that, and the time in which a connection comes up:
 /// those of the balancer's own client.
 const WATCH_WAIT: Time = 2 * SECOND;
-const WATCH_SILENCE: Time = SECOND;
-const CONNECT: Time = SECOND / 2;
+const RESPONSE_TIMEOUT: Time = SECOND;
+const CONNECT_TIMEOUT: Time = SECOND / 2;
 /// Pause before the next call of a watch that told nothing new.
 const WATCH_PAUSE: Time = SECOND / 20;
 
@@ -72,13 +72,13 @@
     /// What there is reaches a balancer.
     ListDelivered(u32, u32),
     /// A call of a balancer reaches discovery.
-    Asked(u32, u32),
+    RequestReceived(u32, u32),
     /// The wait of a call is over.
-    WaitOver(u32, u32),
+    WatchWaitOver(u32, u32),
     /// A balancer's call got no answer in time.
-    Silent(u32, u32),
+    RequestTimedOut(u32, u32),
     /// A balancer makes its next call.
-    Next(u32, u32),
+    NextRequest(u32, u32),
 }
 
 /// What comes of an event for a balancer.
@@ -97,8 +97,8 @@
 struct Change {
     /// Position of the entry.
     entry: usize,
-    happened: Time,
-    listed: Time,
+    changed_at: Time,
+    listed_at: Time,
 }
 
 #[derive(Debug, Default)]
@@ -107,7 +107,7 @@
     /// Its length is the list's version.
     changes: Vec<Change>,
     /// Calls that wait for news of it, in the order in which they came.
-    waiting: Vec<(u32, u32)>,
+    waiting_requests: Vec<(u32, u32)>,
     /// The balancers that it is for.
     watchers: Vec<usize>,
 }
@@ -117,16 +117,16 @@
 struct Watcher {
     service: usize,
     /// The version that it has been told.
-    version: usize,
+    known_version: usize,
     /// The number of its call, or of the push on its way.
-    number: u32,
-    busy: bool,
+    request_number: u32,
+    in_progress: bool,
     alive: bool,
-    cut: bool,
+    partitioned: bool,
     /// Since when it can be told.
-    reachable_from: Time,
+    reachable_since: Time,
     /// Its call goes on with a watch.
-    continues: bool,
+    continues_watch: bool,
 }
 
 /// Times from a change until balancers follow it.
@@ -135,8 +135,8 @@
     /// Changes told to a balancer each.
     pub count: u64,
     /// From the change itself, in nanoseconds: the longest, and the sum.
-    pub longest: Time,
-    pub sum: u128,
+    pub max_delay: Time,
+    pub total_delay: u128,
     /// The longest from when discovery had it and could be reached.
     pub max_notification_delay: Time,
 }
@@ -171,8 +171,8 @@
         let watchers: Vec<Watcher> = watchers.map(watcher).collect();
         let list = |entries| List { entries, ..List::default() };
         let mut lists: Vec<List> = lists.into_iter().map(list).collect();
-        for (at, watcher) in watchers.iter().enumerate() {
-            lists[watcher.service].watchers.push(at);
+        for (instance, watcher) in watchers.iter().enumerate() {
+            lists[watcher.service].watchers.push(instance);
         }
         Self {
             config,
@@ -195,11 +195,11 @@
 
     /// When a change that happens now is listed; later if its machine has just fallen silent.
     pub fn listing_time(&mut self, now: Time, silent: bool) -> Time {
-        let (least, most) = match silent {
+        let (min, max) = match silent {
             false => (self.config.notice_min_s, self.config.notice_max_s),
             true => (self.config.silent_notice_min_s, self.config.silent_notice_max_s),
         };
-        now + seconds(least + (most - least) * self.rng.random::<f64>())
+        now + seconds(min + (max - min) * self.rng.random::<f64>())
     }
 
     /// Lists a change that happened at a time, and sets out to tell all that can be told.
@@ -208,87 +208,93 @@
         service: usize,
         entry: usize,
         change: impl FnOnce(&mut EndpointEntry),
-        happened: Time,
+        changed_at: Time,
         queue: &mut Queue<E>,
     ) {
         let list = &mut self.lists[service];
         change(&mut list.entries[entry]);
-        list.changes.push(Change { entry, happened, listed: queue.now() });
+        list.changes.push(Change { entry, changed_at, listed_at: queue.now() });
         if self.config.ask {
-            self.answer_waiting(service, queue);
+            self.answer_waiting_requests(service, queue);
         } else {
-            for at in 0..self.lists[service].watchers.len() {
-                self.push(self.lists[service].watchers[at], queue);
+            for index in 0..self.lists[service].watchers.len() {
+                self.push_list(self.lists[service].watchers[index], queue);
             }
         }
     }
 
     /// Sets out to tell a balancer what it does not know, where lists are pushed.
-    fn push<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
+    fn push_list<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let down = self.down;
         let watcher = &mut self.watchers[instance];
-        let news = watcher.version < self.lists[watcher.service].changes.len();
-        if self.config.ask || down || watcher.cut || !watcher.alive || watcher.busy || !news {
+        let has_changes = watcher.known_version < self.lists[watcher.service].changes.len();
+        if self.config.ask
+            || down
+            || watcher.partitioned
+            || !watcher.alive
+            || watcher.in_progress
+            || !has_changes
+        {
             return;
         }
-        let (least, most) = (self.config.push_min_ms, self.config.push_max_ms);
-        watcher.busy = true;
-        watcher.number += 1;
-        let at = queue.now() + millis(least + (most - least) * self.rng.random::<f64>());
-        queue.push(at, Event::ListDelivered(instance as u32, watcher.number).into());
+        let (min, max) = (self.config.push_min_ms, self.config.push_max_ms);
+        watcher.in_progress = true;
+        watcher.request_number += 1;
+        let at = queue.now() + millis(min + (max - min) * self.rng.random::<f64>());
+        queue.push(at, Event::ListDelivered(instance as u32, watcher.request_number).into());
     }
 
     /// Answers the calls that wait for news of a service.
-    fn answer_waiting<E: Copy + From<Event>>(&mut self, service: usize, queue: &mut Queue<E>) {
+    fn answer_waiting_requests<E: Copy + From<Event>>(&mut self, service: usize, queue: &mut Queue<E>) {
         if self.down {
             return;
         }
-        for (instance, number) in std::mem::take(&mut self.lists[service].waiting) {
+        for (instance, number) in std::mem::take(&mut self.lists[service].waiting_requests) {
             let watcher = &self.watchers[instance as usize];
-            if watcher.number == number && !watcher.cut && watcher.alive {
-                self.answer(instance, number, queue);
+            if watcher.request_number == number && !watcher.partitioned && watcher.alive {
+                self.send_response(instance, number, queue);
             }
         }
     }
 
     /// A balancer subscribes: it makes its first call, or the first after a failure.
-    pub fn watch<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
+    pub fn start_watch<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance];
-        if self.config.ask && watcher.alive && !watcher.busy {
-            watcher.busy = true;
-            watcher.continues = false;
+        if self.config.ask && watcher.alive && !watcher.in_progress {
+            watcher.in_progress = true;
+            watcher.continues_watch = false;
             self.send_request(instance as u32, queue);
         }
     }
 
     fn send_request<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance as usize];
-        watcher.number += 1;
+        watcher.request_number += 1;
         self.messages += 1;
-        let (number, now) = (watcher.number, queue.now());
-        let reachable = !self.down && !watcher.cut;
+        let (number, now) = (watcher.request_number, queue.now());
+        let reachable = !self.down && !watcher.partitioned;
         // A connection that exists goes silent with its call, a new one does not come up. A call that does not go on
         // with a watch does not wait.
-        let patience = match (watcher.continues, reachable) {
-            (true, _) => WATCH_WAIT + WATCH_SILENCE,
-            (false, true) => WATCH_SILENCE,
-            (false, false) => CONNECT,
+        let timeout = match (watcher.continues_watch, reachable) {
+            (true, _) => WATCH_WAIT + RESPONSE_TIMEOUT,
+            (false, true) => RESPONSE_TIMEOUT,
+            (false, false) => CONNECT_TIMEOUT,
         };
         if reachable {
-            queue.push(now + millis(self.config.network_ms), Event::Asked(instance, number).into());
+            queue.push(now + millis(self.config.network_ms), Event::RequestReceived(instance, number).into());
         }
-        queue.push(now + patience, Event::Silent(instance, number).into());
+        queue.push(now + timeout, Event::RequestTimedOut(instance, number).into());
     }
 
-    fn answer<E: Copy + From<Event>>(&mut self, instance: u32, number: u32, queue: &mut Queue<E>) {
-        let continues = self.watchers[instance as usize].continues;
-        let cost = if continues { self.config.watch_us } else { self.config.call_us };
-        let at = self.works(queue.now(), cost) + millis(self.config.network_ms);
+    fn send_response<E: Copy + From<Event>>(&mut self, instance: u32, number: u32, queue: &mut Queue<E>) {
+        let continues_watch = self.watchers[instance as usize].continues_watch;
+        let cost = if continues_watch { self.config.watch_us } else { self.config.call_us };
+        let at = self.schedule_work(queue.now(), cost) + millis(self.config.network_ms);
         queue.push(at, Event::ListDelivered(instance, number).into());
     }
 
     /// Works on a call that costs a machine so many microseconds, after those before it; tells when that is done.
-    fn works(&mut self, now: Time, cost_us: f64) -> Time {
+    fn schedule_work(&mut self, now: Time, cost_us: f64) -> Time {
         self.busy_until = self.busy_until.max(now) + (cost_us * 1e3 / self.config.machines.max(1.0)) as Time;
         self.busy_until
     }
@@ -300,46 +306,49 @@
         queue: &mut Queue<E>,
     ) -> (usize, Notification) {
         let (Event::ListDelivered(instance, number)
-        | Event::Asked(instance, number)
-        | Event::WaitOver(instance, number)
-        | Event::Silent(instance, number)
-        | Event::Next(instance, number)) = event;
+        | Event::RequestReceived(instance, number)
+        | Event::WatchWaitOver(instance, number)
+        | Event::RequestTimedOut(instance, number)
+        | Event::NextRequest(instance, number)) = event;
         let at = instance as usize;
         let watcher = &self.watchers[at];
-        if watcher.number != number || !watcher.alive || !watcher.busy {
+        if watcher.request_number != number || !watcher.alive || !watcher.in_progress {
             return (at, Notification::Nothing);
         }
-        let reachable = !self.down && !watcher.cut;
-        let (service, version, continues) = (watcher.service, watcher.version, watcher.continues);
+        let reachable = !self.down && !watcher.partitioned;
+        let (service, known_version, continues_watch) =
+            (watcher.service, watcher.known_version, watcher.continues_watch);
         match event {
             Event::ListDelivered(..) if reachable => return (at, self.on_list_delivered(instance, queue)),
-            Event::ListDelivered(..) if !self.config.ask => self.watchers[at].busy = false,
-            Event::Asked(..) if reachable => {
+            Event::ListDelivered(..) if !self.config.ask => self.watchers[at].in_progress = false,
+            Event::RequestReceived(..) if reachable => {
                 // What was missed is asked for without a wait, and so answered even where there is nothing new.
-                if version < self.lists[service].changes.len() || !continues {
-                    self.answer(instance, number, queue);
+                if known_version < self.lists[service].changes.len() || !continues_watch {
+                    self.send_response(instance, number, queue);
                 } else {
-                    self.lists[service].waiting.push((instance, number));
-                    queue.push(queue.now() + WATCH_WAIT, Event::WaitOver(instance, number).into());
+                    self.lists[service].waiting_requests.push((instance, number));
+                    queue.push(queue.now() + WATCH_WAIT, Event::WatchWaitOver(instance, number).into());
                 }
             }
-            Event::WaitOver(..) if reachable => {
-                let waiting = &mut self.lists[service].waiting;
-                if let Some(place) = waiting.iter().position(|&request| request == (instance, number)) {
-                    waiting.remove(place);
-                    self.answer(instance, number, queue);
+            Event::WatchWaitOver(..) if reachable => {
+                let waiting_requests = &mut self.lists[service].waiting_requests;
+                if let Some(position) =
+                    waiting_requests.iter().position(|&request| request == (instance, number))
+                {
+                    waiting_requests.remove(position);
+                    self.send_response(instance, number, queue);
                 }
             }
-            Event::Silent(..) => {
+            Event::RequestTimedOut(..) => {
                 let watcher = &mut self.watchers[at];
-                (watcher.busy, watcher.continues) = (false, false);
-                watcher.number += 1;
-                self.lists[service].waiting.retain(|&call| call != (instance, number));
+                (watcher.in_progress, watcher.continues_watch) = (false, false);
+                watcher.request_number += 1;
+                self.lists[service].waiting_requests.retain(|&call| call != (instance, number));
                 self.failures += 1;
                 return (at, Notification::Failed);
             }
-            Event::Next(..) => self.send_request(instance, queue),
-            Event::ListDelivered(..) | Event::Asked(..) | Event::WaitOver(..) => {} // it hears nothing, and gives up
+            Event::NextRequest(..) => self.send_request(instance, queue),
+            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {} // it hears nothing, and gives up
         }
         (at, Notification::Nothing)
     }
@@ -352,30 +361,30 @@
         let now = queue.now();
         let watcher = &mut self.watchers[instance as usize];
         let list = &self.lists[watcher.service];
-        let news = &list.changes[watcher.version..];
-        for change in news {
-            let age = now - change.happened;
+        let new_changes = &list.changes[watcher.known_version..];
+        for change in new_changes {
+            let age = now - change.changed_at;
             let propagation = &mut self.propagation;
             propagation.count += 1;
-            propagation.sum += u128::from(age);
-            propagation.longest = propagation.longest.max(age);
-            let notification_delay = now.saturating_sub(change.listed.max(watcher.reachable_from));
+            propagation.total_delay += u128::from(age);
+            propagation.max_delay = propagation.max_delay.max(age);
+            let notification_delay = now.saturating_sub(change.listed_at.max(watcher.reachable_since));
             propagation.max_notification_delay = propagation.max_notification_delay.max(notification_delay);
         }
-        let mut changed: Vec<usize> = news.iter().map(|change| change.entry).collect();
+        let mut changed: Vec<usize> = new_changes.iter().map(|change| change.entry).collect();
         changed.sort_unstable();
         changed.dedup();
         let entries: Vec<EndpointEntry> =
             changed.into_iter().map(|entry| list.entries[entry].clone()).collect();
-        watcher.version = list.changes.len();
-        watcher.number += 1;
+        watcher.known_version = list.changes.len();
+        watcher.request_number += 1;
         self.entries_sent += entries.len() as u64;
         if self.config.ask {
-            watcher.continues = true;
+            watcher.continues_watch = true;
             let pause = if entries.is_empty() { WATCH_PAUSE } else { 0 };
-            queue.push(now + pause, Event::Next(instance, watcher.number).into());
+            queue.push(now + pause, Event::NextRequest(instance, watcher.request_number).into());
         } else {
-            watcher.busy = false;
+            watcher.in_progress = false;
             self.messages += 1;
         }
         Notification::Changes(entries)
@@ -385,57 +394,63 @@
     pub fn set_down<E: Copy + From<Event>>(&mut self, down: bool, queue: &mut Queue<E>) {
         self.down = down;
         if down {
-            self.lists.iter_mut().for_each(|list| list.waiting.clear());
+            self.lists.iter_mut().for_each(|list| list.waiting_requests.clear());
         } else {
             let now = queue.now();
-            self.watchers.iter_mut().for_each(|watcher| watcher.reachable_from = now);
-            (0..self.watchers.len()).for_each(|instance| self.push(instance, queue));
+            self.watchers.iter_mut().for_each(|watcher| watcher.reachable_since = now);
+            (0..self.watchers.len()).for_each(|instance| self.push_list(instance, queue));
         }
     }
 
     /// A balancer is cut off from discovery, or not any more.
-    pub fn set_cut<E: Copy + From<Event>>(&mut self, instance: usize, cut: bool, queue: &mut Queue<E>) {
+    pub fn set_partitioned<E: Copy + From<Event>>(
+        &mut self,
+        instance: usize,
+        partitioned: bool,
+        queue: &mut Queue<E>,
+    ) {
         let watcher = &mut self.watchers[instance];
-        watcher.cut = cut;
-        if cut {
+        watcher.partitioned = partitioned;
+        if partitioned {
             let at = instance as u32;
-            self.lists[watcher.service].waiting.retain(|&(waiting, _)| waiting != at);
+            self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != at);
         } else {
-            watcher.reachable_from = queue.now();
-            self.push(instance, queue);
+            watcher.reachable_since = queue.now();
+            self.push_list(instance, queue);
         }
     }
 
     /// A balancer has ended.
-    pub fn gone(&mut self, instance: usize) {
+    pub fn instance_stopped(&mut self, instance: usize) {
         let watcher = &mut self.watchers[instance];
-        (watcher.alive, watcher.busy, watcher.continues) = (false, false, false);
-        watcher.number += 1;
+        (watcher.alive, watcher.in_progress, watcher.continues_watch) = (false, false, false);
+        watcher.request_number += 1;
         let at = instance as u32;
-        self.lists[watcher.service].waiting.retain(|&(waiting, _)| waiting != at);
+        self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != at);
     }
 
     /// A balancer has started, and asks for its first list: when it has it. With discovery silent it
     /// waits no longer than for a connection; the list that it is configured with then is taken to be as good.
-    pub fn first_list(&mut self, instance: usize, now: Time) -> Time {
+    pub fn first_list_at(&mut self, instance: usize, now: Time) -> Time {
         let watcher = &mut self.watchers[instance];
         watcher.alive = true;
-        watcher.reachable_from = now;
-        watcher.version = self.lists[watcher.service].changes.len();
+        watcher.reachable_since = now;
+        watcher.known_version = self.lists[watcher.service].changes.len();
         self.messages += 1;
         self.entries_sent += self.lists[watcher.service].entries.len() as u64;
-        if self.down || watcher.cut {
-            return now + CONNECT;
+        if self.down || watcher.partitioned {
+            return now + CONNECT_TIMEOUT;
         }
         if !self.config.ask {
             return now + millis(self.config.push_min_ms);
         }
-        self.works(now, self.config.call_us) + 2 * millis(self.config.network_ms)
+        self.schedule_work(now, self.config.call_us) + 2 * millis(self.config.network_ms)
     }
 
     /// Changes that balancers which live and can be reached have not been told.
     pub fn undelivered_changes(&self) -> usize {
-        let reachable = self.watchers.iter().filter(|watcher| watcher.alive && !watcher.cut && !self.down);
-        reachable.map(|watcher| self.lists[watcher.service].changes.len() - watcher.version).sum()
+        let reachable =
+            self.watchers.iter().filter(|watcher| watcher.alive && !watcher.partitioned && !self.down);
+        reachable.map(|watcher| self.lists[watcher.service].changes.len() - watcher.known_version).sum()
     }
 }
--- a/emulator/src/engine.rs
+++ b/emulator/src/engine.rs
@@ -19,42 +19,42 @@
 }
 
 /// Width of a bucket of the calendar as a power of two of nanoseconds: a quarter of a millisecond.
-const WIDTH: u32 = 18;
+const BUCKET_WIDTH_BITS: u32 = 18;
 /// Buckets of the calendar: they span over four seconds, in which nearly all timers fall.
-const BUCKETS: u64 = 1 << 14;
+const BUCKET_COUNT: u64 = 1 << 14;
 
 #[derive(Clone, Copy, Debug)]
-struct Entry<E> {
+struct ScheduledEvent<E> {
     at: Time,
     /// Events of one time come in the order in which they were put in.
-    order: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> Entry<E> {
+impl<E> ScheduledEvent<E> {
     fn bucket(&self) -> u64 {
-        self.at >> WIDTH
+        self.at >> BUCKET_WIDTH_BITS
     }
 }
 
-impl<E> PartialEq for Entry<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Entry<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Entry<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Entry<E> {
+impl<E> Ord for ScheduledEvent<E> {
     /// The earliest is the greatest, as a heap gives out the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -66,11 +66,11 @@
 pub struct Queue<E> {
     now: Time,
     /// Number of the first bucket that is not open yet.
-    edge: u64,
-    open: BinaryHeap<Entry<E>>,
-    calendar: Vec<Vec<Entry<E>>>,
-    in_calendar: usize,
-    far: BinaryHeap<Entry<E>>,
+    next_bucket: u64,
+    current: BinaryHeap<ScheduledEvent<E>>,
+    calendar: Vec<Vec<ScheduledEvent<E>>>,
+    calendar_len: usize,
+    overflow: BinaryHeap<ScheduledEvent<E>>,
     pushed: u64,
     popped: u64,
 }
@@ -80,11 +80,11 @@
     pub fn new(now: Time) -> Self {
         Self {
             now,
-            edge: now >> WIDTH,
-            open: BinaryHeap::new(),
-            calendar: (0..BUCKETS).map(|_| Vec::new()).collect(),
-            in_calendar: 0,
-            far: BinaryHeap::new(),
+            next_bucket: now >> BUCKET_WIDTH_BITS,
+            current: BinaryHeap::new(),
+            calendar: (0..BUCKET_COUNT).map(|_| Vec::new()).collect(),
+            calendar_len: 0,
+            overflow: BinaryHeap::new(),
             pushed: 0,
             popped: 0,
         }
@@ -102,44 +102,46 @@
 
     /// Puts in an event at a time; one that has passed is now.
     pub fn push(&mut self, at: Time, event: E) {
-        let entry = Entry { at: at.max(self.now), order: self.pushed, event };
+        let entry = ScheduledEvent { at: at.max(self.now), sequence: self.pushed, event };
         self.pushed += 1;
-        self.place(entry);
+        self.enqueue(entry);
     }
 
-    fn place(&mut self, entry: Entry<E>) {
+    fn enqueue(&mut self, entry: ScheduledEvent<E>) {
         let bucket = entry.bucket();
-        if bucket < self.edge {
-            self.open.push(entry);
-        } else if bucket < self.edge + BUCKETS {
-            self.calendar[(bucket % BUCKETS) as usize].push(entry);
-            self.in_calendar += 1;
+        if bucket < self.next_bucket {
+            self.current.push(entry);
+        } else if bucket < self.next_bucket + BUCKET_COUNT {
+            self.calendar[(bucket % BUCKET_COUNT) as usize].push(entry);
+            self.calendar_len += 1;
         } else {
-            self.far.push(entry);
+            self.overflow.push(entry);
         }
     }
 
     /// The next event; the clock moves on to its time.
     pub fn pop(&mut self) -> Option<E> {
         loop {
-            if let Some(entry) = self.open.pop() {
+            if let Some(entry) = self.current.pop() {
                 self.now = entry.at;
                 self.popped += 1;
                 return Some(entry.event);
             }
-            if self.in_calendar == 0 {
-                self.edge = self.far.peek()?.bucket();
+            if self.calendar_len == 0 {
+                self.next_bucket = self.overflow.peek()?.bucket();
             }
-            while let Some(entry) = self.far.peek().filter(|entry| entry.bucket() < self.edge + BUCKETS) {
+            while let Some(entry) =
+                self.overflow.peek().filter(|entry| entry.bucket() < self.next_bucket + BUCKET_COUNT)
+            {
                 let entry = *entry;
-                self.far.pop();
-                self.place(entry);
+                self.overflow.pop();
+                self.enqueue(entry);
             }
             // Its room is given back: kept in all buckets, it would be many times what is ever held at once.
-            let bucket = std::mem::take(&mut self.calendar[(self.edge % BUCKETS) as usize]);
-            self.in_calendar -= bucket.len();
-            self.open.extend(bucket);
-            self.edge += 1;
+            let bucket = std::mem::take(&mut self.calendar[(self.next_bucket % BUCKET_COUNT) as usize]);
+            self.calendar_len -= bucket.len();
+            self.current.extend(bucket);
+            self.next_bucket += 1;
         }
     }
 }
@@ -155,13 +157,13 @@
 /// Values in places that are used again.
 #[derive(Debug)]
 pub struct Slab<T> {
-    places: Vec<(u32, Option<T>)>,
+    slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
 }
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Self { places: Vec::new(), free: Vec::new() }
+        Self { slots: Vec::new(), free: Vec::new() }
     }
 }
 
@@ -169,49 +171,51 @@
     /// Puts in a value.
     pub fn insert(&mut self, value: T) -> Key {
         if let Some(index) = self.free.pop() {
-            let (generation, place) = &mut self.places[index as usize];
-            *place = Some(value);
+            let (generation, slot) = &mut self.slots[index as usize];
+            *slot = Some(value);
             return Key { index, generation: *generation };
         }
-        let index = u32::try_from(self.places.len()).expect("no run holds so many values at a time");
-        self.places.push((0, Some(value)));
+        let index = u32::try_from(self.slots.len()).expect("no run holds so many values at a time");
+        self.slots.push((0, Some(value)));
         Key { index, generation: 0 }
     }
 
     /// The value at a place, if it is still there.
     pub fn get(&self, key: Key) -> Option<&T> {
-        let (generation, place) = self.places.get(key.index as usize)?;
-        place.as_ref().filter(|_| *generation == key.generation)
+        let (generation, slot) = self.slots.get(key.index as usize)?;
+        slot.as_ref().filter(|_| *generation == key.generation)
     }
 
     /// The same, to change it.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        let (generation, place) = self.places.get_mut(key.index as usize)?;
-        place.as_mut().filter(|_| *generation == key.generation)
+        let (generation, slot) = self.slots.get_mut(key.index as usize)?;
+        slot.as_mut().filter(|_| *generation == key.generation)
     }
 
     /// Takes out a value.
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let (generation, place) = self.places.get_mut(key.index as usize)?;
+        let (generation, slot) = self.slots.get_mut(key.index as usize)?;
         if *generation != key.generation {
             return None;
         }
-        let value = place.take()?;
+        let value = slot.take()?;
         *generation = generation.wrapping_add(1);
         self.free.push(key.index);
         Some(value)
     }
 
     /// The keys of all values that pass a test, in the order of their places.
-    pub fn keys(&self, test: impl Fn(&T) -> bool) -> Vec<Key> {
-        let places = self.places.iter().enumerate();
-        let passing = places.filter(|(_, (_, place))| place.as_ref().is_some_and(&test));
-        passing.map(|(index, (generation, _))| Key { index: index as u32, generation: *generation }).collect()
+    pub fn keys(&self, predicate: impl Fn(&T) -> bool) -> Vec<Key> {
+        let slots = self.slots.iter().enumerate();
+        let matching = slots.filter(|(_, (_, slot))| slot.as_ref().is_some_and(&predicate));
+        matching
+            .map(|(index, (generation, _))| Key { index: index as u32, generation: *generation })
+            .collect()
     }
 
     /// The number of values.
     pub fn len(&self) -> usize {
-        self.places.len() - self.free.len()
+        self.slots.len() - self.free.len()
     }
 
     /// Whether there is none.
--- a/emulator/src/faults.rs
+++ b/emulator/src/faults.rs
@@ -28,7 +28,7 @@
 /// A zone that is lost: its machines vanish, and come back as new processes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
-pub struct ZoneLost {
+pub struct ZoneLoss {
     /// The zone, from 0.
     pub zone: usize,
     /// When it begins, in seconds.
@@ -40,7 +40,7 @@
 /// A time in which something is gone.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
-pub struct Span {
+pub struct Outage {
     /// When it begins, in seconds.
     pub from_s: f64,
     /// How long it lasts, in seconds; 0 for never.
@@ -71,13 +71,13 @@
 
 /// A step of the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum FaultStep {
     /// The failing tier begins or ceases to fail.
-    TierFails(bool),
+    TierFailing(bool),
     /// A zone is lost, or back.
     ZoneLost(usize, bool),
     /// The regions are cut from each other, or not any more.
-    RegionsCut(bool),
+    RegionsPartitioned(bool),
     /// Discovery falls silent, or answers again.
     DiscoveryDown(bool),
     /// The rolling restart comes to the next upstream: which one of those that are replaced.
@@ -88,31 +88,31 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Faults<'a> {
     pub tier: &'a TierFault,
-    pub zone: &'a ZoneLost,
-    pub regions: &'a Span,
-    pub discovery: &'a Span,
+    pub zone: &'a ZoneLoss,
+    pub regions: &'a Outage,
+    pub discovery: &'a Outage,
     pub restart: &'a RollingRestart,
 }
 
 impl Faults<'_> {
     /// The steps with their times, counted from `start`, for so many upstreams.
-    pub fn plan(&self, start: Time, upstreams: usize) -> Vec<(Time, Step)> {
+    pub fn plan(&self, start: Time, upstreams: usize) -> Vec<(Time, FaultStep)> {
         let mut plan = Vec::new();
-        let mut span = |from_s: f64, for_s: f64, step: &dyn Fn(bool) -> Step| {
+        let mut add_interval = |from_s: f64, for_s: f64, step: &dyn Fn(bool) -> FaultStep| {
             if for_s > 0.0 {
                 plan.push((start + seconds(from_s), step(true)));
                 plan.push((start + seconds(from_s + for_s), step(false)));
             }
         };
-        span(self.tier.from_s, self.tier.for_s, &Step::TierFails);
-        span(self.zone.from_s, self.zone.for_s, &|lost| Step::ZoneLost(self.zone.zone, lost));
-        span(self.regions.from_s, self.regions.for_s, &Step::RegionsCut);
-        span(self.discovery.from_s, self.discovery.for_s, &Step::DiscoveryDown);
+        add_interval(self.tier.from_s, self.tier.for_s, &FaultStep::TierFailing);
+        add_interval(self.zone.from_s, self.zone.for_s, &|lost| FaultStep::ZoneLost(self.zone.zone, lost));
+        add_interval(self.regions.from_s, self.regions.for_s, &FaultStep::RegionsPartitioned);
+        add_interval(self.discovery.from_s, self.discovery.for_s, &FaultStep::DiscoveryDown);
         if self.restart.for_s > 0.0 {
             let count = (self.restart.share * upstreams as f64).round() as usize;
-            for at in 0..count {
-                let after = self.restart.from_s + self.restart.for_s * at as f64 / count as f64;
-                plan.push((start + seconds(after), Step::Restart(at as u32)));
+            for index in 0..count {
+                let offset_s = self.restart.from_s + self.restart.for_s * index as f64 / count as f64;
+                plan.push((start + seconds(offset_s), FaultStep::Restart(index as u32)));
             }
         }
         plan
--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -10,7 +10,7 @@
 
 use crate::discovery::{self, Discovery, Notification};
 use crate::engine::{Key, Queue, SECOND, Slab, Time, millis, seconds};
-use crate::faults::Step;
+use crate::faults::FaultStep;
 use crate::load::{self, Arrival, Load};
 use crate::report;
 use crate::topology::{Instance, Owner, Topology};
@@ -31,9 +31,9 @@
 /// Where the virtual clock starts: a state may have started long before.
 const START: Time = 1_000 * SECOND;
 /// Steps of the window in which the requests of a cold state are counted.
-const FALL_STEPS: usize = 10;
+const OVERLOAD_WINDOW_BUCKETS: usize = 10;
 /// How often progress is told of.
-const PROGRESS_EVERY: Time = SECOND / 10;
+const PROGRESS_INTERVAL: Time = SECOND / 10;
 
 /// Runs a configuration that has been checked. `progress` is told of the virtual nanoseconds that are done, and
 /// of how many.
@@ -49,15 +49,15 @@
     /// The next request of a client.
     Arrival,
     /// An attempt reaches its upstream.
-    Reached(Key),
+    AttemptReceived(Key),
     /// An upstream's own work on an attempt is done.
-    Worked(Key),
+    ProcessingDone(Key),
     /// The end of an attempt reaches its balancer.
-    Answered(Key),
+    ResponseReceived(Key),
     /// An attempt has had its time.
-    Expired(Key),
+    AttemptTimedOut(Key),
     /// An upstream sees that an attempt was given up.
-    Withdrawn(Key),
+    AttemptCancelled(Key),
     /// A timer of a module instance.
     Timer(u32, u64),
     Discovery(discovery::Event),
@@ -66,14 +66,14 @@
     /// A step of the plan of faults.
     Fault(u32),
     /// An upstream's incarnation ends, starts, and has its lists.
-    Stop(u32),
-    Start(u32),
-    Ready(u32),
+    UpstreamStop(u32),
+    UpstreamStart(u32),
+    UpstreamReady(u32),
     /// Clients leave a front balancer that is lost, or a new one has its lists.
-    FrontLeft(u32),
+    FrontRemoved(u32),
     FrontReady(u32),
     /// A list changes for no fault's sake.
-    Change,
+    CapacityChange,
 }
 
 impl From<discovery::Event> for Event {
@@ -97,12 +97,12 @@
     id: RequestId,
     source: RequestSource,
     class: usize,
-    came: Time,
+    arrived_at: Time,
     deadline: Time,
     /// An answer is owed.
-    owed: bool,
-    attempts: u32,
-    out: Option<Key>,
+    awaiting_response: bool,
+    attempt_count: u32,
+    active_attempt: Option<Key>,
     /// Its client's request came in the time that is measured.
     measured: bool,
 }
@@ -130,14 +130,14 @@
     sent: Time,
     until: Time,
     /// It opens a connection, or goes out on one to a incarnation that is gone.
-    connects: bool,
-    stale: bool,
+    opens_connection: bool,
+    connection_stale: bool,
     /// Its balancer waits for it.
-    waited: bool,
+    awaited: bool,
     stage: AttemptStage,
     outcome: AttemptOutcome,
     /// The next callee of its service to be called or not.
-    callee: usize,
+    next_callee: usize,
     measured: bool,
 }
 
@@ -158,47 +158,47 @@
     /// Its processes so far.
     incarnation: u32,
     started: Option<Time>,
-    busy: u32,
+    processing: u32,
     queue: VecDeque<Key>,
     /// Calls in the last steps of the window over which a cold one is judged, and the last step.
-    recent: [u32; FALL_STEPS],
-    step: Time,
+    recent_attempts: [u32; OVERLOAD_WINDOW_BUCKETS],
+    last_bucket: Time,
 }
 
 /// A module instance with what the driver of a real balancer keeps beside it.
-struct Node {
+struct InstanceState {
     balancer: LoadBalancer,
     alive: bool,
     next_id: u32,
     requests: HashMap<RequestId, Key>,
     /// Idle connections to each upstream of its service.
-    idle: Vec<Idle>,
+    idle_connections: Vec<IdleConnections>,
 }
 
 /// Idle connections of an instance to an upstream.
 #[derive(Clone, Copy, Debug, Default)]
-struct Idle {
+struct IdleConnections {
     count: u32,
     /// When the last was used, and the incarnation of the upstream that it leads to.
-    used: Time,
+    last_used: Time,
     incarnation: u32,
 }
 
 /// When a change of a list holds, once it is noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Holds {
+enum ValidWhile {
     /// As long as the upstream's incarnation is this one.
-    Process(u32),
+    Incarnation(u32),
     /// As long as the regions are cut for this time.
-    Cut(u32),
+    Partition(u32),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct EndpointUpdate {
     upstream: usize,
-    lifecycle: EndpointState,
-    happened: Time,
-    holds: Holds,
+    endpoint_state: EndpointState,
+    changed_at: Time,
+    valid_while: ValidWhile,
 }
 
 struct Fleet<'a> {
@@ -206,38 +206,38 @@
     topology: Topology,
     queue: Queue<Event>,
     rng: ChaCha8Rng,
-    work: LogNormal<f64>,
+    service_time_factor: LogNormal<f64>,
     classes: Vec<RequestClass>,
     load: Load,
-    next: Arrival,
-    nodes: Vec<Node>,
+    next_arrival: Arrival,
+    instance_states: Vec<InstanceState>,
     upstream_states: Vec<UpstreamState>,
     discovery: Discovery,
     requests: Slab<Request>,
     attempts: Slab<Attempt>,
     endpoint_updates: Vec<EndpointUpdate>,
-    plan: Vec<Step>,
+    fault_plan: Vec<FaultStep>,
     restart_order: Vec<usize>,
-    tier_fails: bool,
-    regions_cut: bool,
-    cuts: u32,
+    tier_failing: bool,
+    regions_partitioned: bool,
+    partition_count: u32,
     /// Front balancers that run, and those that clients request.
     front_up: Vec<bool>,
-    front_called: Vec<bool>,
+    front_in_rotation: Vec<bool>,
     actions: Vec<Action>,
-    pending: VecDeque<(usize, RequestId, AttemptEnd)>,
+    pending_attempt_ends: VecDeque<(usize, RequestId, AttemptEnd)>,
     counts: Counts,
     latency: Histogram<u64>,
-    open_measured: u64,
-    measure_from: Time,
+    measured_in_flight: u64,
+    measurement_start: Time,
     arrivals_end: Time,
 }
 
 impl<'a> Fleet<'a> {
     fn new(config: &'a Config, seed: u64) -> Self {
-        let stream = |purpose| crate::random(seed, purpose);
-        let topology = Topology::new(config, &mut stream(1));
-        let mut rng = stream(2);
+        let random_stream = |purpose| crate::random(seed, purpose);
+        let topology = Topology::new(config, &mut random_stream(1));
+        let mut rng = random_stream(2);
         let upstream_states: Vec<UpstreamState> = topology
             .upstreams
             .iter()
@@ -245,10 +245,10 @@
                 process_state: ProcessState::Up,
                 incarnation: 0,
                 started: rng.random_bool(config.cold_share).then_some(START),
-                busy: 0,
+                processing: 0,
                 queue: VecDeque::new(),
-                recent: [0; FALL_STEPS],
-                step: 0,
+                recent_attempts: [0; OVERLOAD_WINDOW_BUCKETS],
+                last_bucket: 0,
             })
             .collect();
         let entry = |upstream: usize| EndpointEntry {
@@ -262,36 +262,40 @@
         let lists =
             topology.services.iter().map(|service| service.upstreams.clone().map(entry).collect()).collect();
         let watchers = topology.instances.iter().map(|instance| instance.service);
-        let discovery = Discovery::new(config.discovery.clone(), stream(3), lists, watchers);
-        let entries = topology.entries.len();
-        let mut load = Load::new(config, topology.request_rate, entries, START, stream(4));
-        let next = load.next_arrival();
+        let discovery = Discovery::new(config.discovery.clone(), random_stream(3), lists, watchers);
+        let entry_services = topology.entry_services.len();
+        let mut load = Load::new(config, topology.request_rate, entry_services, START, random_stream(4));
+        let next_arrival = load.next_arrival();
         let classes = load::classes(config);
-        let nodes = topology
+        let instance_states = topology
             .instances
             .iter()
-            .map(|instance| Node {
-                balancer: balancer(config, &classes, &topology, instance, rng.random(), START),
+            .map(|instance| InstanceState {
+                balancer: new_balancer(config, &classes, &topology, instance, rng.random(), START),
                 alive: true,
                 next_id: 0,
                 requests: HashMap::new(),
-                idle: vec![Idle::default(); topology.services[instance.service].upstreams.len()],
+                idle_connections: vec![
+                    IdleConnections::default();
+                    topology.services[instance.service].upstreams.len()
+                ],
             })
             .collect();
-        let measure_from = START + seconds(config.warmup_s);
-        let arrivals_end = measure_from + seconds(config.duration_s);
+        let measurement_start = START + seconds(config.warmup_s);
+        let arrivals_end = measurement_start + seconds(config.duration_s);
         let faults = config.faults();
         let mut restart_order: Vec<usize> = (0..topology.upstreams.len()).collect();
         restart_order.shuffle(&mut rng);
         let mut queue = Queue::new(START);
         let steps = faults.plan(START, topology.upstreams.len());
-        for (at, &(time, _)) in steps.iter().enumerate() {
-            queue.push(time, Event::Fault(at as u32));
+        for (index, &(time, _)) in steps.iter().enumerate() {
+            queue.push(time, Event::Fault(index as u32));
         }
-        queue.push(next.at, Event::Arrival);
+        queue.push(next_arrival.at, Event::Arrival);
         let variance = (1.0 + config.work_variation * config.work_variation).ln();
         let mut fleet = Self {
-            work: LogNormal::new(-variance / 2.0, variance.sqrt()).expect("the variation has been checked"),
+            service_time_factor: LogNormal::new(-variance / 2.0, variance.sqrt())
+                .expect("the variation has been checked"),
             counts: Counts {
                 tiers: vec![TierCount::default(); config.depth as usize],
                 seconds: vec![
@@ -301,127 +305,135 @@
                 ..Counts::default()
             },
             front_up: vec![true; config.fronts],
-            front_called: vec![true; config.fronts],
+            front_in_rotation: vec![true; config.fronts],
             config,
             queue,
             rng,
             classes,
             load,
-            next,
-            nodes,
+            next_arrival,
+            instance_states,
             upstream_states,
             discovery,
             requests: Slab::default(),
             attempts: Slab::default(),
             endpoint_updates: Vec::new(),
-            plan: steps.into_iter().map(|(_, step)| step).collect(),
+            fault_plan: steps.into_iter().map(|(_, step)| step).collect(),
             restart_order,
-            tier_fails: false,
-            regions_cut: false,
-            cuts: 0,
+            tier_failing: false,
+            regions_partitioned: false,
+            partition_count: 0,
             actions: Vec::new(),
-            pending: VecDeque::new(),
+            pending_attempt_ends: VecDeque::new(),
             latency: Histogram::new_with_max(3_600 * SECOND, 3).expect("these bounds are allowed"),
-            open_measured: 0,
-            measure_from,
+            measured_in_flight: 0,
+            measurement_start,
             arrivals_end,
             topology,
         };
-        fleet.next_change();
-        for instance in 0..fleet.nodes.len() {
-            fleet.tell_list(instance);
+        fleet.schedule_capacity_change();
+        for instance in 0..fleet.instance_states.len() {
+            fleet.send_endpoint_list(instance);
         }
         fleet
     }
 
     fn run(&mut self, progress: &dyn Fn(u64, u64)) {
-        let last = self.arrivals_end + millis(self.config.deadline_ms) + SECOND;
-        let length = self.arrivals_end - START;
-        let mut tell_at = START;
+        let latest_end = self.arrivals_end + millis(self.config.deadline_ms) + SECOND;
+        let run_length = self.arrivals_end - START;
+        let mut next_progress_at = START;
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            if now >= tell_at {
-                progress((now - START).min(length), length);
-                tell_at = now + PROGRESS_EVERY;
+            if now >= next_progress_at {
+                progress((now - START).min(run_length), run_length);
+                next_progress_at = now + PROGRESS_INTERVAL;
             }
-            if now >= self.arrivals_end && (self.open_measured == 0 || now >= last) {
+            if now >= self.arrivals_end && (self.measured_in_flight == 0 || now >= latest_end) {
                 break;
             }
             self.on_event(event);
         }
-        progress(length, length);
+        progress(run_length, run_length);
     }
 
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.on_arrival(),
-            Event::Reached(key) => self.on_reached(key),
-            Event::Worked(key) => self.on_worked(key),
-            Event::Answered(key) => self.on_answered(key),
-            Event::Expired(key) => self.on_expired(key),
-            Event::Withdrawn(key) => self.on_withdrawn(key),
-            Event::Timer(instance, token) => self.tell(instance as usize, ModuleEvent::Timer(token)),
+            Event::AttemptReceived(key) => self.on_attempt_received(key),
+            Event::ProcessingDone(key) => self.on_processing_done(key),
+            Event::ResponseReceived(key) => self.on_response_received(key),
+            Event::AttemptTimedOut(key) => self.on_attempt_timed_out(key),
+            Event::AttemptCancelled(key) => self.on_attempt_cancelled(key),
+            Event::Timer(instance, token) => {
+                self.notify_instance(instance as usize, ModuleEvent::Timer(token))
+            }
             Event::Discovery(event) => {
                 let (instance, notification) = self.discovery.handle(event, &mut self.queue);
                 match notification {
                     Notification::Nothing => {}
                     Notification::Changes(entries) if entries.is_empty() => {}
                     Notification::Changes(entries) => {
-                        self.tell(instance, ModuleEvent::EndpointsChanged(&entries))
+                        self.notify_instance(instance, ModuleEvent::EndpointsChanged(&entries))
                     }
-                    Notification::Failed => self.tell(instance, ModuleEvent::DiscoveryFailed),
+                    Notification::Failed => self.notify_instance(instance, ModuleEvent::DiscoveryFailed),
                 }
             }
             Event::EndpointUpdate(update) => self.on_endpoint_update(update as usize),
-            Event::Fault(step) => self.on_fault(self.plan[step as usize]),
-            Event::Stop(upstream)
+            Event::Fault(step) => self.on_fault(self.fault_plan[step as usize]),
+            Event::UpstreamStop(upstream)
                 if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // its zone was lost
-            Event::Stop(upstream) => {
-                self.stop(upstream as usize, ProcessState::Down);
+            Event::UpstreamStop(upstream) => {
+                self.stop_upstream(upstream as usize, ProcessState::Down);
                 let after = seconds(self.config.rolling_restart.down_s);
-                self.queue.push(self.queue.now() + after, Event::Start(upstream));
+                self.queue.push(self.queue.now() + after, Event::UpstreamStart(upstream));
             }
-            Event::Start(upstream) => self.on_start(upstream as usize),
-            Event::Ready(upstream) => self.on_ready(upstream as usize),
-            Event::FrontLeft(front) => {
-                self.front_called[front as usize] = self.front_up[front as usize];
+            Event::UpstreamStart(upstream) => self.on_upstream_start(upstream as usize),
+            Event::UpstreamReady(upstream) => self.on_upstream_ready(upstream as usize),
+            Event::FrontRemoved(front) => {
+                self.front_in_rotation[front as usize] = self.front_up[front as usize];
             }
             Event::FrontReady(front) => {
                 let front = front as usize;
-                (self.front_up[front], self.front_called[front]) = (true, true);
-                self.renew(self.topology.fronts[front].instances.clone());
+                (self.front_up[front], self.front_in_rotation[front]) = (true, true);
+                self.restart_instances(self.topology.fronts[front].instances.clone());
             }
-            Event::Change => self.on_change(),
+            Event::CapacityChange => self.on_capacity_change(),
         }
     }
 
     // ---- Clients ----
 
     fn on_arrival(&mut self) {
-        let Arrival { at, class, entry } = self.next;
-        self.next = self.load.next_arrival();
-        if self.next.at < self.arrivals_end {
-            self.queue.push(self.next.at, Event::Arrival);
+        let Arrival { at, class, entry } = self.next_arrival;
+        self.next_arrival = self.load.next_arrival();
+        if self.next_arrival.at < self.arrivals_end {
+            self.queue.push(self.next_arrival.at, Event::Arrival);
         }
-        let measured = at >= self.measure_from;
-        self.count_request(at, measured, |count| &mut count.came);
-        let first = self.rng.random_range(0..self.front_called.len());
-        let fronts = (0..self.front_called.len()).map(|step| (first + step) % self.front_called.len());
-        let Some(front) = fronts.into_iter().find(|&front| self.front_called[front]) else {
+        let measured = at >= self.measurement_start;
+        self.count_request(at, measured, |count| &mut count.arrived);
+        let first_front = self.rng.random_range(0..self.front_in_rotation.len());
+        let fronts = (0..self.front_in_rotation.len())
+            .map(|offset| (first_front + offset) % self.front_in_rotation.len());
+        let Some(front) = fronts.into_iter().find(|&front| self.front_in_rotation[front]) else {
             return self.count_request(at, measured, |count| &mut count.lost);
         };
         if !self.front_up[front] {
             return self.count_request(at, measured, |count| &mut count.lost);
         }
-        self.open_measured += u64::from(measured);
+        self.measured_in_flight += u64::from(measured);
         let instance = self.topology.fronts[front].instances.start + entry;
         let deadline = at + self.classes[class].deadline;
         self.start_request(instance, RequestSource::Client, class, deadline, measured);
     }
 
-    fn count_request(&mut self, came: Time, measured: bool, field: impl Fn(&mut RequestCount) -> &mut u64) {
-        let second = ((came - START) / SECOND) as usize;
-        if let Some(count) = self.counts.seconds.get_mut(second) {
+    fn count_request(
+        &mut self,
+        arrived_at: Time,
+        measured: bool,
+        field: impl Fn(&mut RequestCount) -> &mut u64,
+    ) {
+        let second_index = ((arrived_at - START) / SECOND) as usize;
+        if let Some(count) = self.counts.seconds.get_mut(second_index) {
             *field(count) += 1;
         }
         if measured {
@@ -441,69 +453,72 @@
         measured: bool,
     ) -> Key {
         let now = self.queue.now();
-        let node = &mut self.nodes[instance];
-        let id = RequestId(node.next_id);
-        node.next_id = node.next_id.wrapping_add(1);
+        let instance_state = &mut self.instance_states[instance];
+        let id = RequestId(instance_state.next_id);
+        instance_state.next_id = instance_state.next_id.wrapping_add(1);
         let request = Request {
             instance,
             id,
             source,
             class,
-            came: now,
+            arrived_at: now,
             deadline,
-            owed: true,
-            attempts: 0,
-            out: None,
+            awaiting_response: true,
+            attempt_count: 0,
+            active_attempt: None,
             measured,
         };
         let key = self.requests.insert(request);
-        node.requests.insert(id, key);
-        self.counts.most_held = self.counts.most_held.max(node.requests.len());
+        instance_state.requests.insert(id, key);
+        self.counts.max_in_flight = self.counts.max_in_flight.max(instance_state.requests.len());
         let time_left = deadline.saturating_sub(now);
-        let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
+        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
         if let RequestSource::Attempt(source) = source
             && let Some(attempt) = self.attempts.get_mut(source)
         {
             attempt.stage = AttemptStage::WaitingForCallee(key);
         }
-        self.tell(instance, ModuleEvent::Request(id, demand));
+        self.notify_instance(instance, ModuleEvent::Request(id, incoming));
         key
     }
 
     /// Gives a request its final answer, if one is owed still.
-    fn answer(&mut self, key: Key, answer: Answer) {
+    fn respond(&mut self, key: Key, response: Response) {
         let Some(request) = self.requests.get_mut(key) else { return };
-        if !std::mem::replace(&mut request.owed, false) {
+        if !std::mem::replace(&mut request.awaiting_response, false) {
             return;
         }
-        let (source, came, measured) = (request.source, request.came, request.measured);
-        self.counts.refused_requests += u64::from(answer == Answer::Refused);
-        self.forget_if_done(key);
+        let (source, arrived_at, measured) = (request.source, request.arrived_at, request.measured);
+        self.counts.refused_requests += u64::from(response == Response::Refused);
+        self.remove_if_done(key);
         match source {
             RequestSource::Client => {
-                self.open_measured -= u64::from(measured);
-                self.count_request(came, measured, |count| match answer {
-                    Answer::Served => &mut count.served,
-                    Answer::Refused => &mut count.refused,
-                    Answer::Failed => &mut count.failed,
+                self.measured_in_flight -= u64::from(measured);
+                self.count_request(arrived_at, measured, |count| match response {
+                    Response::Served => &mut count.served,
+                    Response::Refused => &mut count.refused,
+                    Response::Failed => &mut count.failed,
                 });
-                if measured && answer == Answer::Served {
-                    self.latency.saturating_record(self.queue.now() - came);
+                if measured && response == Response::Served {
+                    self.latency.saturating_record(self.queue.now() - arrived_at);
                 }
             }
-            RequestSource::Attempt(attempt) => match answer {
-                Answer::Served => self.continue_attempt(attempt),
+            RequestSource::Attempt(attempt) => match response {
+                Response::Served => self.continue_attempt(attempt),
                 // An upstream fails if any of its requests does.
-                Answer::Refused | Answer::Failed => self.finish(attempt, AttemptOutcome::Error),
+                Response::Refused | Response::Failed => self.finish_attempt(attempt, AttemptOutcome::Error),
             },
         }
     }
 
-    fn forget_if_done(&mut self, key: Key) {
-        if self.requests.get(key).is_some_and(|request| !request.owed && request.out.is_none())
+    fn remove_if_done(&mut self, key: Key) {
+        if self
+            .requests
+            .get(key)
+            .is_some_and(|request| !request.awaiting_response && request.active_attempt.is_none())
             && let Some(request) = self.requests.remove(key)
         {
-            self.nodes[request.instance].requests.remove(&request.id);
+            self.instance_states[request.instance].requests.remove(&request.id);
         }
     }
 
@@ -513,24 +528,25 @@
     fn send(&mut self, instance: usize, id: RequestId, endpoint: EndpointId, times: (Time, Option<Time>)) {
         let now = self.queue.now();
         let (until, begin_by) = times;
-        let node = &mut self.nodes[instance];
-        let Some(&key) = node.requests.get(&id) else { return };
+        let instance_state = &mut self.instance_states[instance];
+        let Some(&key) = instance_state.requests.get(&id) else { return };
         let Some(request) = self.requests.get_mut(key) else { return };
-        let (number, until) = (request.attempts, until.min(request.deadline));
-        request.attempts += 1;
+        let (number, until) = (request.attempt_count, until.min(request.deadline));
+        request.attempt_count += 1;
         let upstream = endpoint.0 as usize;
         let (zone, other) = (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
         let delay = network_delay(self.config, zone, other);
-        let idle = &mut node.idle[self.topology.index_in_service(upstream)];
-        let connects = idle.count == 0 || now.saturating_sub(idle.used) >= seconds(self.config.conn_idle_s);
-        let handshake = if connects { 2 * delay } else { 0 };
-        let begins = now + balancer_service_time(self.config) + handshake;
-        if !request.owed
+        let idle_connections = &mut instance_state.idle_connections[self.topology.index_in_service(upstream)];
+        let opens_connection = idle_connections.count == 0
+            || now.saturating_sub(idle_connections.last_used) >= seconds(self.config.conn_idle_s);
+        let handshake = if opens_connection { 2 * delay } else { 0 };
+        let starts_at = now + balancer_service_time(self.config) + handshake;
+        if !request.awaiting_response
             || now >= until
-            || begin_by.is_some_and(|end| begins >= end)
+            || begin_by.is_some_and(|end| starts_at >= end)
             || number >= self.config.max_attempts
         {
-            let closed = !request.owed;
+            let closed = !request.awaiting_response;
             let end = AttemptEnd {
                 attempt: number,
                 outcome: AttemptOutcome::NotSent,
@@ -539,10 +555,11 @@
                 body_consumed: false,
                 load: None,
             };
-            return self.pending.push_back((instance, id, end));
+            return self.pending_attempt_ends.push_back((instance, id, end));
         }
-        idle.count = if connects { 0 } else { idle.count - 1 };
-        let stale = !connects && idle.incarnation != self.upstream_states[upstream].incarnation;
+        idle_connections.count = if opens_connection { 0 } else { idle_connections.count - 1 };
+        let connection_stale =
+            !opens_connection && idle_connections.incarnation != self.upstream_states[upstream].incarnation;
         let attempt = Attempt {
             request: key,
             number,
@@ -550,69 +567,72 @@
             class: request.class,
             sent: now,
             until,
-            connects,
-            stale,
-            waited: true,
+            opens_connection,
+            connection_stale,
+            awaited: true,
             stage: AttemptStage::InTransit,
             outcome: AttemptOutcome::Success,
-            callee: 0,
+            next_callee: 0,
             measured: request.measured,
         };
         let tier = self.topology.service_of(upstream).tier as usize;
-        let out = self.attempts.insert(attempt);
-        request.out = Some(out);
+        let active_attempt = self.attempts.insert(attempt);
+        request.active_attempt = Some(active_attempt);
         self.counts.tiers[tier].attempts += u64::from(request.measured);
         self.counts.retries += u64::from(request.measured && number > 0);
-        self.counts.sends += 1;
-        self.counts.sends_in_time += u64::from(now >= self.measure_from && now < self.arrivals_end);
-        self.counts.connects += u64::from(connects);
+        self.counts.attempts += 1;
+        self.counts.attempts_in_window += u64::from(now >= self.measurement_start && now < self.arrivals_end);
+        self.counts.connections_opened += u64::from(opens_connection);
         self.counts.cross_zone += u64::from(zone != other);
         self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, other));
-        self.queue.push(begins + delay, Event::Reached(out));
-        self.queue.push(until, Event::Expired(out));
+        self.queue.push(starts_at + delay, Event::AttemptReceived(active_attempt));
+        self.queue.push(until, Event::AttemptTimedOut(active_attempt));
     }
 
     /// Time from a balancer to the upstream of an attempt; `None` if nothing gets through.
     fn upstream_delay(&self, attempt: &Attempt) -> Option<Time> {
         let zone = self.topology.instances[self.requests.get(attempt.request)?.instance].zone;
         let other = self.topology.upstreams[attempt.upstream].zone;
-        let cut = self.regions_cut && Topology::regions_differ(self.config, zone, other);
-        (!cut).then(|| network_delay(self.config, zone, other))
+        let partitioned = self.regions_partitioned && Topology::regions_differ(self.config, zone, other);
+        (!partitioned).then(|| network_delay(self.config, zone, other))
     }
 
-    fn on_answered(&mut self, key: Key) {
+    fn on_response_received(&mut self, key: Key) {
         let Some(attempt) = self.attempts.remove(key) else { return };
-        if attempt.waited {
-            self.ended(&attempt, attempt.outcome);
+        if attempt.awaited {
+            self.on_attempt_ended(&attempt, attempt.outcome);
         }
     }
 
-    fn on_expired(&mut self, key: Key) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.waited) else { return };
+    fn on_attempt_timed_out(&mut self, key: Key) {
+        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.awaited) else { return };
         let lost = attempt.stage == AttemptStage::Lost;
-        let outcome =
-            if lost && attempt.connects { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Timeout };
-        let ended = *attempt;
-        self.give_up(key, false);
-        self.ended(&ended, outcome);
+        let outcome = if lost && attempt.opens_connection {
+            AttemptOutcome::ConnectFailed
+        } else {
+            AttemptOutcome::Timeout
+        };
+        let timed_out = *attempt;
+        self.abandon_attempt(key, false);
+        self.on_attempt_ended(&timed_out, outcome);
     }
 
     /// A balancer stops waiting for an attempt: it closes the connection, which the upstream sees unless its own
     /// machine or the balancer's has fallen silent.
-    fn give_up(&mut self, key: Key, silent: bool) {
+    fn abandon_attempt(&mut self, key: Key, silent: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
-        attempt.waited = false;
+        attempt.awaited = false;
         let lost = attempt.stage == AttemptStage::Lost;
         let delay = self.attempts.get(key).and_then(|attempt| self.upstream_delay(attempt));
         match delay.filter(|_| !silent) {
             _ if lost => drop(self.attempts.remove(key)),
-            Some(delay) => self.queue.push(self.queue.now() + delay, Event::Withdrawn(key)),
+            Some(delay) => self.queue.push(self.queue.now() + delay, Event::AttemptCancelled(key)),
             None => {}
         }
     }
 
     /// The balancer of an attempt hears how it ended.
-    fn ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
+    fn on_attempt_ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let now = self.queue.now();
         let tier = self.topology.service_of(attempt.upstream).tier as usize;
         if attempt.measured {
@@ -620,97 +640,99 @@
             *match outcome {
                 AttemptOutcome::Success | AttemptOutcome::InvalidRequest => &mut count.ok,
                 AttemptOutcome::Error => &mut count.errors,
-                AttemptOutcome::Rejected => &mut count.full,
+                AttemptOutcome::Rejected => &mut count.rejected,
                 AttemptOutcome::Timeout => &mut count.timeouts,
-                AttemptOutcome::ConnectFailed => &mut count.unconnected,
+                AttemptOutcome::ConnectFailed => &mut count.connect_failures,
                 AttemptOutcome::Reset => &mut count.resets,
-                AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.withdrawn,
+                AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.cancelled,
             } += 1;
         }
         let key = attempt.request;
         let Some(request) = self.requests.get_mut(key) else { return };
-        request.out = None;
-        let (instance, id, owed) = (request.instance, request.id, request.owed);
+        request.active_attempt = None;
+        let (instance, id, awaiting_response) = (request.instance, request.id, request.awaiting_response);
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::Rejected) {
-            let idle = &mut self.nodes[instance].idle[self.topology.index_in_service(attempt.upstream)];
+            let idle_connections = &mut self.instance_states[instance].idle_connections
+                [self.topology.index_in_service(attempt.upstream)];
             let incarnation = self.upstream_states[attempt.upstream].incarnation;
-            let count = if idle.incarnation == incarnation { idle.count + 1 } else { 1 };
-            *idle = Idle { count, used: now, incarnation };
+            let count =
+                if idle_connections.incarnation == incarnation { idle_connections.count + 1 } else { 1 };
+            *idle_connections = IdleConnections { count, last_used: now, incarnation };
         }
-        let served = outcome == AttemptOutcome::Success && owed;
+        let served = outcome == AttemptOutcome::Success && awaiting_response;
         let end = AttemptEnd {
             attempt: attempt.number,
             outcome,
             elapsed: now - attempt.sent,
-            request_closed: served || !owed,
+            request_closed: served || !awaiting_response,
             body_consumed: false,
             load: None,
         };
-        self.tell(instance, ModuleEvent::AttemptEnded(id, end));
+        self.notify_instance(instance, ModuleEvent::AttemptEnded(id, end));
         if served {
-            self.answer(key, Answer::Served);
+            self.respond(key, Response::Served);
         } else {
-            self.forget_if_done(key);
+            self.remove_if_done(key);
         }
     }
 
     // ---- Attempts, at the upstream ----
 
-    fn on_reached(&mut self, key: Key) {
+    fn on_attempt_received(&mut self, key: Key) {
         let now = self.queue.now();
         let Some(attempt) = self.attempts.get(key) else { return };
-        if !attempt.waited {
+        if !attempt.awaited {
             self.attempts.remove(key);
             return;
         }
-        let (upstream, connects, stale, sent) =
-            (attempt.upstream, attempt.connects, attempt.stale, attempt.sent);
-        let through = self.upstream_delay(attempt).is_some();
+        let (upstream, opens_connection, connection_stale, sent) =
+            (attempt.upstream, attempt.opens_connection, attempt.connection_stale, attempt.sent);
+        let reachable = self.upstream_delay(attempt).is_some();
         let process_state = self.upstream_states[upstream].process_state;
-        if !through || process_state == ProcessState::Silent {
+        if !reachable || process_state == ProcessState::Silent {
             let Some(attempt) = self.attempts.get_mut(key) else { return };
             attempt.stage = AttemptStage::Lost;
-            if connects {
+            if opens_connection {
                 (attempt.stage, attempt.outcome) = (AttemptStage::Responding, AttemptOutcome::ConnectFailed);
-                self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::Answered(key));
+                self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::ResponseReceived(key));
             }
             return;
         }
         if process_state == ProcessState::Down {
-            return self.finish(key, AttemptOutcome::ConnectFailed);
+            return self.finish_attempt(key, AttemptOutcome::ConnectFailed);
         }
-        if stale {
-            return self.finish(key, AttemptOutcome::Reset);
+        if connection_stale {
+            return self.finish_attempt(key, AttemptOutcome::Reset);
         }
-        if self.falls(upstream) {
-            self.counts.cold_falls += 1;
+        if self.record_cold_attempt(upstream) {
+            self.counts.cold_crashes += 1;
             let incarnation = self.upstream_states[upstream].incarnation;
-            self.stop(upstream, ProcessState::Down);
+            self.stop_upstream(upstream, ProcessState::Down);
             self.schedule_endpoint_update(
                 upstream,
                 EndpointState::Removed,
                 false,
-                Holds::Process(incarnation + 1),
+                ValidWhile::Incarnation(incarnation + 1),
             );
-            return self.finish(key, AttemptOutcome::ConnectFailed);
+            return self.finish_attempt(key, AttemptOutcome::ConnectFailed);
         }
-        let slots = self.topology.service_of(upstream).slots;
+        let concurrency = self.topology.service_of(upstream).concurrency;
         let state = &mut self.upstream_states[upstream];
-        if state.busy < slots {
-            self.begin(key);
+        if state.processing < concurrency {
+            self.start_processing(key);
         } else if state.queue.len() < self.config.queue_limit {
             state.queue.push_back(key);
             if let Some(attempt) = self.attempts.get_mut(key) {
                 attempt.stage = AttemptStage::Queued;
             }
         } else {
-            self.finish(key, AttemptOutcome::Rejected);
+            self.finish_attempt(key, AttemptOutcome::Rejected);
         }
         debug_assert!(now >= sent);
     }
 
     /// Part of its capacity that an upstream has: all of it once it is warm.
-    fn warmth(&self, upstream: usize) -> f64 {
+    fn capacity_fraction(&self, upstream: usize) -> f64 {
         let Some(started) = self.upstream_states[upstream].started else { return 1.0 };
         let age = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
         (self.config.start_capacity + (1.0 - self.config.start_capacity) * age).min(1.0)
@@ -718,68 +740,70 @@
 
     /// Counts a request of a cold upstream, and tells whether it falls over: more came in the window than the
     /// multiple of what it can do, and than chance adds to that.
-    fn falls(&mut self, upstream: usize) -> bool {
-        let warmth = self.warmth(upstream);
-        if warmth >= 1.0 {
+    fn record_cold_attempt(&mut self, upstream: usize) -> bool {
+        let capacity_fraction = self.capacity_fraction(upstream);
+        if capacity_fraction >= 1.0 {
             return false;
         }
         self.counts.cold_attempts += 1;
         let service = self.topology.service_of(upstream);
-        let capacity = f64::from(service.slots) / service.work * 1e9 * warmth;
-        let step = self.queue.now() / seconds(self.config.fall_s / FALL_STEPS as f64).max(1);
+        let capacity = f64::from(service.concurrency) / service.mean_service_time * 1e9 * capacity_fraction;
+        let bucket = self.queue.now() / seconds(self.config.fall_s / OVERLOAD_WINDOW_BUCKETS as f64).max(1);
         let state = &mut self.upstream_states[upstream];
-        for passed in state.step + 1..=step.min(state.step + FALL_STEPS as Time) {
-            state.recent[(passed % FALL_STEPS as Time) as usize] = 0;
+        for skipped in state.last_bucket + 1..=bucket.min(state.last_bucket + OVERLOAD_WINDOW_BUCKETS as Time)
+        {
+            state.recent_attempts[(skipped % OVERLOAD_WINDOW_BUCKETS as Time) as usize] = 0;
         }
-        if step > state.step + FALL_STEPS as Time {
-            state.recent = [0; FALL_STEPS];
+        if bucket > state.last_bucket + OVERLOAD_WINDOW_BUCKETS as Time {
+            state.recent_attempts = [0; OVERLOAD_WINDOW_BUCKETS];
         }
-        state.step = step;
-        state.recent[(step % FALL_STEPS as Time) as usize] += 1;
-        let most = self.config.tip_multiple * capacity * self.config.fall_s;
-        f64::from(state.recent.iter().sum::<u32>()) > most + 2.0 * most.sqrt() + 2.0
+        state.last_bucket = bucket;
+        state.recent_attempts[(bucket % OVERLOAD_WINDOW_BUCKETS as Time) as usize] += 1;
+        let limit = self.config.tip_multiple * capacity * self.config.fall_s;
+        f64::from(state.recent_attempts.iter().sum::<u32>()) > limit + 2.0 * limit.sqrt() + 2.0
     }
 
-    fn begin(&mut self, key: Key) {
+    fn start_processing(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         attempt.stage = AttemptStage::Processing;
         let upstream = attempt.upstream;
-        self.upstream_states[upstream].busy += 1;
-        let mean = self.topology.service_of(upstream).work;
-        let took = mean * self.work.sample(&mut self.rng) / self.warmth(upstream);
-        self.queue.push(self.queue.now() + took as Time, Event::Worked(key));
+        self.upstream_states[upstream].processing += 1;
+        let mean = self.topology.service_of(upstream).mean_service_time;
+        let service_time =
+            mean * self.service_time_factor.sample(&mut self.rng) / self.capacity_fraction(upstream);
+        self.queue.push(self.queue.now() + service_time as Time, Event::ProcessingDone(key));
     }
 
-    fn on_worked(&mut self, key: Key) {
+    fn on_processing_done(&mut self, key: Key) {
         let Some(attempt) =
             self.attempts.get(key).filter(|attempt| attempt.stage == AttemptStage::Processing)
         else {
             return;
         };
-        let (upstream, waited) = (attempt.upstream, attempt.waited);
-        self.upstream_states[upstream].busy -= 1;
-        self.begin_next(upstream);
-        if !waited {
+        let (upstream, awaited) = (attempt.upstream, attempt.awaited);
+        self.upstream_states[upstream].processing -= 1;
+        self.start_next_queued(upstream);
+        if !awaited {
             self.attempts.remove(key);
             return;
         }
         let tier = self.topology.service_of(upstream).tier as usize;
         let fault = &self.config.tier_fault;
-        let failing = self.tier_fails && (fault.all_tiers || tier == self.config.watched_tier());
+        let failing = self.tier_failing && (fault.all_tiers || tier == self.config.watched_tier());
         if failing && self.rng.random_bool(fault.share) {
-            self.finish(key, AttemptOutcome::Error);
+            self.finish_attempt(key, AttemptOutcome::Error);
         } else {
             self.continue_attempt(key);
         }
     }
 
     /// Takes the next request from an upstream's queue; one whose time is over is not begun any more.
-    fn begin_next(&mut self, upstream: usize) {
+    fn start_next_queued(&mut self, upstream: usize) {
         let now = self.queue.now();
         while let Some(key) = self.upstream_states[upstream].queue.pop_front() {
-            match self.attempts.get(key).map(|attempt| (attempt.waited, now < attempt.until)) {
-                Some((true, true)) => return self.begin(key),
-                Some((true, false)) => self.finish(key, AttemptOutcome::Rejected),
+            match self.attempts.get(key).map(|attempt| (attempt.awaited, now < attempt.until)) {
+                Some((true, true)) => return self.start_processing(key),
+                Some((true, false)) => self.finish_attempt(key, AttemptOutcome::Rejected),
                 Some((false, _)) => drop(self.attempts.remove(key)),
                 None => {}
             }
@@ -791,43 +815,43 @@
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         let (class, until, measured, upstream) =
             (attempt.class, attempt.until, attempt.measured, attempt.upstream);
-        let sender = &self.topology.upstreams[upstream];
-        let callees = &self.topology.services[sender.service].callees;
-        while let Some(callee) = callees.get(attempt.callee) {
-            let instance = sender.instances.start + attempt.callee;
-            attempt.callee += 1;
-            if callee.chance >= 1.0 || self.rng.random_bool(callee.chance) {
+        let processing_upstream = &self.topology.upstreams[upstream];
+        let callees = &self.topology.services[processing_upstream.service].callees;
+        while let Some(callee) = callees.get(attempt.next_callee) {
+            let instance = processing_upstream.instances.start + attempt.next_callee;
+            attempt.next_callee += 1;
+            if callee.probability >= 1.0 || self.rng.random_bool(callee.probability) {
                 self.start_request(instance, RequestSource::Attempt(key), class, until, measured);
                 return;
             }
         }
-        self.finish(key, AttemptOutcome::Success);
+        self.finish_attempt(key, AttemptOutcome::Success);
     }
 
     /// An upstream answers an attempt.
-    fn finish(&mut self, key: Key, outcome: AttemptOutcome) {
+    fn finish_attempt(&mut self, key: Key, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(key) else { return };
-        let delay = self.upstream_delay(attempt).filter(|_| attempt.waited);
-        let waited = attempt.waited;
+        let delay = self.upstream_delay(attempt).filter(|_| attempt.awaited);
+        let awaited = attempt.awaited;
         match delay {
             Some(delay) => {
                 let at = self.queue.now() + delay + balancer_service_time(self.config);
-                self.queue.push(at, Event::Answered(key));
+                self.queue.push(at, Event::ResponseReceived(key));
                 if let Some(attempt) = self.attempts.get_mut(key) {
                     (attempt.stage, attempt.outcome) = (AttemptStage::Responding, outcome);
                 }
             }
-            None if waited => {
+            None if awaited => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
                     attempt.stage = AttemptStage::Lost;
-                    attempt.connects = false; // it has reached the upstream: nothing says that it never ran
+                    attempt.opens_connection = false; // it has reached the upstream: nothing says that it never ran
                 }
             }
             None => drop(self.attempts.remove(key)),
         }
     }
 
-    fn on_withdrawn(&mut self, key: Key) {
+    fn on_attempt_cancelled(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(key) else { return };
         match attempt.stage {
             AttemptStage::Queued => {
@@ -845,11 +869,13 @@
     }
 
     fn client_disconnected(&mut self, key: Key) {
-        let Some(request) = self.requests.get_mut(key).filter(|request| request.owed) else { return };
-        request.owed = false;
+        let Some(request) = self.requests.get_mut(key).filter(|request| request.awaiting_response) else {
+            return;
+        };
+        request.awaiting_response = false;
         let (instance, id) = (request.instance, request.id);
-        self.tell(instance, ModuleEvent::ClientDisconnected(id));
-        self.forget_if_done(key);
+        self.notify_instance(instance, ModuleEvent::ClientDisconnected(id));
+        self.remove_if_done(key);
     }
 
     // ---- Lists ----
@@ -858,138 +884,140 @@
     fn schedule_endpoint_update(
         &mut self,
         upstream: usize,
-        lifecycle: EndpointState,
+        endpoint_state: EndpointState,
         silent: bool,
-        holds: Holds,
+        valid_while: ValidWhile,
     ) {
-        let happened = self.queue.now();
-        let at = self.discovery.listing_time(happened, silent);
+        let changed_at = self.queue.now();
+        let at = self.discovery.listing_time(changed_at, silent);
         self.queue.push(at, Event::EndpointUpdate(self.endpoint_updates.len() as u32));
-        self.endpoint_updates.push(EndpointUpdate { upstream, lifecycle, happened, holds });
+        self.endpoint_updates.push(EndpointUpdate { upstream, endpoint_state, changed_at, valid_while });
     }
 
     fn on_endpoint_update(&mut self, update: usize) {
-        let EndpointUpdate { upstream, lifecycle, happened, holds } = self.endpoint_updates[update];
-        let holds = match holds {
-            Holds::Process(incarnation) => self.upstream_states[upstream].incarnation == incarnation,
-            Holds::Cut(cut) => self.regions_cut && self.cuts == cut,
+        let EndpointUpdate { upstream, endpoint_state, changed_at, valid_while } =
+            self.endpoint_updates[update];
+        let still_valid = match valid_while {
+            ValidWhile::Incarnation(incarnation) => self.upstream_states[upstream].incarnation == incarnation,
+            ValidWhile::Partition(partition) => self.regions_partitioned && self.partition_count == partition,
         };
-        if holds {
-            self.list(upstream, lifecycle, happened);
+        if still_valid {
+            self.update_endpoint(upstream, endpoint_state, changed_at);
         }
     }
 
-    fn list(&mut self, upstream: usize, lifecycle: EndpointState, happened: Time) {
+    fn update_endpoint(&mut self, upstream: usize, endpoint_state: EndpointState, changed_at: Time) {
         let (service, entry) =
             (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
         let started = self.upstream_states[upstream].started;
-        let change = |entry: &mut EndpointEntry| (entry.state, entry.started) = (lifecycle, started);
-        self.discovery.change(service, entry, change, happened, &mut self.queue);
-        self.counts.changes += 1;
+        let change = |entry: &mut EndpointEntry| (entry.state, entry.started) = (endpoint_state, started);
+        self.discovery.change(service, entry, change, changed_at, &mut self.queue);
+        self.counts.list_changes += 1;
     }
 
     /// Sets the time of the next change that no fault brings about.
-    fn next_change(&mut self) {
+    fn schedule_capacity_change(&mut self) {
         let rate = self.config.discovery.changes_per_day / 86_400.0;
         if rate > 0.0 {
             let wait: f64 = Exp1.sample(&mut self.rng);
-            self.queue.push(self.queue.now() + seconds(wait / rate), Event::Change);
+            self.queue.push(self.queue.now() + seconds(wait / rate), Event::CapacityChange);
         }
     }
 
     /// An upstream is given another size, in turn a little less and all of it.
-    fn on_change(&mut self) {
-        self.next_change();
+    fn on_capacity_change(&mut self) {
+        self.schedule_capacity_change();
         let upstream = self.rng.random_range(0..self.upstream_states.len());
         let (service, entry) =
             (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
         let change =
             |entry: &mut EndpointEntry| entry.capacity = if entry.capacity < 1.0 { 1.0 } else { 0.9 };
         self.discovery.change(service, entry, change, self.queue.now(), &mut self.queue);
-        self.counts.changes += 1;
+        self.counts.list_changes += 1;
     }
 
     // ---- Faults ----
 
-    fn on_fault(&mut self, step: Step) {
+    fn on_fault(&mut self, step: FaultStep) {
         match step {
-            Step::TierFails(fails) => self.tier_fails = fails,
-            Step::ZoneLost(zone, lost) => self.on_zone(zone, lost),
-            Step::RegionsCut(cut) => self.on_regions(cut),
-            Step::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
-            Step::Restart(at) => {
-                let upstream = self.restart_order[at as usize];
+            FaultStep::TierFailing(fails) => self.tier_failing = fails,
+            FaultStep::ZoneLost(zone, lost) => self.set_zone_lost(zone, lost),
+            FaultStep::RegionsPartitioned(partitioned) => self.set_regions_partitioned(partitioned),
+            FaultStep::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
+            FaultStep::Restart(position) => {
+                let upstream = self.restart_order[position as usize];
                 if self.upstream_states[upstream].process_state == ProcessState::Up {
                     self.counts.restarts += 1;
-                    self.list(upstream, EndpointState::Draining, self.queue.now());
+                    self.update_endpoint(upstream, EndpointState::Draining, self.queue.now());
                     let at = self.queue.now() + seconds(self.config.rolling_restart.drain_s);
-                    self.queue.push(at, Event::Stop(upstream as u32));
+                    self.queue.push(at, Event::UpstreamStop(upstream as u32));
                 }
             }
         }
     }
 
-    fn on_zone(&mut self, zone: usize, lost: bool) {
+    fn set_zone_lost(&mut self, zone: usize, lost: bool) {
         let now = self.queue.now();
         for upstream in (0..self.upstream_states.len())
-            .filter(|&at| self.topology.upstreams[at].zone == zone)
+            .filter(|&upstream| self.topology.upstreams[upstream].zone == zone)
             .collect::<Vec<_>>()
         {
             if lost {
-                self.stop(upstream, ProcessState::Silent);
+                self.stop_upstream(upstream, ProcessState::Silent);
                 let incarnation = self.upstream_states[upstream].incarnation;
                 self.schedule_endpoint_update(
                     upstream,
                     EndpointState::Removed,
                     true,
-                    Holds::Process(incarnation),
+                    ValidWhile::Incarnation(incarnation),
                 );
             } else {
-                self.on_start(upstream);
+                self.on_upstream_start(upstream);
             }
         }
-        for front in
-            (0..self.front_up.len()).filter(|&at| self.topology.fronts[at].zone == zone).collect::<Vec<_>>()
+        for front in (0..self.front_up.len())
+            .filter(|&front| self.topology.fronts[front].zone == zone)
+            .collect::<Vec<_>>()
         {
             let instances = self.topology.fronts[front].instances.clone();
             if lost {
                 self.front_up[front] = false;
-                self.end_instances(instances, true);
+                self.stop_instances(instances, true);
                 let at = now + seconds(self.config.front_notice_s);
-                self.queue.push(at, Event::FrontLeft(front as u32));
+                self.queue.push(at, Event::FrontRemoved(front as u32));
             } else {
-                let ready = self.first_lists(instances);
+                let ready = self.first_lists_at(instances);
                 self.queue.push(ready, Event::FrontReady(front as u32));
             }
         }
     }
 
-    fn on_regions(&mut self, cut: bool) {
-        self.regions_cut = cut;
-        self.cuts += u32::from(cut);
-        for instance in 0..self.nodes.len() {
+    fn set_regions_partitioned(&mut self, partitioned: bool) {
+        self.regions_partitioned = partitioned;
+        self.partition_count += u32::from(partitioned);
+        for instance in 0..self.instance_states.len() {
             if Topology::regions_differ(self.config, 0, self.topology.instances[instance].zone) {
-                self.discovery.set_cut(instance, cut, &mut self.queue);
+                self.discovery.set_partitioned(instance, partitioned, &mut self.queue);
             }
         }
         for upstream in 0..self.upstream_states.len() {
             if Topology::regions_differ(self.config, 0, self.topology.upstreams[upstream].zone) {
                 let list = self.discovery.list(self.topology.upstreams[upstream].service);
-                let gone = list[self.topology.index_in_service(upstream)].state == EndpointState::Removed;
-                if cut {
+                let removed = list[self.topology.index_in_service(upstream)].state == EndpointState::Removed;
+                if partitioned {
                     self.schedule_endpoint_update(
                         upstream,
                         EndpointState::Removed,
                         true,
-                        Holds::Cut(self.cuts),
+                        ValidWhile::Partition(self.partition_count),
                     );
-                } else if gone && self.upstream_states[upstream].process_state == ProcessState::Up {
+                } else if removed && self.upstream_states[upstream].process_state == ProcessState::Up {
                     let incarnation = self.upstream_states[upstream].incarnation;
                     self.schedule_endpoint_update(
                         upstream,
                         EndpointState::InService,
                         false,
-                        Holds::Process(incarnation),
+                        ValidWhile::Incarnation(incarnation),
                     );
                 }
             }
@@ -998,176 +1026,194 @@
 
     /// The incarnation of an upstream ends, and with it its balancer. Connections to it are reset, unless its machine
     /// is gone: then they are found out when they are used.
-    fn stop(&mut self, upstream: usize, process_state: ProcessState) {
+    fn stop_upstream(&mut self, upstream: usize, process_state: ProcessState) {
         if process_state == ProcessState::Down {
             let index = self.topology.index_in_service(upstream);
             self.topology
                 .service_of(upstream)
                 .client_instances
                 .iter()
-                .for_each(|&instance| self.nodes[instance].idle[index].count = 0);
+                .for_each(|&instance| self.instance_states[instance].idle_connections[index].count = 0);
         }
         let state = &mut self.upstream_states[upstream];
         state.process_state = process_state;
         state.incarnation += 1;
-        state.busy = 0;
+        state.processing = 0;
         state.queue.clear();
-        let held = |attempt: &Attempt| {
-            let there = matches!(
+        let at_upstream = |attempt: &Attempt| {
+            let in_upstream = matches!(
                 attempt.stage,
                 AttemptStage::Queued | AttemptStage::Processing | AttemptStage::WaitingForCallee(_)
             );
-            attempt.upstream == upstream && there
+            attempt.upstream == upstream && in_upstream
         };
-        for key in self.attempts.keys(held) {
+        for key in self.attempts.keys(at_upstream) {
             if process_state == ProcessState::Silent {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    (attempt.stage, attempt.connects) = (AttemptStage::Lost, false);
+                    (attempt.stage, attempt.opens_connection) = (AttemptStage::Lost, false);
                 }
-                if self.attempts.get(key).is_some_and(|attempt| !attempt.waited) {
+                if self.attempts.get(key).is_some_and(|attempt| !attempt.awaited) {
                     self.attempts.remove(key);
                 }
             } else {
-                self.finish(key, AttemptOutcome::Reset);
+                self.finish_attempt(key, AttemptOutcome::Reset);
             }
         }
-        self.end_instances(
+        self.stop_instances(
             self.topology.upstreams[upstream].instances.clone(),
             process_state == ProcessState::Silent,
         );
     }
 
     /// Module instances end: nobody waits for their attempts any more, and clients' requests are lost.
-    fn end_instances(&mut self, instances: Range<usize>, silent: bool) {
+    fn stop_instances(&mut self, instances: Range<usize>, silent: bool) {
         for key in self.requests.keys(|request| instances.contains(&request.instance)) {
             let Some(request) = self.requests.get(key) else { continue };
-            let (out, source, came, measured, owed) =
-                (request.out, request.source, request.came, request.measured, request.owed);
-            if owed && source == RequestSource::Client {
-                self.open_measured -= u64::from(measured);
-                self.count_request(came, measured, |count| &mut count.lost);
+            let (active_attempt, source, arrived_at, measured, awaiting_response) = (
+                request.active_attempt,
+                request.source,
+                request.arrived_at,
+                request.measured,
+                request.awaiting_response,
+            );
+            if awaiting_response && source == RequestSource::Client {
+                self.measured_in_flight -= u64::from(measured);
+                self.count_request(arrived_at, measured, |count| &mut count.lost);
             }
-            if let Some(out) = out {
-                self.give_up(out, silent);
+            if let Some(active_attempt) = active_attempt {
+                self.abandon_attempt(active_attempt, silent);
             }
             self.requests.remove(key);
         }
         for instance in instances {
-            let node = &mut self.nodes[instance];
-            node.alive = false;
-            node.requests.clear();
-            node.idle.fill(Idle::default());
-            self.discovery.gone(instance);
+            let instance_state = &mut self.instance_states[instance];
+            instance_state.alive = false;
+            instance_state.requests.clear();
+            instance_state.idle_connections.fill(IdleConnections::default());
+            self.discovery.instance_stopped(instance);
         }
     }
 
     /// A new incarnation starts: cold, and of use once its balancer has its lists.
-    fn on_start(&mut self, upstream: usize) {
+    fn on_upstream_start(&mut self, upstream: usize) {
         let now = self.queue.now();
         self.upstream_states[upstream].started = Some(now);
         let instances = self.topology.upstreams[upstream].instances.clone();
-        let ready = self.first_lists(instances);
-        self.counts.longest_start = self.counts.longest_start.max(ready - now);
-        self.queue.push(ready, Event::Ready(upstream as u32));
+        let ready = self.first_lists_at(instances);
+        self.counts.max_start_time = self.counts.max_start_time.max(ready - now);
+        self.queue.push(ready, Event::UpstreamReady(upstream as u32));
     }
 
     /// When module instances that start now have their lists.
-    fn first_lists(&mut self, instances: Range<usize>) -> Time {
+    fn first_lists_at(&mut self, instances: Range<usize>) -> Time {
         let now = self.queue.now();
-        instances.map(|at| self.discovery.first_list(at, now)).max().unwrap_or(now)
+        instances.map(|instance| self.discovery.first_list_at(instance, now)).max().unwrap_or(now)
     }
 
-    fn on_ready(&mut self, upstream: usize) {
+    fn on_upstream_ready(&mut self, upstream: usize) {
         let state = &mut self.upstream_states[upstream];
         if state.process_state == ProcessState::Up {
             return; // started twice: after a restart, and with its zone
         }
         state.process_state = ProcessState::Up;
-        (state.recent, state.step) = ([0; FALL_STEPS], 0);
+        (state.recent_attempts, state.last_bucket) = ([0; OVERLOAD_WINDOW_BUCKETS], 0);
         let incarnation = state.incarnation;
-        self.renew(self.topology.upstreams[upstream].instances.clone());
-        self.schedule_endpoint_update(upstream, EndpointState::InService, false, Holds::Process(incarnation));
+        self.restart_instances(self.topology.upstreams[upstream].instances.clone());
+        self.schedule_endpoint_update(
+            upstream,
+            EndpointState::InService,
+            false,
+            ValidWhile::Incarnation(incarnation),
+        );
     }
 
     /// Module instances start anew, and know their lists.
-    fn renew(&mut self, instances: Range<usize>) {
+    fn restart_instances(&mut self, instances: Range<usize>) {
         let now = self.queue.now();
         for instance in instances {
-            let of = &self.topology.instances[instance];
+            let topology_instance = &self.topology.instances[instance];
             let seed = self.rng.random();
-            let balancer = balancer(self.config, &self.classes, &self.topology, of, seed, now);
-            let node = &mut self.nodes[instance];
-            (node.balancer, node.alive) = (balancer, true);
-            self.tell_list(instance);
+            let balancer =
+                new_balancer(self.config, &self.classes, &self.topology, topology_instance, seed, now);
+            let instance_state = &mut self.instance_states[instance];
+            (instance_state.balancer, instance_state.alive) = (balancer, true);
+            self.send_endpoint_list(instance);
         }
     }
 
     // ---- The module ----
 
-    fn tell_list(&mut self, instance: usize) {
+    fn send_endpoint_list(&mut self, instance: usize) {
         let list = self.discovery.list(self.topology.instances[instance].service).to_vec();
-        self.tell(instance, ModuleEvent::EndpointList(&list));
+        self.notify_instance(instance, ModuleEvent::EndpointList(&list));
     }
 
     /// Tells an instance of an event, does what it says, and tells it of what came of that at once.
-    fn tell(&mut self, instance: usize, event: ModuleEvent<'_>) {
+    fn notify_instance(&mut self, instance: usize, event: ModuleEvent<'_>) {
         self.handle(instance, event);
-        while let Some((instance, id, end)) = self.pending.pop_front() {
+        while let Some((instance, id, end)) = self.pending_attempt_ends.pop_front() {
             self.handle(instance, ModuleEvent::AttemptEnded(id, end));
-            if let Some(&key) = self.nodes[instance].requests.get(&id) {
-                self.forget_if_done(key);
+            if let Some(&key) = self.instance_states[instance].requests.get(&id) {
+                self.remove_if_done(key);
             }
         }
     }
 
     fn handle(&mut self, instance: usize, event: ModuleEvent<'_>) {
-        let node = &mut self.nodes[instance];
-        if !node.alive {
+        let instance_state = &mut self.instance_states[instance];
+        if !instance_state.alive {
             return;
         }
         self.counts.module_events += 1;
         let mut actions = std::mem::take(&mut self.actions);
-        node.balancer.handle(self.queue.now(), event, &mut actions);
-        actions.drain(..).for_each(|action| self.act(instance, action));
+        instance_state.balancer.handle(self.queue.now(), event, &mut actions);
+        actions.drain(..).for_each(|action| self.apply_action(instance, action));
         self.actions = actions;
     }
 
-    fn act(&mut self, instance: usize, action: Action) {
+    fn apply_action(&mut self, instance: usize, action: Action) {
         match action {
             Action::Send { id, endpoint, until, begin_by } => {
                 self.send(instance, id, endpoint, (until, begin_by))
             }
-            Action::Reject { id, .. } => self.answer_id(instance, id, Answer::Refused),
-            Action::Fail(id) => self.answer_id(instance, id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.withdraw(instance, id, attempt),
+            Action::Reject { id, .. } => self.respond_by_id(instance, id, Response::Refused),
+            Action::Fail(id) => self.respond_by_id(instance, id, Response::Failed),
+            Action::Cancel { id, attempt } => self.cancel_attempt(instance, id, attempt),
             Action::CloseIdle(endpoint) => {
-                self.nodes[instance].idle[self.topology.index_in_service(endpoint.0 as usize)].count = 0;
+                self.instance_states[instance].idle_connections
+                    [self.topology.index_in_service(endpoint.0 as usize)]
+                .count = 0;
             }
             Action::SetTimer { after, token } => {
                 self.queue.push(self.queue.now().saturating_add(after), Event::Timer(instance as u32, token));
             }
-            Action::WatchEndpoints => self.discovery.watch(instance, &mut self.queue),
-            Action::QueryLoad(_) => self.counts.probes += 1, // the settings allow none
-            Action::Log(_) => self.counts.logs += 1,
+            Action::WatchEndpoints => self.discovery.start_watch(instance, &mut self.queue),
+            Action::QueryLoad(_) => self.counts.load_queries += 1, // the settings allow none
+            Action::Log(_) => self.counts.log_lines += 1,
         }
     }
 
-    fn answer_id(&mut self, instance: usize, id: RequestId, answer: Answer) {
-        if let Some(&key) = self.nodes[instance].requests.get(&id) {
-            self.answer(key, answer);
+    fn respond_by_id(&mut self, instance: usize, id: RequestId, response: Response) {
+        if let Some(&key) = self.instance_states[instance].requests.get(&id) {
+            self.respond(key, response);
         }
     }
 
-    fn withdraw(&mut self, instance: usize, id: RequestId, number: u32) {
-        let Some(&key) = self.nodes[instance].requests.get(&id) else { return };
-        let Some(out) = self.requests.get(key).and_then(|request| request.out) else { return };
-        let Some(attempt) = self.attempts.get(out).filter(|attempt| attempt.number == number) else { return };
+    fn cancel_attempt(&mut self, instance: usize, id: RequestId, number: u32) {
+        let Some(&key) = self.instance_states[instance].requests.get(&id) else { return };
+        let Some(active_attempt) = self.requests.get(key).and_then(|request| request.active_attempt) else {
+            return;
+        };
+        let Some(attempt) = self.attempts.get(active_attempt).filter(|attempt| attempt.number == number)
+        else {
+            return;
+        };
         let sent = attempt.sent;
-        self.counts.withdrawals += 1;
-        self.give_up(out, false);
+        self.counts.cancellations += 1;
+        self.abandon_attempt(active_attempt, false);
         let Some(request) = self.requests.get_mut(key) else { return };
-        request.out = None;
-        let (elapsed, closed) = (self.queue.now() - sent, !request.owed);
+        request.active_attempt = None;
+        let (elapsed, closed) = (self.queue.now() - sent, !request.awaiting_response);
         let end = AttemptEnd {
             attempt: number,
             outcome: AttemptOutcome::Cancelled,
@@ -1176,20 +1222,20 @@
             body_consumed: false,
             load: None,
         };
-        self.pending.push_back((instance, id, end));
+        self.pending_attempt_ends.push_back((instance, id, end));
     }
 }
 
 /// A final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum Response {
     Served,
     Refused,
     Failed,
 }
 
 /// A module instance as its balancer starts it.
-fn balancer(
+fn new_balancer(
     config: &Config,
     classes: &[RequestClass],
     topology: &Topology,
--- a/emulator/src/hollow/config.rs
+++ b/emulator/src/hollow/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a run.
 
 use crate::discovery::DiscoveryConfig;
-use crate::faults::{Faults, RollingRestart, Span, TierFault, ZoneLost};
+use crate::faults::{Faults, Outage, RollingRestart, TierFault, ZoneLoss};
 use serde::Deserialize;
 
 /// The form of the call graph.
@@ -90,11 +90,11 @@
     /// A tier whose calls fail.
     pub tier_fault: TierFault,
     /// A zone that is lost.
-    pub zone_lost: ZoneLost,
+    pub zone_lost: ZoneLoss,
     /// The regions are cut from each other; discovery is in the first.
-    pub region_cut: Span,
+    pub region_cut: Outage,
     /// Discovery is down.
-    pub discovery_down: Span,
+    pub discovery_down: Outage,
     /// Upstreams are replaced one after another.
     pub rolling_restart: RollingRestart,
 }
@@ -141,9 +141,9 @@
             front_notice_s: 2.0,
             discovery: DiscoveryConfig::default(),
             tier_fault: TierFault::default(),
-            zone_lost: ZoneLost::default(),
-            region_cut: Span::default(),
-            discovery_down: Span::default(),
+            zone_lost: ZoneLoss::default(),
+            region_cut: Outage::default(),
+            discovery_down: Outage::default(),
             rolling_restart: RollingRestart::default(),
         }
     }
@@ -164,9 +164,9 @@
             ("classes", self.classes, 1, 1_000),
             ("max_attempts", self.max_attempts as usize, 1, 10),
         ];
-        for (key, value, least, most) in counts {
-            if !(least..=most).contains(&value) {
-                return Err(format!("`{key}` is {value}, not between {least} and {most}"));
+        for (key, value, min, max) in counts {
+            if !(min..=max).contains(&value) {
+                return Err(format!("`{key}` is {value}, not between {min} and {max}"));
             }
         }
         let discovery = &self.discovery;
@@ -229,9 +229,9 @@
             ("rolling_restart.drain_s", self.rolling_restart.drain_s, 0.0, 3_600.0),
             ("rolling_restart.down_s", self.rolling_restart.down_s, 0.0, 3_600.0),
         ];
-        for (key, value, least, most) in figures {
-            if !(least..=most).contains(&value) {
-                return Err(format!("`{key}` is {value}, not between {least} and {most}"));
+        for (key, value, min, max) in figures {
+            if !(min..=max).contains(&value) {
+                return Err(format!("`{key}` is {value}, not between {min} and {max}"));
             }
         }
         if !self.zones.is_multiple_of(self.regions) {
--- a/emulator/src/load.rs
+++ b/emulator/src/load.rs
@@ -8,20 +8,20 @@
 use rand_distr::{Distribution, Exp1};
 
 /// How long the servers of a group drop the repeats of a keyed request.
-const KEY_WINDOW: Time = 10 * SECOND;
+const DEDUPLICATION_WINDOW: Time = 10 * SECOND;
 
 /// The classes of a configuration: their effects go round, safe ones first and most often.
 pub fn classes(config: &Config) -> Vec<RequestClass> {
-    let effect = |at: usize| match at % 4 {
-        1 => Idempotency::Keyed(DeduplicationGroup::Zone, KEY_WINDOW),
+    let idempotency = |class: usize| match class % 4 {
+        1 => Idempotency::Keyed(DeduplicationGroup::Zone, DEDUPLICATION_WINDOW),
         2 => Idempotency::NonIdempotent,
         _ => Idempotency::Idempotent,
     };
-    let class = |at| RequestClass {
+    let class = |index| RequestClass {
         latency_objective: millis(config.aim_ms),
         objective_stretch: 0.0,
         deadline: millis(config.deadline_ms),
-        idempotency: effect(at),
+        idempotency: idempotency(index),
         late_weight: 0.0,
         priority_weight: 1.0,
     };
@@ -44,42 +44,42 @@
 pub struct Load {
     rng: ChaCha8Rng,
     /// Mean time between requests, in nanoseconds.
-    gap: f64,
-    at: f64,
+    mean_gap: f64,
+    next_at: f64,
     /// The classes of each effect, safe, keyed and unsafe, and the part of the requests that these get.
-    kinds: [(Vec<usize>, f64); 3],
-    entries: usize,
+    groups: [(Vec<usize>, f64); 3],
+    entry_services: usize,
 }
 
 impl Load {
     /// Requests from a time on, so many a second over all entries.
-    pub fn new(config: &Config, rate: f64, entries: usize, from: Time, rng: ChaCha8Rng) -> Self {
-        let of_kind = |kinds: &[usize]| -> Vec<usize> {
-            (0..config.classes).filter(|at| kinds.contains(&(at % 4))).collect()
+    pub fn new(config: &Config, rate: f64, entry_services: usize, from: Time, rng: ChaCha8Rng) -> Self {
+        let classes_of = |remainders: &[usize]| -> Vec<usize> {
+            (0..config.classes).filter(|class| remainders.contains(&(class % 4))).collect()
         };
-        let (keyed, not_safe) = (of_kind(&[1]), of_kind(&[2]));
+        let (keyed, non_idempotent) = (classes_of(&[1]), classes_of(&[2]));
         let keyed_share = if keyed.is_empty() { 0.0 } else { config.keyed_share };
-        let unsafe_share = if not_safe.is_empty() { 0.0 } else { config.unsafe_share };
-        let kinds = [
-            (of_kind(&[0, 3]), 1.0 - keyed_share - unsafe_share),
+        let unsafe_share = if non_idempotent.is_empty() { 0.0 } else { config.unsafe_share };
+        let groups = [
+            (classes_of(&[0, 3]), 1.0 - keyed_share - unsafe_share),
             (keyed, keyed_share),
-            (not_safe, unsafe_share),
+            (non_idempotent, unsafe_share),
         ];
-        Self { rng, gap: SECOND as f64 / rate, at: from as f64, kinds, entries }
+        Self { rng, mean_gap: SECOND as f64 / rate, next_at: from as f64, groups, entry_services }
     }
 
     /// The next request.
     pub fn next_arrival(&mut self) -> Arrival {
         let wait: f64 = Exp1.sample(&mut self.rng);
-        self.at += wait * self.gap;
+        self.next_at += wait * self.mean_gap;
         let mut draw: f64 = self.rng.random();
-        let mut kind = 0;
-        while kind + 1 < self.kinds.len() && draw >= self.kinds[kind].1 {
-            draw -= self.kinds[kind].1;
-            kind += 1;
+        let mut group = 0;
+        while group + 1 < self.groups.len() && draw >= self.groups[group].1 {
+            draw -= self.groups[group].1;
+            group += 1;
         }
-        let classes = if self.kinds[kind].0.is_empty() { &self.kinds[0].0 } else { &self.kinds[kind].0 };
+        let classes = if self.groups[group].0.is_empty() { &self.groups[0].0 } else { &self.groups[group].0 };
         let class = classes[self.rng.random_range(0..classes.len())];
-        Arrival { at: self.at as Time, class, entry: self.rng.random_range(0..self.entries) }
+        Arrival { at: self.next_at as Time, class, entry: self.rng.random_range(0..self.entry_services) }
     }
 }
--- a/emulator/src/topology.rs
+++ b/emulator/src/topology.rs
@@ -19,9 +19,9 @@
     /// Expected calls of it for each request of a client.
     pub requests_per_client_request: f64,
     /// Mean time of its own work on a call, in nanoseconds, when it is warm.
-    pub work: f64,
+    pub mean_service_time: f64,
     /// Calls that one of its upstreams works on at a time.
-    pub slots: u32,
+    pub concurrency: u32,
     /// The module instances that send to it, by position in `Topology::instances`.
     pub client_instances: Vec<usize>,
 }
@@ -32,7 +32,7 @@
     /// Position in `Topology::services`.
     pub service: usize,
     /// How many in one calls of the caller lead to a call of it.
-    pub chance: f64,
+    pub probability: f64,
 }
 
 /// A server of a service.
@@ -69,7 +69,7 @@
 
 /// A front balancer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Front {
+pub struct FrontBalancer {
     /// Its zone.
     pub zone: usize,
     /// Its module instances, one for each entry, in that order.
@@ -84,11 +84,11 @@
     /// Upstreams, those of a service in a row.
     pub upstreams: Vec<Upstream>,
     /// Front balancers.
-    pub fronts: Vec<Front>,
+    pub fronts: Vec<FrontBalancer>,
     /// Module instances.
     pub instances: Vec<Instance>,
     /// The services that clients call.
-    pub entries: Vec<usize>,
+    pub entry_services: Vec<usize>,
     /// Expected calls for each request of a client, over all tiers, if none fails.
     pub requests_per_client_request: f64,
     /// Requests of clients a second.
@@ -110,7 +110,7 @@
         };
         let sizes = match config.shape {
             Shape::Chain => vec![config.servers_per_tier; topology.services.len()],
-            Shape::Graph => topology.sizes(config.balancers),
+            Shape::Graph => topology.upstreams_per_service(config.balancers),
         };
         topology.add_upstreams(config, &sizes, rng);
         topology.add_instances(config);
@@ -123,8 +123,8 @@
             upstreams: 0..0,
             callees: Vec::new(),
             requests_per_client_request: 0.0,
-            work: 0.0,
-            slots: 1,
+            mean_service_time: 0.0,
+            concurrency: 1,
             client_instances: Vec::new(),
         });
     }
@@ -134,11 +134,11 @@
         for tier in 0..config.depth {
             self.add_service(tier);
             if tier > 0 {
-                let callee = Callee { service: tier as usize, chance: 1.0 };
+                let callee = Callee { service: tier as usize, probability: 1.0 };
                 self.services[tier as usize - 1].callees.push(callee);
             }
         }
-        self.entries.push(0);
+        self.entry_services.push(0);
     }
 
     /// Services over all tiers. Each calls one of the next tier, most up to two more of the tiers after that, and
@@ -146,16 +146,16 @@
     fn add_graph(&mut self, config: &Config, rng: &mut ChaCha8Rng) {
         let depth = config.depth as usize;
         let mut tiers: Vec<u32> = (0..config.services)
-            .map(|at| if at < depth { at } else { rng.random_range(0..depth) } as u32)
+            .map(|index| if index < depth { index } else { rng.random_range(0..depth) } as u32)
             .collect();
         tiers.sort_unstable();
         tiers.into_iter().for_each(|tier| self.add_service(tier));
         let in_tier: Vec<Vec<usize>> = (0..config.depth)
-            .map(|tier| (0..config.services).filter(|&at| self.services[at].tier == tier).collect())
+            .map(|tier| (0..config.services).filter(|&index| self.services[index].tier == tier).collect())
             .collect();
-        let mut called = vec![false; config.services];
-        for at in 0..config.services {
-            let tier = self.services[at].tier as usize;
+        let mut has_client = vec![false; config.services];
+        for index in 0..config.services {
+            let tier = self.services[index].tier as usize;
             if tier + 1 == depth {
                 continue;
             }
@@ -167,36 +167,36 @@
                     callees.push(callee);
                 }
             }
-            callees.iter().for_each(|&callee| called[callee] = true);
-            self.services[at].callees =
-                callees.into_iter().map(|service| Callee { service, chance: 0.0 }).collect();
+            callees.iter().for_each(|&callee| has_client[callee] = true);
+            self.services[index].callees =
+                callees.into_iter().map(|service| Callee { service, probability: 0.0 }).collect();
         }
-        for at in (0..config.services).filter(|&at| !called[at]) {
-            let tier = self.services[at].tier as usize;
+        for index in (0..config.services).filter(|&index| !has_client[index]) {
+            let tier = self.services[index].tier as usize;
             if tier > 0 {
                 let client = *in_tier[tier - 1].choose(rng).expect("each tier has a service");
-                self.services[client].callees.push(Callee { service: at, chance: 0.0 });
+                self.services[client].callees.push(Callee { service: index, probability: 0.0 });
             }
         }
         // The first callee is the spine of the call tree and gets the weight of two.
         for service in &mut self.services {
             let weights = service.callees.len() as f64 + 1.0;
-            for (at, callee) in service.callees.iter_mut().enumerate() {
-                let weight = if at == 0 { 2.0 } else { 1.0 };
-                callee.chance = (config.calls_per_call * weight / weights).min(1.0);
+            for (index, callee) in service.callees.iter_mut().enumerate() {
+                let weight = if index == 0 { 2.0 } else { 1.0 };
+                callee.probability = (config.calls_per_call * weight / weights).min(1.0);
             }
         }
-        self.entries = in_tier[0].clone();
+        self.entry_services = in_tier[0].clone();
     }
 
     fn compute_expected_requests(&mut self) {
-        for &entry in &self.entries {
-            self.services[entry].requests_per_client_request = 1.0 / self.entries.len() as f64;
+        for &entry in &self.entry_services {
+            self.services[entry].requests_per_client_request = 1.0 / self.entry_services.len() as f64;
         }
-        for at in 0..self.services.len() {
-            let requests = self.services[at].requests_per_client_request;
-            for callee in self.services[at].callees.clone() {
-                self.services[callee.service].requests_per_client_request += requests * callee.chance;
+        for index in 0..self.services.len() {
+            let requests = self.services[index].requests_per_client_request;
+            for callee in self.services[index].callees.clone() {
+                self.services[callee.service].requests_per_client_request += requests * callee.probability;
             }
         }
         self.requests_per_client_request =
@@ -204,21 +204,21 @@
     }
 
     /// Shares out the upstreams: two for each service, or one where there are too few, and the rest by calls.
-    fn sizes(&self, upstreams: usize) -> Vec<usize> {
-        let least = if upstreams >= 2 * self.services.len() { 2 } else { 1 };
-        let rest = upstreams - least * self.services.len();
+    fn upstreams_per_service(&self, upstreams: usize) -> Vec<usize> {
+        let min_size = if upstreams >= 2 * self.services.len() { 2 } else { 1 };
+        let remaining = upstreams - min_size * self.services.len();
         let share = |service: &Service| {
-            rest as f64 * service.requests_per_client_request / self.requests_per_client_request
+            remaining as f64 * service.requests_per_client_request / self.requests_per_client_request
         };
         let mut sizes: Vec<usize> =
-            self.services.iter().map(|service| least + share(service) as usize).collect();
+            self.services.iter().map(|service| min_size + share(service) as usize).collect();
         let mut by_remainder: Vec<usize> = (0..self.services.len()).collect();
         by_remainder.sort_by(|&a, &b| {
-            let [a, b] = [a, b].map(|at| share(&self.services[at]).fract());
+            let [a, b] = [a, b].map(|index| share(&self.services[index]).fract());
             b.total_cmp(&a)
         });
-        let missing = upstreams - sizes.iter().sum::<usize>();
-        by_remainder.into_iter().cycle().take(missing).for_each(|at| sizes[at] += 1);
+        let leftover = upstreams - sizes.iter().sum::<usize>();
+        by_remainder.into_iter().cycle().take(leftover).for_each(|index| sizes[index] += 1);
         sizes
     }
 
@@ -226,36 +226,38 @@
     fn add_upstreams(&mut self, config: &Config, sizes: &[usize], rng: &mut ChaCha8Rng) {
         let per_region = config.zones / config.regions;
         let spread = LogNormal::new(0.0, config.service_spread).expect("the spread has been checked");
-        for (at, &size) in sizes.iter().enumerate() {
+        for (index, &size) in sizes.iter().enumerate() {
             let first = rng.random_range(0..config.zones);
             let start = self.upstreams.len();
             for position in first..first + size {
-                let (region, place) = (position % config.regions, position / config.regions % per_region);
-                let zone = region * per_region + place;
-                self.upstreams.push(Upstream { service: at, zone, instances: 0..0 });
+                let (region, index_in_region) =
+                    (position % config.regions, position / config.regions % per_region);
+                let zone = region * per_region + index_in_region;
+                self.upstreams.push(Upstream { service: index, zone, instances: 0..0 });
             }
-            let service = &mut self.services[at];
+            let service = &mut self.services[index];
             service.upstreams = start..self.upstreams.len();
-            service.work = config.service_ms * 1e6 * spread.sample(rng);
+            service.mean_service_time = config.service_ms * 1e6 * spread.sample(rng);
             let rate = service.requests_per_client_request * self.request_rate / size as f64;
-            service.slots = (rate * service.work / 1e9 / config.utilisation).ceil().max(1.0) as u32;
+            service.concurrency =
+                (rate * service.mean_service_time / 1e9 / config.utilisation).ceil().max(1.0) as u32;
         }
     }
 
     fn add_instances(&mut self, config: &Config) {
         for front in 0..config.fronts {
             let (zone, first) = (front % config.zones, self.instances.len());
-            for service in self.entries.clone() {
+            for service in self.entry_services.clone() {
                 self.add_instance(Instance { owner: Owner::Front(front), service, zone });
             }
-            self.fronts.push(Front { zone, instances: first..self.instances.len() });
+            self.fronts.push(FrontBalancer { zone, instances: first..self.instances.len() });
         }
-        for at in 0..self.upstreams.len() {
-            let (zone, first) = (self.upstreams[at].zone, self.instances.len());
-            for callee in self.services[self.upstreams[at].service].callees.clone() {
-                self.add_instance(Instance { owner: Owner::Upstream(at), service: callee.service, zone });
+        for index in 0..self.upstreams.len() {
+            let (zone, first) = (self.upstreams[index].zone, self.instances.len());
+            for callee in self.services[self.upstreams[index].service].callees.clone() {
+                self.add_instance(Instance { owner: Owner::Upstream(index), service: callee.service, zone });
             }
-            self.upstreams[at].instances = first..self.instances.len();
+            self.upstreams[index].instances = first..self.instances.len();
         }
     }
 
--- a/emulator/tests/hollow.rs
+++ b/emulator/tests/hollow.rs
@@ -8,10 +8,10 @@
 
 /// Most calls of a tier that fails wholly for each request, at any depth: the module ends the retries of a class
 /// where they are futile.
-const MOST_CALLS: f64 = 1.5;
+const MAX_LAST_TIER_REQUESTS: f64 = 1.5;
 /// From the end of an outage until a balancer that asks for its lists has them: the module waits up to 1.5 s
 /// after a failure, a call that began before the end is silent for 1 s, and its turn takes the rest. The target is 6 s.
-const ASKED_AGAIN_S: f64 = 3.0;
+const MAX_WATCH_RECOVERY_S: f64 = 3.0;
 
 fn figure(outcome: &Outcome, name: &str) -> f64 {
     *outcome.figures.get(name).unwrap_or_else(|| panic!("no figure `{name}`"))
@@ -20,18 +20,18 @@
 /// Requests, and the served of them, that came in a second of the run.
 fn second(outcome: &Outcome, second: usize) -> (f64, f64) {
     let table = &outcome.tables[1];
-    let row = table.rows.iter().find(|row| row[0] == second.to_string()).expect("requests came then");
+    let row = table.rows.iter().find(|row| row[0] == second.to_string()).expect("requests arrived then");
     (row[1].parse().expect("a count"), row[2].parse().expect("a count"))
 }
 
 fn served_in(outcome: &Outcome, seconds: std::ops::Range<usize>) -> f64 {
-    let (came, served) = seconds
+    let (arrived, served) = seconds
         .map(|at| second(outcome, at))
-        .fold((0.0, 0.0), |(all, ok), (came, served)| (all + came, ok + served));
-    served / came
+        .fold((0.0, 0.0), |(all, ok), (arrived, served)| (all + arrived, ok + served));
+    served / arrived
 }
 
-fn quietly(config: &Config, seed: u64) -> Outcome {
+fn run_silently(config: &Config, seed: u64) -> Outcome {
     config.check().expect("a sound configuration");
     run(config, seed, &|_, _| {})
 }
@@ -80,12 +80,12 @@
     let mut config = small();
     config.discovery.changes_per_day = 100_000.0;
     config.tier_fault = fleet_emulator::faults::TierFault { share: 0.2, for_s: 1.0, ..Default::default() };
-    config.zone_lost = fleet_emulator::faults::ZoneLost { zone: 3, from_s: 1.0, for_s: 1.0 };
-    config.region_cut = fleet_emulator::faults::Span { from_s: 2.5, for_s: 1.0 };
+    config.zone_lost = fleet_emulator::faults::ZoneLoss { zone: 3, from_s: 1.0, for_s: 1.0 };
+    config.region_cut = fleet_emulator::faults::Outage { from_s: 2.5, for_s: 1.0 };
     config.rolling_restart.for_s = 3.0;
     for ask in [false, true] {
         config.discovery.ask = ask;
-        let text = |seed| serde_json::to_string(&quietly(&config, seed)).expect("a report is JSON");
+        let text = |seed| serde_json::to_string(&run_silently(&config, seed)).expect("a report is JSON");
         let first = text(7);
         assert_eq!(first, text(7), "ask: {ask}");
         assert_ne!(first, text(8), "ask: {ask}");
@@ -131,7 +131,7 @@
             ..small()
         })
         .iter()
-        .map(|config| quietly(config, 3))
+        .map(|config| run_silently(config, 3))
         .collect();
     for name in ["events_per_call", "module_events_per_call", "messages_per_call"] {
         let figures: Vec<f64> = outcomes.iter().map(|outcome| figure(outcome, name)).collect();
@@ -151,10 +151,13 @@
     for depth in [1, 3, 8, 12, 21] {
         let mut config = chain(depth);
         config.tier_fault.for_s = 60.0;
-        let outcome = quietly(&config, 1);
+        let outcome = run_silently(&config, 1);
         let last = figure(&outcome, "last_tier_calls_per_request");
-        assert!(last <= MOST_CALLS, "depth {depth}: {last} calls of the last tier, {MOST_CALLS} at most");
-        assert!(last >= 0.9, "depth {depth}: only {last} calls came to the last tier");
+        assert!(
+            last <= MAX_LAST_TIER_REQUESTS,
+            "depth {depth}: {last} calls of the last tier, {MAX_LAST_TIER_REQUESTS} at most"
+        );
+        assert!(last >= 0.9, "depth {depth}: only {last} calls arrived to the last tier");
         assert!(figure(&outcome, "served_ratio") < 0.001, "depth {depth}");
         if depth == 1 {
             assert!(last < 1.1, "one tier: {last}");
@@ -170,7 +173,7 @@
         config.tier_fault.share = 0.02;
         config.tier_fault.all_tiers = true;
         config.tier_fault.for_s = 60.0;
-        let outcome = quietly(&config, 1);
+        let outcome = run_silently(&config, 1);
         assert!(figure(&outcome, "served_ratio") >= 0.995, "depth {depth}: {:?}", outcome.figures);
         let last = figure(&outcome, "last_tier_calls_per_request");
         assert!((0.98..1.08).contains(&last), "depth {depth}: {last} calls of the last tier");
@@ -185,7 +188,7 @@
         config.tier_fault.for_s = 2.0;
         config.warmup_s = 0.0;
         config.duration_s = 9.0;
-        let outcome = quietly(&config, 2);
+        let outcome = run_silently(&config, 2);
         assert!(served_in(&outcome, 1..2) < 0.01, "depth {depth}: the tier did not fail");
         assert!(served_in(&outcome, 6..9) > 0.999, "depth {depth}: {:?}", outcome.tables[1].rows);
     }
@@ -209,14 +212,14 @@
         ..chain(2)
     };
     for seed in 1..=4 {
-        let outcome = quietly(&config, seed);
+        let outcome = run_silently(&config, seed);
         assert!(figure(&outcome, "cold_calls") > 500.0, "{:?}", outcome.figures);
         assert_eq!(figure(&outcome, "cold_falls"), 0.0, "seed {seed}");
         assert!(served_in(&outcome, 9..12) > 0.999, "seed {seed}: {:?}", outcome.tables[1].rows);
     }
     // The same fleet falls where servers bear still less: the count is alive.
-    let frail = quietly(&Config { tip_multiple: 0.1, ..config }, 1);
-    assert!(figure(&frail, "cold_falls") > 0.0);
+    let fragile = run_silently(&Config { tip_multiple: 0.1, ..config }, 1);
+    assert!(figure(&fragile, "cold_falls") > 0.0);
 }
 
 #[test]
@@ -225,7 +228,7 @@
         let mut config = Config { rate: 200.0, warmup_s: 0.0, duration_s: 40.0, ..small() };
         config.discovery.ask = ask;
         config.discovery.changes_per_day = 86_400.0;
-        let outcome = quietly(&config, 4);
+        let outcome = run_silently(&config, 4);
         assert!(figure(&outcome, "followed") > 100.0, "ask: {ask}");
         assert!(figure(&outcome, "followed_s_max") < 4.0, "ask: {ask}, {:?}", outcome.figures);
         assert_eq!(figure(&outcome, "list_failures"), 0.0, "ask: {ask}");
@@ -234,14 +237,14 @@
 
 #[test]
 fn changes_of_an_outage_of_discovery_are_followed_after_it() {
-    for (ask, most) in [(false, 1.1), (true, ASKED_AGAIN_S)] {
+    for (ask, max) in [(false, 1.1), (true, MAX_WATCH_RECOVERY_S)] {
         let mut config = Config { rate: 200.0, warmup_s: 0.0, duration_s: 40.0, ..small() };
         config.discovery.ask = ask;
         config.discovery.changes_per_day = 86_400.0;
-        config.discovery_down = fleet_emulator::faults::Span { from_s: 5.0, for_s: 20.0 };
-        let outcome = quietly(&config, 4);
-        let told = figure(&outcome, "told_s_max");
-        assert!(told > 0.1 && told <= most, "ask: {ask}, told after {told} s");
+        config.discovery_down = fleet_emulator::faults::Outage { from_s: 5.0, for_s: 20.0 };
+        let outcome = run_silently(&config, 4);
+        let delay = figure(&outcome, "told_s_max");
+        assert!(delay > 0.1 && delay <= max, "ask: {ask}, notified after {delay} s, {max} s at most");
         assert!(figure(&outcome, "followed_s_max") > 15.0, "ask: {ask}: the outage was none");
         assert_eq!(figure(&outcome, "served_ratio"), 1.0, "ask: {ask}: lists stay as they were");
     }
@@ -250,8 +253,8 @@
 #[test]
 fn regions_that_lose_each_other_serve_on_and_are_whole_again_after() {
     let mut config = Config { duration_s: 20.0, warmup_s: 0.0, ..small() };
-    config.region_cut = fleet_emulator::faults::Span { from_s: 4.0, for_s: 8.0 };
-    let outcome = quietly(&config, 6);
+    config.region_cut = fleet_emulator::faults::Outage { from_s: 4.0, for_s: 8.0 };
+    let outcome = run_silently(&config, 6);
     assert!(served_in(&outcome, 0..3) > 0.999, "{:?}", outcome.tables[1].rows);
     let cut = served_in(&outcome, 5..12);
     assert!((0.4..0.999).contains(&cut), "{cut} served while cut: {:?}", outcome.tables[1].rows);
@@ -263,16 +266,20 @@
 #[test]
 fn a_lost_zone_and_a_rolling_restart_are_served_through() {
     let mut config = Config { duration_s: 22.0, warmup_s: 0.0, ..small() };
-    config.zone_lost = fleet_emulator::faults::ZoneLost { zone: 1, from_s: 2.0, for_s: 3.0 };
+    config.zone_lost = fleet_emulator::faults::ZoneLoss { zone: 1, from_s: 2.0, for_s: 3.0 };
     config.rolling_restart.from_s = 1.0;
     config.rolling_restart.for_s = 8.0;
     // In the second round the whole fleet is replaced within the time in which a server is warm: nearly all are
     // cold at once, which costs requests until they are warm, and no longer.
-    for (share, least) in [(0.3, 0.97), (1.0, 0.0)] {
+    for (share, min_served_ratio) in [(0.3, 0.97), (1.0, 0.0)] {
         config.rolling_restart.share = share;
-        let outcome = quietly(&config, 6);
+        let outcome = run_silently(&config, 6);
         assert!(figure(&outcome, "restarts") > 85.0 * share, "{share} restarted");
-        assert!(figure(&outcome, "served_ratio") > least, "{share} restarted: {:?}", outcome.tables[1].rows);
+        assert!(
+            figure(&outcome, "served_ratio") > min_served_ratio,
+            "{share} restarted: {:?}",
+            outcome.tables[1].rows
+        );
         assert!(served_in(&outcome, 20..22) > 0.999, "{share} restarted: {:?}", outcome.tables[1].rows);
         for name in ["calls_left", "attempts_left", "unfinished_requests", "cold_falls"] {
             assert_eq!(figure(&outcome, name), 0.0, "{share} restarted: {name}");
@@ -285,7 +292,7 @@
     let mut config = small();
     config.tier_fault = fleet_emulator::faults::TierFault { share: 0.3, for_s: 9.0, ..Default::default() };
     config.deadline_ms = 40.0;
-    let outcome = quietly(&config, 9);
+    let outcome = run_silently(&config, 9);
     let parts = ["served_ratio", "refused_ratio", "failed_ratio", "lost_ratio"];
     let sum: f64 = parts.iter().map(|name| figure(&outcome, name)).sum();
     assert!((sum - 1.0).abs() < 1e-9, "{:?}", outcome.figures);
@@ -294,7 +301,7 @@
 
 #[test]
 fn a_long_run_has_a_short_table_that_counts_all() {
-    let outcome = quietly(&Config { rate: 20.0, duration_s: 700.0, warmup_s: 0.0, ..small() }, 1);
+    let outcome = run_silently(&Config { rate: 20.0, duration_s: 700.0, warmup_s: 0.0, ..small() }, 1);
     let rows = &outcome.tables[1].rows;
     assert!((100..=120).contains(&rows.len()), "{} rows", rows.len());
     let requests: f64 = rows.iter().map(|row| row[1].parse::<f64>().expect("a count")).sum();
@@ -303,11 +310,11 @@
 
 #[test]
 fn progress_is_told_up_to_the_end() {
-    let told = std::cell::RefCell::new(Vec::new());
-    run(&small(), 1, &|done, of| told.borrow_mut().push((done, of)));
-    let told = told.into_inner();
-    assert!(told.len() > 10 && told.windows(2).all(|pair| pair[0].0 <= pair[1].0));
-    assert_eq!(told.last(), Some(&(5 * SECOND, 5 * SECOND)));
+    let progress = std::cell::RefCell::new(Vec::new());
+    run(&small(), 1, &|done, of| progress.borrow_mut().push((done, of)));
+    let progress = progress.into_inner();
+    assert!(progress.len() > 10 && progress.windows(2).all(|pair| pair[0].0 <= pair[1].0));
+    assert_eq!(progress.last(), Some(&(5 * SECOND, 5 * SECOND)));
 }
 
 #[test]
