--- a/emulator/src/engine.rs
+++ b/emulator/src/engine.rs
@@ -1,32 +1,33 @@
-//! The virtual clock with its queue of events, and the places of what is under way.
+//! The virtual clock, its event queue, and a slab for values referenced by queued events.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 /// A point on the virtual clock, in nanoseconds.
 pub type Time = u64;
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 pub const SECOND: Time = 1_000_000_000;
 
-/// Nanoseconds of so many seconds; what is negative or no number is none.
+/// Converts seconds to nanoseconds. Negative values and NaN give 0.
 pub fn seconds(seconds: f64) -> Time {
     (seconds * 1e9) as Time
 }
 
-/// Nanoseconds of so many milliseconds.
+/// Converts milliseconds to nanoseconds. Negative values and NaN give 0.
 pub fn millis(millis: f64) -> Time {
     (millis * 1e6) as Time
 }
 
-/// Width of a bucket of the calendar as a power of two of nanoseconds: a quarter of a millisecond.
+/// Width of a calendar bucket as a power of two of nanoseconds: 2^18 ns, about a quarter of a millisecond.
 const BUCKET_WIDTH_BITS: u32 = 18;
-/// Buckets of the calendar: they span over four seconds, in which nearly all timers fall.
+/// Number of calendar buckets: together they span over four seconds, in which nearly all timers fall.
 const BUCKET_COUNT: u64 = 1 << 14;
 
+/// An event and the time at which it is due.
 #[derive(Clone, Copy, Debug)]
 struct ScheduledEvent<E> {
     at: Time,
-    /// Events of one time come in the order in which they were put in.
+    /// Insertion number, so that events due at the same time are returned in insertion order.
     sequence: u64,
     event: E,
 }
@@ -52,31 +53,34 @@
 }
 
 impl<E> Ord for ScheduledEvent<E> {
-    /// The earliest is the greatest, as a heap gives out the greatest.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest event is to be popped first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// A calendar queue: events in the order of their times, and of their arrival for one time.
+/// A calendar queue: returns events in order of time, and in insertion order where the times are equal.
 ///
-/// Only the events of the bucket that is open are kept in order: with hundreds of thousands of timers ahead,
-/// one heap for all of them would miss the cache at each step.
+/// Only the events of the current bucket are kept sorted. With hundreds of thousands of pending timers, a single
+/// heap would cause a cache miss at each step.
 #[derive(Debug)]
 pub struct Queue<E> {
     now: Time,
-    /// Number of the first bucket that is not open yet.
+    /// Number of the first bucket that has not been moved to `current` yet.
     next_bucket: u64,
+    /// Events of the buckets before `next_bucket`.
     current: BinaryHeap<ScheduledEvent<E>>,
+    /// Events of the `BUCKET_COUNT` buckets from `next_bucket` on, unsorted within each bucket.
     calendar: Vec<Vec<ScheduledEvent<E>>>,
     calendar_len: usize,
+    /// Events beyond the calendar.
     overflow: BinaryHeap<ScheduledEvent<E>>,
     pushed: u64,
     popped: u64,
 }
 
 impl<E: Copy> Queue<E> {
-    /// An empty queue whose clock stands at `now`.
+    /// Creates an empty queue with the clock at `now`.
     pub fn new(now: Time) -> Self {
         Self {
             now,
@@ -90,17 +94,17 @@
         }
     }
 
-    /// The clock: the time of the event that came last.
+    /// The current time: that of the event popped last.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Events that have come.
+    /// Number of events popped so far.
     pub fn popped(&self) -> u64 {
         self.popped
     }
 
-    /// Puts in an event at a time; one that has passed is now.
+    /// Schedules an event. A time in the past counts as the current time.
     pub fn push(&mut self, at: Time, event: E) {
         let entry = ScheduledEvent { at: at.max(self.now), sequence: self.pushed, event };
         self.pushed += 1;
@@ -119,7 +123,7 @@
         }
     }
 
-    /// The next event; the clock moves on to its time.
+    /// Returns the next event and advances the clock to its time.
     pub fn pop(&mut self) -> Option<E> {
         loop {
             if let Some(entry) = self.current.pop() {
@@ -137,7 +141,8 @@
                 self.overflow.pop();
                 self.enqueue(entry);
             }
-            // Its room is given back: kept in all buckets, it would be many times what is ever held at once.
+            // The bucket's buffer is freed: buffers kept in all buckets would take many times the memory of the
+            // events that are ever queued at once.
             let bucket = std::mem::take(&mut self.calendar[(self.next_bucket % BUCKET_COUNT) as usize]);
             self.calendar_len -= bucket.len();
             self.current.extend(bucket);
@@ -146,17 +151,17 @@
     }
 }
 
-/// The place of a value in a `Slab`. It names none once the value is taken out, also when the place is taken
-/// again.
+/// Identifies a value in a [`Slab`]. Once the value is removed, the key is invalid, also after its slot is reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
     generation: u32,
 }
 
-/// Values in places that are used again.
+/// A container that reuses the slots of removed values.
 #[derive(Debug)]
 pub struct Slab<T> {
+    /// The generation of each slot and its value.
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
 }
@@ -168,31 +173,31 @@
 }
 
 impl<T> Slab<T> {
-    /// Puts in a value.
+    /// Stores a value and returns its key.
     pub fn insert(&mut self, value: T) -> Key {
         if let Some(index) = self.free.pop() {
             let (generation, slot) = &mut self.slots[index as usize];
             *slot = Some(value);
             return Key { index, generation: *generation };
         }
-        let index = u32::try_from(self.slots.len()).expect("no run holds so many values at a time");
+        let index = u32::try_from(self.slots.len()).expect("a slab holds at most 2^32 values");
         self.slots.push((0, Some(value)));
         Key { index, generation: 0 }
     }
 
-    /// The value at a place, if it is still there.
+    /// Returns the value of a key, or `None` if it has been removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let (generation, slot) = self.slots.get(key.index as usize)?;
         slot.as_ref().filter(|_| *generation == key.generation)
     }
 
-    /// The same, to change it.
+    /// Like [`Slab::get`], but mutable.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let (generation, slot) = self.slots.get_mut(key.index as usize)?;
         slot.as_mut().filter(|_| *generation == key.generation)
     }
 
-    /// Takes out a value.
+    /// Removes and returns the value of a key.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         let (generation, slot) = self.slots.get_mut(key.index as usize)?;
         if *generation != key.generation {
@@ -204,7 +209,7 @@
         Some(value)
     }
 
-    /// The keys of all values that pass a test, in the order of their places.
+    /// Returns the keys of all values that match a predicate, in slot order.
     pub fn keys(&self, predicate: impl Fn(&T) -> bool) -> Vec<Key> {
         let slots = self.slots.iter().enumerate();
         let matching = slots.filter(|(_, (_, slot))| slot.as_ref().is_some_and(&predicate));
@@ -213,12 +218,12 @@
             .collect()
     }
 
-    /// The number of values.
+    /// Number of stored values.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether there is none.
+    /// Whether no value is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/emulator/src/faults.rs
+++ b/emulator/src/faults.rs
@@ -1,21 +1,21 @@
-//! What goes wrong, and when: a plan of steps on the virtual clock.
+//! Injected faults and the plan of when each begins and ends on the virtual clock.
 
 use crate::engine::{Time, seconds};
 use serde::Deserialize;
 
-/// A tier whose calls fail.
+/// A tier whose requests fail.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct TierFault {
-    /// The tier from 1, the clients' first; 0 is the last one.
+    /// The failing tier, counted from 1 at the clients; 0 selects the last tier.
     pub depth: u32,
-    /// Part of its calls that fail.
+    /// Fraction of the tier's requests that fail.
     pub share: f64,
-    /// All tiers fail that share of their calls.
+    /// Whether all tiers fail this fraction of their requests.
     pub all_tiers: bool,
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     pub from_s: f64,
-    /// How long it lasts, in seconds; 0 for never.
+    /// Duration of the fault, in seconds; 0 disables it.
     pub for_s: f64,
 }
 
@@ -25,41 +25,41 @@
     }
 }
 
-/// A zone that is lost: its machines vanish, and come back as new processes.
+/// The loss of a zone: its machines disappear, and return with new processes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ZoneLoss {
-    /// The zone, from 0.
+    /// Index of the zone, from 0.
     pub zone: usize,
-    /// When it begins, in seconds.
+    /// Start of the loss, in seconds.
     pub from_s: f64,
-    /// How long it lasts, in seconds; 0 for never.
+    /// Duration of the loss, in seconds; 0 disables it.
     pub for_s: f64,
 }
 
-/// A time in which something is gone.
+/// An interval in which a component is unavailable.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Outage {
-    /// When it begins, in seconds.
+    /// Start of the outage, in seconds.
     pub from_s: f64,
-    /// How long it lasts, in seconds; 0 for never.
+    /// Duration of the outage, in seconds; 0 disables it.
     pub for_s: f64,
 }
 
-/// Upstreams, with their balancers, that are replaced one after another.
+/// A rolling restart of upstreams, each together with its balancer.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct RollingRestart {
-    /// Part of the upstreams that is replaced.
+    /// Fraction of the upstreams that are restarted.
     pub share: f64,
-    /// When the first one is told to drain, in seconds.
+    /// When the first upstream begins to drain, in seconds.
     pub from_s: f64,
-    /// From the first to the last, in seconds; 0 for no restart.
+    /// Time between the first and the last upstream's restart, in seconds; 0 disables the restart.
     pub for_s: f64,
-    /// From being listed as draining to the end of the process, in seconds.
+    /// Time from being listed as draining to the end of the process, in seconds.
     pub drain_s: f64,
-    /// From the end of a process to the start of the next, in seconds.
+    /// Time from the end of a process to the start of its successor, in seconds.
     pub down_s: f64,
 }
 
@@ -69,33 +69,38 @@
     }
 }
 
-/// A step of the plan.
+/// A step of the fault plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultStep {
-    /// The failing tier begins or ceases to fail.
+    /// The failing tier begins (`true`) or stops (`false`) failing.
     TierFailing(bool),
-    /// A zone is lost, or back.
+    /// The zone with this index is lost (`true`) or returns (`false`).
     ZoneLost(usize, bool),
-    /// The regions are cut from each other, or not any more.
+    /// The regions are partitioned (`true`) or connected again (`false`).
     RegionsPartitioned(bool),
-    /// Discovery falls silent, or answers again.
+    /// Discovery stops responding (`true`) or responds again (`false`).
     DiscoveryDown(bool),
-    /// The rolling restart comes to the next upstream: which one of those that are replaced.
+    /// The rolling restart reaches the upstream at this position of the restart order.
     Restart(u32),
 }
 
 /// The faults of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults<'a> {
+    /// The tier whose requests fail.
     pub tier: &'a TierFault,
+    /// The zone that is lost.
     pub zone: &'a ZoneLoss,
+    /// The partition between the regions.
     pub regions: &'a Outage,
+    /// The outage of discovery.
     pub discovery: &'a Outage,
+    /// The rolling restart.
     pub restart: &'a RollingRestart,
 }
 
 impl Faults<'_> {
-    /// The steps with their times, counted from `start`, for so many upstreams.
+    /// Returns the steps and their times for a fleet of `upstreams` upstreams. Offsets count from `start`.
     pub fn plan(&self, start: Time, upstreams: usize) -> Vec<(Time, FaultStep)> {
         let mut plan = Vec::new();
         let mut add_interval = |from_s: f64, for_s: f64, step: &dyn Fn(bool) -> FaultStep| {
--- a/emulator/src/load.rs
+++ b/emulator/src/load.rs
@@ -1,4 +1,4 @@
-//! What clients ask for: an open loop of requests, in classes that differ in what repeating them does.
+//! The load of clients: an open loop of requests, in classes that differ in their idempotency.
 
 use crate::engine::{SECOND, Time, millis};
 use crate::hollow::Config;
@@ -7,10 +7,10 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-/// How long the servers of a group drop the repeats of a keyed request.
+/// How long the upstreams of a group drop repeats of a keyed request.
 const DEDUPLICATION_WINDOW: Time = 10 * SECOND;
 
-/// The classes of a configuration: their effects go round, safe ones first and most often.
+/// Creates the request classes of a configuration. Their idempotency alternates; half of them are idempotent.
 pub fn classes(config: &Config) -> Vec<RequestClass> {
     let idempotency = |class: usize| match class % 4 {
         1 => Idempotency::Keyed(DeduplicationGroup::Zone, DEDUPLICATION_WINDOW),
@@ -31,28 +31,30 @@
 /// A request of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it comes.
+    /// When the request arrives.
     pub at: Time,
-    /// Its class.
+    /// Index of its request class.
     pub class: usize,
-    /// Which of the entries it calls.
+    /// Index of the entry service that receives the request.
     pub entry: usize,
 }
 
-/// Requests that come whether or not the ones before are answered: a Poisson process.
+/// An open-loop Poisson process: requests arrive whether or not earlier ones have been answered.
 #[derive(Debug)]
 pub struct Load {
     rng: ChaCha8Rng,
     /// Mean time between requests, in nanoseconds.
     mean_gap: f64,
+    /// Time of the latest arrival, in nanoseconds; not rounded, so that rounding errors do not add up.
     next_at: f64,
-    /// The classes of each effect, safe, keyed and unsafe, and the part of the requests that these get.
+    /// Classes and their fraction of the requests: idempotent, keyed and non-idempotent.
     groups: [(Vec<usize>, f64); 3],
+    /// Number of entry services.
     entry_services: usize,
 }
 
 impl Load {
-    /// Requests from a time on, so many a second over all entries.
+    /// Creates a load of `rate` requests per second over all entry services, beginning at `from`.
     pub fn new(config: &Config, rate: f64, entry_services: usize, from: Time, rng: ChaCha8Rng) -> Self {
         let classes_of = |remainders: &[usize]| -> Vec<usize> {
             (0..config.classes).filter(|class| remainders.contains(&(class % 4))).collect()
@@ -68,7 +70,7 @@
         Self { rng, mean_gap: SECOND as f64 / rate, next_at: from as f64, groups, entry_services }
     }
 
-    /// The next request.
+    /// Draws the next request.
     pub fn next_arrival(&mut self) -> Arrival {
         let wait: f64 = Exp1.sample(&mut self.rng);
         self.next_at += wait * self.mean_gap;
--- a/emulator/src/topology.rs
+++ b/emulator/src/topology.rs
@@ -1,4 +1,4 @@
-//! Who calls whom: services in the tiers of a graph, their upstreams, and the balancers beside these.
+//! The topology of the fleet: services in tiers, their upstreams, and the balancers beside the upstreams.
 
 use crate::hollow::{Config, Shape};
 use rand::Rng;
@@ -7,96 +7,98 @@
 use rand_distr::{Distribution, LogNormal};
 use std::ops::Range;
 
-/// A service: upstreams that do the same.
+/// A service: a set of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its tier, from 0: the length of the longest way to it from the clients, less one.
+    /// Tier of the service, from 0: the length of the longest path from the clients to it, less one.
     pub tier: u32,
-    /// Its upstreams, by position in `Topology::upstreams`.
+    /// Indices of its upstreams in [`Topology::upstreams`].
     pub upstreams: Range<usize>,
-    /// The services that it calls.
+    /// The services that it sends requests to.
     pub callees: Vec<Callee>,
-    /// Expected calls of it for each request of a client.
+    /// Expected number of requests to this service for each client request.
     pub requests_per_client_request: f64,
-    /// Mean time of its own work on a call, in nanoseconds, when it is warm.
+    /// Mean service time of a warm upstream, in nanoseconds, without the time spent waiting for callees.
     pub mean_service_time: f64,
-    /// Calls that one of its upstreams works on at a time.
+    /// Number of requests that one upstream processes concurrently.
     pub concurrency: u32,
-    /// The module instances that send to it, by position in `Topology::instances`.
+    /// Indices in [`Topology::instances`] of the module instances that send to this service.
     pub client_instances: Vec<usize>,
 }
 
-/// A service that is called by another one.
+/// A service that another service sends requests to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Callee {
-    /// Position in `Topology::services`.
+    /// Index in [`Topology::services`].
     pub service: usize,
-    /// How many in one calls of the caller lead to a call of it.
+    /// Probability that a request to the calling service leads to a request to this one.
     pub probability: f64,
 }
 
-/// A server of a service.
+/// An upstream: one server of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Position in `Topology::services`.
+    /// Index of its service in [`Topology::services`].
     pub service: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// The module instances of its balancer, one for each callee of its service, in that order.
+    /// Indices of the module instances of its balancer: one for each callee of its service, in the same order.
     pub instances: Range<usize>,
 }
 
-/// Whose balancer an instance belongs to.
+/// The owner of the balancer that a module instance belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// A front balancer, that the clients call.
+    /// A front balancer, which receives the clients' requests.
     Front(usize),
     /// An upstream.
     Upstream(usize),
 }
 
-/// One instance of the decision module. The module knows the list of one tier alone, as a real balancer does:
-/// a balancer whose upstream calls several services runs an instance for each.
+/// An instance of the decision module.
+///
+/// The module knows the endpoint list of a single service, as in a real balancer. A balancer whose upstream sends
+/// requests to several services therefore runs one instance for each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Whose it is.
+    /// Owner of the balancer.
     pub owner: Owner,
-    /// The service that it sends to.
+    /// Index of the service that it sends requests to.
     pub service: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
 }
 
 /// A front balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontBalancer {
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its module instances, one for each entry, in that order.
+    /// Indices of its module instances: one for each entry service, in the same order.
     pub instances: Range<usize>,
 }
 
-/// The whole fleet.
+/// The topology of the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Topology {
-    /// Services, a callee always after its callers.
+    /// Services in topological order: each callee comes after all services that send to it.
     pub services: Vec<Service>,
-    /// Upstreams, those of a service in a row.
+    /// Upstreams, grouped by service.
     pub upstreams: Vec<Upstream>,
     /// Front balancers.
     pub fronts: Vec<FrontBalancer>,
     /// Module instances.
     pub instances: Vec<Instance>,
-    /// The services that clients call.
+    /// Indices of the services that receive the clients' requests.
     pub entry_services: Vec<usize>,
-    /// Expected calls for each request of a client, over all tiers, if none fails.
+    /// Expected requests for each client request, over all tiers, if no request fails.
     pub requests_per_client_request: f64,
-    /// Requests of clients a second.
+    /// Client requests per second.
     pub request_rate: f64,
 }
 
 impl Topology {
-    /// Builds the fleet of a configuration that has been checked.
+    /// Builds the topology of a checked configuration.
     pub fn new(config: &Config, rng: &mut ChaCha8Rng) -> Self {
         let mut topology = Self::default();
         match config.shape {
@@ -129,7 +131,7 @@
         });
     }
 
-    /// One service a tier; each call of one leads to a call of the next.
+    /// Adds one service per tier. Each request to a service leads to one request to the next tier.
     fn add_chain(&mut self, config: &Config) {
         for tier in 0..config.depth {
             self.add_service(tier);
@@ -141,8 +143,8 @@
         self.entry_services.push(0);
     }
 
-    /// Services over all tiers. Each calls one of the next tier, most up to two more of the tiers after that, and
-    /// each is called by some other.
+    /// Adds the services of all tiers. Each service sends to one service of the next tier, and to at most two more
+    /// within the next three tiers; services that are left without a client get one from the tier above.
     fn add_graph(&mut self, config: &Config, rng: &mut ChaCha8Rng) {
         let depth = config.depth as usize;
         let mut tiers: Vec<u32> = (0..config.services)
@@ -178,7 +180,7 @@
                 self.services[client].callees.push(Callee { service: index, probability: 0.0 });
             }
         }
-        // The first callee is the spine of the call tree and gets the weight of two.
+        // The first callee forms the main path of the call tree and has twice the weight of the others.
         for service in &mut self.services {
             let weights = service.callees.len() as f64 + 1.0;
             for (index, callee) in service.callees.iter_mut().enumerate() {
@@ -189,6 +191,7 @@
         self.entry_services = in_tier[0].clone();
     }
 
+    /// Computes the expected requests to each service for one client request.
     fn compute_expected_requests(&mut self) {
         for &entry in &self.entry_services {
             self.services[entry].requests_per_client_request = 1.0 / self.entry_services.len() as f64;
@@ -203,7 +206,8 @@
             self.services.iter().map(|service| service.requests_per_client_request).sum();
     }
 
-    /// Shares out the upstreams: two for each service, or one where there are too few, and the rest by calls.
+    /// Distributes the upstreams: at least two per service, or one if there are too few for that, and the others in
+    /// proportion to the expected requests.
     fn upstreams_per_service(&self, upstreams: usize) -> Vec<usize> {
         let min_size = if upstreams >= 2 * self.services.len() { 2 } else { 1 };
         let remaining = upstreams - min_size * self.services.len();
@@ -222,10 +226,12 @@
         sizes
     }
 
-    /// Zones of a service's upstreams follow each other so that the regions alternate: two are in two regions.
+    /// Adds the upstreams of each service. Their zones alternate between the regions, so that the upstreams of a
+    /// service with two of them are in different regions.
     fn add_upstreams(&mut self, config: &Config, sizes: &[usize], rng: &mut ChaCha8Rng) {
         let per_region = config.zones / config.regions;
-        let spread = LogNormal::new(0.0, config.service_spread).expect("the spread has been checked");
+        let spread = LogNormal::new(0.0, config.service_spread)
+            .expect("the checked spread is finite and not negative");
         for (index, &size) in sizes.iter().enumerate() {
             let first = rng.random_range(0..config.zones);
             let start = self.upstreams.len();
@@ -271,12 +277,12 @@
         &self.services[self.upstreams[upstream].service]
     }
 
-    /// The place of an upstream among those of its service.
+    /// Position of an upstream among the upstreams of its service.
     pub fn index_in_service(&self, upstream: usize) -> usize {
         upstream - self.service_of(upstream).upstreams.start
     }
 
-    /// Whether two zones lie in different regions.
+    /// Whether two zones are in different regions.
     pub fn regions_differ(config: &Config, zone: usize, other: usize) -> bool {
         let per_region = config.zones / config.regions;
         zone / per_region != other / per_region
