--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Stands in for discovery and its agents on the virtual clock, as the protocol describes them.
+//! A simulated discovery service and its agents, on the virtual clock.
 //!
-//! Pushed lists reach a balancer through an agent on its own machine, each some time after discovery has them.
-//! Where lists are asked for, a balancer keeps a watch on discovery itself: a call waits there for what is new,
-//! and the next one follows on its answer. Discovery works on the calls of all balancers in turn.
+//! Pushed lists reach a balancer through an agent on its own machine, each with a delay after discovery has the
+//! list. Where balancers poll, each keeps a watch on discovery: a request waits there for changes, and the next
+//! request follows its response. Discovery processes the requests of all balancers one after another.
 
 use crate::engine::{Queue, SECOND, Time, millis, seconds};
 use balancer::decision::EndpointEntry;
@@ -10,39 +10,45 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-/// How long a watch waits, how long one may be silent beyond that, and the time in which a connection comes up:
-/// those of the balancer's own client.
+/// How long discovery holds a watch request open. This and the two timeouts below are those of the balancer's own
+/// discovery client.
 const WATCH_WAIT: Time = 2 * SECOND;
+/// How long the client waits for a response, beyond the time that the request may be held open.
 const RESPONSE_TIMEOUT: Time = SECOND;
+/// How long the client waits for a new connection.
 const CONNECT_TIMEOUT: Time = SECOND / 2;
-/// Pause before the next call of a watch that told nothing new.
+/// Pause before the next watch request after a response without changes.
 const WATCH_PAUSE: Time = SECOND / 20;
 
-/// The settings of the stand-in.
+/// Configuration of the simulated discovery service.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoveryConfig {
-    /// Lists are asked for, not pushed.
+    /// Balancers poll for lists instead of having them pushed.
     pub ask: bool,
-    /// Time from a change to its being listed, in seconds: at least and at most.
+    /// Minimum time until discovery lists a change, in seconds.
     pub notice_min_s: f64,
+    /// Maximum time until discovery lists a change, in seconds.
     pub notice_max_s: f64,
-    /// The same for a machine that has fallen silent.
+    /// Minimum time until discovery lists the removal of a machine that stopped responding, in seconds.
     pub silent_notice_min_s: f64,
+    /// Maximum time until discovery lists the removal of a machine that stopped responding, in seconds.
     pub silent_notice_max_s: f64,
-    /// Time from a list to the agent that pushes it on, in milliseconds: at least and at most.
+    /// Minimum time from listing a change until an agent pushes it to its balancer, in milliseconds.
     pub push_min_ms: f64,
+    /// Maximum time from listing a change until an agent pushes it to its balancer, in milliseconds.
     pub push_max_ms: f64,
-    /// One way from a balancer to discovery, in milliseconds.
+    /// One-way network delay between a balancer and discovery, in milliseconds.
     pub network_ms: f64,
-    /// What a new call, and one that goes on with a watch, cost a machine of discovery, in microseconds.
+    /// Processing time of a request that does not continue a watch, in microseconds on one machine.
     pub call_us: f64,
+    /// Processing time of a request that continues a watch, in microseconds on one machine.
     pub watch_us: f64,
-    /// Machines that discovery runs on.
+    /// Number of machines that discovery runs on.
     pub machines: f64,
-    /// A balancer that asks counts as told after this time, in seconds.
+    /// A polling balancer is considered notified of whatever was listed this many seconds ago.
     pub ask_within_s: f64,
-    /// Changes of lists a day, beside those that faults bring about.
+    /// List changes per day, in addition to those caused by faults.
     pub changes_per_day: f64,
 }
 
@@ -66,82 +72,89 @@
     }
 }
 
-/// An event of discovery; the number tells a call from those before it.
+/// An event of discovery: the index of the module instance that it concerns, and the number of the request or push.
+/// Events with an outdated number are ignored.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// What there is reaches a balancer.
+    /// A list or a response reaches a balancer.
     ListDelivered(u32, u32),
-    /// A call of a balancer reaches discovery.
+    /// A request of a balancer reaches discovery.
     RequestReceived(u32, u32),
-    /// The wait of a call is over.
+    /// The time for which a watch request may be held open is over.
     WatchWaitOver(u32, u32),
-    /// A balancer's call got no answer in time.
+    /// A balancer's request got no response in time.
     RequestTimedOut(u32, u32),
-    /// A balancer makes its next call.
+    /// A balancer sends its next request.
     NextRequest(u32, u32),
 }
 
-/// What comes of an event for a balancer.
+/// What an event means for the balancer that it concerns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// Nothing.
+    /// The balancer is not notified.
     Nothing,
-    /// The entries that changed, perhaps none.
+    /// The entries that changed; may be empty.
     Changes(Vec<EndpointEntry>),
-    /// The call failed.
+    /// The request failed.
     Failed,
 }
 
-/// A change of a service's list.
+/// A change of an entry in a service's list.
 #[derive(Clone, Copy, Debug)]
 struct Change {
-    /// Position of the entry.
+    /// Position of the entry in the list.
     entry: usize,
+    /// When the change happened.
     changed_at: Time,
+    /// When discovery listed it.
     listed_at: Time,
 }
 
+/// The endpoint list of a service.
 #[derive(Debug, Default)]
 struct List {
     entries: Vec<EndpointEntry>,
-    /// Its length is the list's version.
+    /// All changes so far. Their number is the version of the list.
     changes: Vec<Change>,
-    /// Calls that wait for news of it, in the order in which they came.
+    /// Instance and number of each watch request that is held open, in order of arrival.
     waiting_requests: Vec<(u32, u32)>,
-    /// The balancers that it is for.
+    /// Module instances that use this list.
     watchers: Vec<usize>,
 }
 
-/// What discovery or the agent holds of a balancer.
+/// What discovery, or the agent, knows about a module instance.
 #[derive(Clone, Debug, Default)]
 struct Watcher {
     service: usize,
-    /// The version that it has been told.
+    /// The list version that the instance has.
     known_version: usize,
-    /// The number of its call, or of the push on its way.
+    /// Number of the latest request or push.
     request_number: u32,
+    /// A request or a push is in progress.
     in_progress: bool,
     alive: bool,
+    /// The instance is in a region that is partitioned from discovery.
     partitioned: bool,
-    /// Since when it can be told.
+    /// Since when the instance can be reached.
     reachable_since: Time,
-    /// Its call goes on with a watch.
+    /// The next request continues a watch.
     continues_watch: bool,
 }
 
-/// Times from a change until balancers follow it.
+/// Delays from changes until balancers apply them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PropagationStats {
-    /// Changes told to a balancer each.
+    /// Number of deliveries: each change counts once for each balancer.
     pub count: u64,
-    /// From the change itself, in nanoseconds: the longest, and the sum.
+    /// Longest delay since the change happened, in nanoseconds.
     pub max_delay: Time,
+    /// Sum of the delays since the changes happened, in nanoseconds.
     pub total_delay: u128,
-    /// The longest from when discovery had it and could be reached.
+    /// Longest delay since discovery had listed the change and could reach the balancer, in nanoseconds.
     pub max_notification_delay: Time,
 }
 
-/// Discovery, and the agents of all balancers.
+/// The discovery service and the agents of all balancers.
 #[derive(Debug)]
 pub struct Discovery {
     config: DiscoveryConfig,
@@ -149,18 +162,21 @@
     lists: Vec<List>,
     watchers: Vec<Watcher>,
     down: bool,
-    /// When it is done with the calls that it has.
+    /// When discovery will have processed the requests that it has received.
     busy_until: Time,
-    /// Calls and pushes, and entries told with them.
+    /// Number of requests and pushes.
     pub messages: u64,
+    /// Number of list entries sent in responses and pushes.
     pub entries_sent: u64,
-    /// Calls that got no answer.
+    /// Number of requests without a response.
     pub failures: u64,
+    /// Delays of list changes.
     pub propagation: PropagationStats,
 }
 
 impl Discovery {
-    /// Discovery with a list for each service, and balancers that know them: each by the service it sends to.
+    /// Creates a discovery service with one list per service. `watchers` gives, for each module instance, the
+    /// service that it sends requests to; each instance starts with the current version of that list.
     pub fn new(
         config: DiscoveryConfig,
         rng: ChaCha8Rng,
@@ -188,12 +204,12 @@
         }
     }
 
-    /// The list of a service as it stands.
+    /// The current list of a service.
     pub fn list(&self, service: usize) -> &[EndpointEntry] {
         &self.lists[service].entries
     }
 
-    /// When a change that happens now is listed; later if its machine has just fallen silent.
+    /// Returns when a change that happens now will be listed; later if the machine stopped without notice.
     pub fn listing_time(&mut self, now: Time, silent: bool) -> Time {
         let (min, max) = match silent {
             false => (self.config.notice_min_s, self.config.notice_max_s),
@@ -202,7 +218,7 @@
         now + seconds(min + (max - min) * self.rng.random::<f64>())
     }
 
-    /// Lists a change that happened at a time, and sets out to tell all that can be told.
+    /// Lists a change that happened at `changed_at`, and starts to notify the balancers that can be reached.
     pub fn change<E: Copy + From<Event>>(
         &mut self,
         service: usize,
@@ -223,7 +239,7 @@
         }
     }
 
-    /// Sets out to tell a balancer what it does not know, where lists are pushed.
+    /// Starts to push the changes that a balancer does not have, if lists are pushed.
     fn push_list<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let down = self.down;
         let watcher = &mut self.watchers[instance];
@@ -244,7 +260,7 @@
         queue.push(at, Event::ListDelivered(instance as u32, watcher.request_number).into());
     }
 
-    /// Answers the calls that wait for news of a service.
+    /// Responds to the watch requests that wait for changes of a service's list.
     fn answer_waiting_requests<E: Copy + From<Event>>(&mut self, service: usize, queue: &mut Queue<E>) {
         if self.down {
             return;
@@ -257,7 +273,7 @@
         }
     }
 
-    /// A balancer subscribes: it makes its first call, or the first after a failure.
+    /// Starts a balancer's watch: sends its first request, or the first one after a failure.
     pub fn start_watch<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance];
         if self.config.ask && watcher.alive && !watcher.in_progress {
@@ -273,8 +289,8 @@
         self.messages += 1;
         let (number, now) = (watcher.request_number, queue.now());
         let reachable = !self.down && !watcher.partitioned;
-        // A connection that exists goes silent with its call, a new one does not come up. A call that does not go on
-        // with a watch does not wait.
+        // An existing connection stays silent during an outage, whereas a new one cannot be established. Requests
+        // that do not continue a watch are not held open.
         let timeout = match (watcher.continues_watch, reachable) {
             (true, _) => WATCH_WAIT + RESPONSE_TIMEOUT,
             (false, true) => RESPONSE_TIMEOUT,
@@ -293,13 +309,13 @@
         queue.push(at, Event::ListDelivered(instance, number).into());
     }
 
-    /// Works on a call that costs a machine so many microseconds, after those before it; tells when that is done.
+    /// Queues the processing of a request that takes `cost_us` microseconds on one machine; returns when it is done.
     fn schedule_work(&mut self, now: Time, cost_us: f64) -> Time {
         self.busy_until = self.busy_until.max(now) + (cost_us * 1e3 / self.config.machines.max(1.0)) as Time;
         self.busy_until
     }
 
-    /// Takes an event; tells the balancer that it concerns, and what that one hears.
+    /// Handles an event. Returns the module instance that it concerns and what that instance is notified of.
     pub fn handle<E: Copy + From<Event>>(
         &mut self,
         event: Event,
@@ -310,19 +326,19 @@
         | Event::WatchWaitOver(instance, number)
         | Event::RequestTimedOut(instance, number)
         | Event::NextRequest(instance, number)) = event;
-        let at = instance as usize;
-        let watcher = &self.watchers[at];
+        let index = instance as usize;
+        let watcher = &self.watchers[index];
         if watcher.request_number != number || !watcher.alive || !watcher.in_progress {
-            return (at, Notification::Nothing);
+            return (index, Notification::Nothing);
         }
         let reachable = !self.down && !watcher.partitioned;
         let (service, known_version, continues_watch) =
             (watcher.service, watcher.known_version, watcher.continues_watch);
         match event {
-            Event::ListDelivered(..) if reachable => return (at, self.on_list_delivered(instance, queue)),
-            Event::ListDelivered(..) if !self.config.ask => self.watchers[at].in_progress = false,
+            Event::ListDelivered(..) if reachable => return (index, self.on_list_delivered(instance, queue)),
+            Event::ListDelivered(..) if !self.config.ask => self.watchers[index].in_progress = false,
             Event::RequestReceived(..) if reachable => {
-                // What was missed is asked for without a wait, and so answered even where there is nothing new.
+                // The first request of a watch is not held open: it gets a response even without changes.
                 if known_version < self.lists[service].changes.len() || !continues_watch {
                     self.send_response(instance, number, queue);
                 } else {
@@ -340,17 +356,17 @@
                 }
             }
             Event::RequestTimedOut(..) => {
-                let watcher = &mut self.watchers[at];
+                let watcher = &mut self.watchers[index];
                 (watcher.in_progress, watcher.continues_watch) = (false, false);
                 watcher.request_number += 1;
-                self.lists[service].waiting_requests.retain(|&call| call != (instance, number));
+                self.lists[service].waiting_requests.retain(|&request| request != (instance, number));
                 self.failures += 1;
-                return (at, Notification::Failed);
+                return (index, Notification::Failed);
             }
             Event::NextRequest(..) => self.send_request(instance, queue),
-            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {} // it hears nothing, and gives up
+            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {} // unreachable: the request times out
         }
-        (at, Notification::Nothing)
+        (index, Notification::Nothing)
     }
 
     fn on_list_delivered<E: Copy + From<Event>>(
@@ -390,7 +406,7 @@
         Notification::Changes(entries)
     }
 
-    /// Discovery falls silent, or answers again. Calls that wait with it are dropped.
+    /// Starts or ends an outage of discovery. At the start, the requests that are held open are dropped.
     pub fn set_down<E: Copy + From<Event>>(&mut self, down: bool, queue: &mut Queue<E>) {
         self.down = down;
         if down {
@@ -402,7 +418,7 @@
         }
     }
 
-    /// A balancer is cut off from discovery, or not any more.
+    /// Separates a module instance from discovery, or connects it again.
     pub fn set_partitioned<E: Copy + From<Event>>(
         &mut self,
         instance: usize,
@@ -412,25 +428,25 @@
         let watcher = &mut self.watchers[instance];
         watcher.partitioned = partitioned;
         if partitioned {
-            let at = instance as u32;
-            self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != at);
+            let watcher_id = instance as u32;
+            self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != watcher_id);
         } else {
             watcher.reachable_since = queue.now();
             self.push_list(instance, queue);
         }
     }
 
-    /// A balancer has ended.
+    /// Handles the end of a module instance.
     pub fn instance_stopped(&mut self, instance: usize) {
         let watcher = &mut self.watchers[instance];
         (watcher.alive, watcher.in_progress, watcher.continues_watch) = (false, false, false);
         watcher.request_number += 1;
-        let at = instance as u32;
-        self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != at);
+        let watcher_id = instance as u32;
+        self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != watcher_id);
     }
 
-    /// A balancer has started, and asks for its first list: when it has it. With discovery silent it
-    /// waits no longer than for a connection; the list that it is configured with then is taken to be as good.
+    /// Starts a module instance and returns when it has its first list. While discovery cannot be reached, the
+    /// instance waits only for the connect timeout; its configured list is then assumed to be up to date.
     pub fn first_list_at(&mut self, instance: usize, now: Time) -> Time {
         let watcher = &mut self.watchers[instance];
         watcher.alive = true;
@@ -447,7 +463,7 @@
         self.schedule_work(now, self.config.call_us) + 2 * millis(self.config.network_ms)
     }
 
-    /// Changes that balancers which live and can be reached have not been told.
+    /// Number of changes not yet delivered to running balancers that can be reached; each counts once per balancer.
     pub fn undelivered_changes(&self) -> usize {
         let reachable =
             self.watchers.iter().filter(|watcher| watcher.alive && !watcher.partitioned && !self.down);
--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -580,7 +580,7 @@
         request.active_attempt = Some(active_attempt);
         self.counts.tiers[tier].attempts += u64::from(request.measured);
         self.counts.retries += u64::from(request.measured && number > 0);
-        self.counts.attempts += 1;
+        self.counts.attempts_sent += 1;
         self.counts.attempts_in_window += u64::from(now >= self.measurement_start && now < self.arrivals_end);
         self.counts.connections_opened += u64::from(opens_connection);
         self.counts.cross_zone += u64::from(zone != other);
--- a/emulator/src/hollow/config.rs
+++ b/emulator/src/hollow/config.rs
@@ -1,101 +1,109 @@
-//! The configuration of a run.
+//! The configuration of a hollow run: the `[hollow]` table of a scenario.
 
 use crate::discovery::DiscoveryConfig;
 use crate::faults::{Faults, Outage, RollingRestart, TierFault, ZoneLoss};
 use serde::Deserialize;
 
-/// The form of the call graph.
+/// The shape of the call graph.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// One service a tier; each call of one leads to one of the next.
+    /// One service per tier. Each request to a service leads to one request to the next tier.
     Chain,
-    /// Services of unequal size that call some of the deeper ones.
+    /// Services with different numbers of upstreams, each sending to some services of deeper tiers.
     #[default]
     Graph,
 }
 
-/// A run of the hollow mode. Times of faults count from the start of the run, the warm-up included.
+/// Configuration of a hollow run. Start times of faults are relative to the start of the run, including the warm-up.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The form of the call graph.
+    /// Shape of the call graph.
     pub shape: Shape,
-    /// Upstreams of a graph, each with its balancer.
+    /// Number of upstreams in a graph, each with its balancer.
     pub balancers: usize,
-    /// Services of a graph.
+    /// Number of services in a graph.
     pub services: usize,
-    /// Upstreams of each tier of a chain.
+    /// Number of upstreams in each tier of a chain.
     pub servers_per_tier: usize,
-    /// Tiers: so many calls below each other at most.
+    /// Number of tiers, and so the maximum depth of nested requests.
     pub depth: u32,
-    /// Zones, and the regions that they lie in.
+    /// Number of zones.
     pub zones: usize,
+    /// Number of regions that the zones are divided into evenly.
     pub regions: usize,
-    /// Front balancers, that the clients call.
+    /// Number of front balancers, which receive the clients' requests.
     pub fronts: usize,
-    /// Calls a second over all tiers, if none fails.
+    /// Requests per second over all tiers, if none fails.
     pub rate: f64,
-    /// Requests of clients a second; 0 to work them out from `rate`.
+    /// Client requests per second; 0 derives them from `rate`.
     pub requests: f64,
-    /// Time that is measured, and time before that, in seconds.
+    /// Length of the measured interval, in seconds.
     pub duration_s: f64,
+    /// Length of the warm-up before the measured interval, in seconds.
     pub warmup_s: f64,
-    /// Calls that a call leads to, on average, in a graph.
+    /// Mean number of requests that a request leads to in a graph.
     pub calls_per_call: f64,
-    /// Own work of a service on a call, in milliseconds: the median over the services, and the deviation of its
-    /// logarithm.
+    /// Median service time of a request over the services, in milliseconds, without waiting for other services.
     pub service_ms: f64,
+    /// Standard deviation of the logarithm of the services' service times.
     pub service_spread: f64,
-    /// Deviation over mean of the work of single calls.
+    /// Coefficient of variation of the service time of single requests.
     pub work_variation: f64,
-    /// Part of its time that an upstream works, if calls are spread evenly.
+    /// Fraction of time that an upstream is busy if the load is spread evenly.
     pub utilisation: f64,
-    /// Calls that wait at an upstream before it turns others away.
+    /// Length of an upstream's queue; further requests are rejected.
     pub queue_limit: usize,
-    /// Classes of requests: they differ in what repeating does.
+    /// Number of request classes, which differ in their idempotency.
     pub classes: usize,
-    /// Part of the requests with a key, and of those unsafe to repeat, where there are such classes.
+    /// Fraction of requests with an idempotency key, if there is such a class.
     pub keyed_share: f64,
+    /// Fraction of non-idempotent requests, if there is such a class.
     pub unsafe_share: f64,
-    /// Time within which an answer is worth something, and for which clients wait, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub aim_ms: f64,
+    /// Time that clients wait for a response, in milliseconds.
     pub deadline_ms: f64,
-    /// Most attempts of a balancer for one request.
+    /// Maximum number of attempts of a balancer for one request.
     pub max_attempts: u32,
-    /// What a crossing of zones costs, as part of a request's worth.
+    /// Price of crossing zones, as a fraction of the weight of a request.
     pub cross_price: f64,
-    /// Idle connections are closed after this time, in seconds; a new one comes up in this time, in milliseconds.
+    /// Idle connections are closed after this many seconds.
     pub conn_idle_s: f64,
+    /// Time until a connection attempt to a silent machine fails, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Part of the upstreams that have just started when the run begins.
+    /// Fraction of the upstreams that have just started when the run begins.
     pub cold_share: f64,
-    /// Part of its capacity that a cold server starts with, and the time in which it is warm, in seconds.
+    /// Fraction of its capacity that a cold upstream starts with.
     pub start_capacity: f64,
+    /// Warm-up time of an upstream, in seconds.
     pub ramp_s: f64,
-    /// A cold server sent more than this multiple of what it can do falls over, and the time over which that is
-    /// counted, in seconds.
+    /// A cold upstream that receives more than this multiple of its present capacity crashes.
     pub tip_multiple: f64,
+    /// Window over which the load of a cold upstream is counted, in seconds.
     pub fall_s: f64,
-    /// One way between two machines, in milliseconds.
+    /// One-way network delay within a zone, in milliseconds.
     pub same_zone_ms: f64,
+    /// One-way network delay between zones of a region, in milliseconds.
     pub cross_zone_ms: f64,
+    /// One-way network delay between regions, in milliseconds.
     pub cross_region_ms: f64,
-    /// What a balancer adds to a call and to its answer each, in microseconds.
+    /// Time that a balancer adds to each request and to each response, in microseconds.
     pub balancer_us: f64,
-    /// Time until clients leave a front balancer that is lost, in seconds.
+    /// Time until clients stop using a lost front balancer, in seconds.
     pub front_notice_s: f64,
-    /// Discovery and its agents.
+    /// The discovery service and its agents.
     pub discovery: DiscoveryConfig,
-    /// A tier whose calls fail.
+    /// A tier whose requests fail.
     pub tier_fault: TierFault,
-    /// A zone that is lost.
+    /// The loss of a zone.
     pub zone_lost: ZoneLoss,
-    /// The regions are cut from each other; discovery is in the first.
+    /// A partition between the regions; discovery is in the first one.
     pub region_cut: Outage,
-    /// Discovery is down.
+    /// An outage of discovery.
     pub discovery_down: Outage,
-    /// Upstreams are replaced one after another.
+    /// A rolling restart of the upstreams.
     pub rolling_restart: RollingRestart,
 }
 
@@ -150,7 +158,7 @@
 }
 
 impl Config {
-    /// Refuses what can't be run; the text names the key and its value.
+    /// Checks the bounds of all keys and their relations. The error names the key and its value.
     pub fn check(&self) -> Result<(), String> {
         let counts = [
             ("balancers", self.balancers, 1, 100_000),
@@ -244,14 +252,21 @@
             return Err(format!("`balancers` is {}, fewer than {} services", self.balancers, self.services));
         }
         if self.tier_fault.depth > self.depth {
-            return Err(format!("`tier_fault.depth` is {}, beyond {}", self.tier_fault.depth, self.depth));
+            return Err(format!(
+                "`tier_fault.depth` is {}, more than the depth of {}",
+                self.tier_fault.depth, self.depth
+            ));
         }
         if self.zone_lost.zone >= self.zones {
-            return Err(format!("`zone_lost.zone` is {} of {} zones", self.zone_lost.zone, self.zones));
+            return Err(format!(
+                "`zone_lost.zone` is {}, but there are only {} zones, counted from 0",
+                self.zone_lost.zone, self.zones
+            ));
         }
         Ok(())
     }
 
+    /// The faults of this configuration.
     pub(super) fn faults(&self) -> Faults<'_> {
         Faults {
             tier: &self.tier_fault,
@@ -262,7 +277,7 @@
         }
     }
 
-    /// The tier that the report looks at: the failing one, or the last.
+    /// Index of the tier whose attempts are reported separately: the failing tier, or the last one.
     pub(super) fn watched_tier(&self) -> usize {
         let depth = if self.tier_fault.depth == 0 { self.depth } else { self.tier_fault.depth };
         depth as usize - 1
--- a/emulator/src/hollow/outcome.rs
+++ b/emulator/src/hollow/outcome.rs
@@ -1,13 +1,13 @@
-//! What is counted over a run, and the outcome that comes of it.
+//! Counters of a hollow run, and the outcome computed from them.
 
 use super::{Fleet, START};
 use crate::engine::Time;
 use crate::report::{self, Table};
 
-/// Most rows of a table over time.
+/// Maximum number of rows of a table over time.
 const MAX_ROWS: usize = 120;
 
-/// Attempts by how they ended.
+/// Attempts of a tier by their outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TierCount {
     pub attempts: u64,
@@ -20,24 +20,29 @@
     pub cancelled: u64,
 }
 
-/// Requests of clients by how they ended.
+/// Client requests by their outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestCount {
     pub arrived: u64,
     pub served: u64,
+    /// Rejected by a balancer.
     pub refused: u64,
+    /// Failed by a balancer after its last attempt.
     pub failed: u64,
+    /// Never answered, because the front balancer was down or went down.
     pub lost: u64,
 }
 
-/// What is counted over a run.
+/// Counters of a run. Those of tiers and of client requests cover the measured interval; those of seconds, and the
+/// ones from `attempts_sent` on except for `retries`, cover the whole run.
 #[derive(Default)]
 pub(super) struct Counts {
     pub tiers: Vec<TierCount>,
     pub seconds: Vec<RequestCount>,
     pub client_requests: RequestCount,
-    /// Of all requests, measured or not.
-    pub attempts: u64,
+    /// Attempts sent during the whole run.
+    pub attempts_sent: u64,
+    /// Attempts sent during the measured interval.
     pub attempts_in_window: u64,
     pub retries: u64,
     pub refused_requests: u64,
@@ -57,7 +62,7 @@
 }
 
 impl Fleet<'_> {
-    /// All that the run has measured.
+    /// Computes the outcome: all figures and tables.
     pub(super) fn outcome(&self) -> report::Outcome {
         let counts = &self.counts;
         let requests = counts.client_requests;
@@ -83,7 +88,7 @@
         let (discovery, propagation) = (&self.discovery, &self.discovery.propagation);
         let latency_ms = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e6;
         let watched_expected = expected_requests(self.config.watched_tier()).max(f64::MIN_POSITIVE);
-        let messages = 2 * counts.attempts + counts.cancellations + discovery.messages;
+        let messages = 2 * counts.attempts_sent + counts.cancellations + discovery.messages;
         let figures = [
             ("requests", requests.arrived as f64),
             ("served_ratio", ratio(requests.served, requests.arrived)),
@@ -107,14 +112,14 @@
                 "watched_tier_amplification_ratio",
                 ratio(watched_tier.attempts, requests.arrived) / watched_expected,
             ),
-            ("refusals_per_call", ratio(counts.refused_requests, counts.attempts)),
+            ("refusals_per_call", ratio(counts.refused_requests, counts.attempts_sent)),
             ("probes", counts.load_queries as f64),
-            ("cross_zone_ratio", ratio(counts.cross_zone, counts.attempts)),
-            ("cross_region_ratio", ratio(counts.cross_region, counts.attempts)),
-            ("connects_per_call", ratio(counts.connections_opened, counts.attempts)),
-            ("events_per_call", ratio(self.queue.popped(), counts.attempts)),
-            ("module_events_per_call", ratio(counts.module_events, counts.attempts)),
-            ("messages_per_call", ratio(messages, counts.attempts)),
+            ("cross_zone_ratio", ratio(counts.cross_zone, counts.attempts_sent)),
+            ("cross_region_ratio", ratio(counts.cross_region, counts.attempts_sent)),
+            ("connects_per_call", ratio(counts.connections_opened, counts.attempts_sent)),
+            ("events_per_call", ratio(self.queue.popped(), counts.attempts_sent)),
+            ("module_events_per_call", ratio(counts.module_events, counts.attempts_sent)),
+            ("messages_per_call", ratio(messages, counts.attempts_sent)),
             ("list_calls_per_s", discovery.messages as f64 / elapsed_s),
             ("list_entries_per_s", discovery.entries_sent as f64 / elapsed_s),
             ("list_calls_per_balancer_s", discovery.messages as f64 / elapsed_s / balancers as f64),
@@ -145,6 +150,7 @@
         }
     }
 
+    /// A row per tier: its size, the attempts per client request, and the attempts by outcome.
     fn tier_table(&self) -> Table {
         let columns = [
             "tier",
@@ -181,7 +187,7 @@
         Table::new("Calls by tier", columns, self.counts.tiers.iter().enumerate().map(row).collect())
     }
 
-    /// What came of the requests over time, in as many seconds for a row as keep the table short.
+    /// Client requests by their outcome over time; a row covers several seconds if the table would be too long.
     fn second_table(&self) -> Table {
         let columns = ["from second", "requests", "served", "refused", "failed", "lost"];
         let seconds = &self.counts.seconds;
