--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -1,7 +1,7 @@
-//! The project's own decision module, unchanged, for a whole fleet in one incarnation on virtual time.
+//! The hollow mode: a whole fleet in one process on virtual time, with the balancer's own decision module.
 //!
-//! Each module instance gets the events, and has its actions carried out, as the real balancer does it; all around
-//! it is hollow. The same configuration and seed always give the same outcome.
+//! Each module instance receives its events and has its actions carried out as in the real balancer, while clients,
+//! upstreams, the network and discovery are simulated. The same configuration and seed always give the same outcome.
 
 mod config;
 mod outcome;
@@ -28,51 +28,54 @@
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
 
-/// Where the virtual clock starts: a state may have started long before.
+/// Initial value of the virtual clock: late enough that times well before the start of the run are not negative.
 const START: Time = 1_000 * SECOND;
-/// Steps of the window in which the requests of a cold state are counted.
+/// Number of buckets of the sliding window over which attempts to a cold upstream are counted.
 const OVERLOAD_WINDOW_BUCKETS: usize = 10;
-/// How often progress is told of.
+/// Interval between two progress reports, in virtual time.
 const PROGRESS_INTERVAL: Time = SECOND / 10;
 
-/// Runs a configuration that has been checked. `progress` is told of the virtual nanoseconds that are done, and
-/// of how many.
+/// Runs a checked configuration. `progress` receives the virtual nanoseconds that have passed and their total.
 pub fn run(config: &Config, seed: u64, progress: &dyn Fn(u64, u64)) -> report::Outcome {
     let mut fleet = Fleet::new(config, seed);
     fleet.run(progress);
     fleet.outcome()
 }
 
-/// An event on the virtual clock.
+/// An event on the virtual clock. Upstreams, instances, fronts, fault steps and updates are given by their index.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The next request of a client.
+    /// The next client request arrives.
     Arrival,
     /// An attempt reaches its upstream.
     AttemptReceived(Key),
-    /// An upstream's own work on an attempt is done.
+    /// An upstream has processed an attempt; requests to its callees follow.
     ProcessingDone(Key),
-    /// The end of an attempt reaches its balancer.
+    /// The response to an attempt, or its failure, reaches the balancer.
     ResponseReceived(Key),
-    /// An attempt has had its time.
+    /// The time limit of an attempt is reached.
     AttemptTimedOut(Key),
-    /// An upstream sees that an attempt was given up.
+    /// An upstream sees that the balancer closed the connection of an attempt.
     AttemptCancelled(Key),
-    /// A timer of a module instance.
+    /// A timer of a module instance fires.
     Timer(u32, u64),
+    /// An event of the simulated discovery service.
     Discovery(discovery::Event),
-    /// A change of a list is noticed.
+    /// Discovery lists a change of an endpoint's state.
     EndpointUpdate(u32),
-    /// A step of the plan of faults.
+    /// A step of the fault plan is due.
     Fault(u32),
-    /// An upstream's incarnation ends, starts, and has its lists.
+    /// The process of an upstream ends.
     UpstreamStop(u32),
+    /// A new process of an upstream starts.
     UpstreamStart(u32),
+    /// The balancer of a new process has its endpoint lists.
     UpstreamReady(u32),
-    /// Clients leave a front balancer that is lost, or a new one has its lists.
+    /// Clients stop using a lost front balancer.
     FrontRemoved(u32),
+    /// A new front balancer has its endpoint lists.
     FrontReady(u32),
-    /// A list changes for no fault's sake.
+    /// The listed capacity of a random endpoint changes.
     CapacityChange,
 }
 
@@ -82,15 +85,15 @@
     }
 }
 
-/// Who a request is made for.
+/// The sender of a request to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestSource {
     Client,
-    /// An upstream, for the attempt that it works on.
+    /// An upstream, on behalf of the attempt that it processes.
     Attempt(Key),
 }
 
-/// A request at a balancer that is not answered yet, or has an attempt out.
+/// A request at a balancer that awaits its response or has an active attempt.
 #[derive(Debug)]
 struct Request {
     instance: usize,
@@ -99,73 +102,77 @@
     class: usize,
     arrived_at: Time,
     deadline: Time,
-    /// An answer is owed.
+    /// Neither a response was sent nor did the client disconnect.
     awaiting_response: bool,
     attempt_count: u32,
     active_attempt: Option<Key>,
-    /// Its client's request came in the time that is measured.
+    /// The client request that led to this request arrived in the measured interval.
     measured: bool,
 }
 
-/// Where an attempt is.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptStage {
     InTransit,
     Queued,
     Processing,
-    /// The upstream has made a request of its own for it.
+    /// The upstream waits for the response to a request of its own.
     WaitingForCallee(Key),
     Responding,
-    /// Nothing will come of it any more.
+    /// No response will arrive.
     Lost,
 }
 
-/// An attempt.
+/// An attempt: a request that a balancer sent to an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     request: Key,
     number: u32,
     upstream: usize,
     class: usize,
-    sent: Time,
+    sent_at: Time,
     until: Time,
-    /// It opens a connection, or goes out on one to a incarnation that is gone.
+    /// The attempt opens a connection.
     opens_connection: bool,
+    /// The attempt uses a connection to a process that has ended.
     connection_stale: bool,
-    /// Its balancer waits for it.
+    /// The balancer still waits for the response.
     awaited: bool,
     stage: AttemptStage,
     outcome: AttemptOutcome,
-    /// The next callee of its service to be called or not.
+    /// Index of the next callee of the upstream's service.
     next_callee: usize,
     measured: bool,
 }
 
-/// Whether a incarnation runs.
+/// The state of an upstream's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Up,
-    /// Its connections are reset and refused.
+    /// The machine is up, but no process runs: connections are reset or refused.
     Down,
-    /// Its machine is gone, and says nothing.
+    /// The machine has vanished: nothing is sent in response.
     Silent,
 }
 
-/// An upstream at work.
+/// The state of an upstream.
 #[derive(Debug)]
 struct UpstreamState {
     process_state: ProcessState,
-    /// Its processes so far.
+    /// Number of processes that have ended; identifies the present or the next process.
     incarnation: u32,
+    /// Start of the latest process; `None` if it was warm when the run began.
     started: Option<Time>,
+    /// Number of attempts being processed.
     processing: u32,
     queue: VecDeque<Key>,
-    /// Calls in the last steps of the window over which a cold one is judged, and the last step.
+    /// Number of attempts in each bucket of the overload window, while the upstream is cold.
     recent_attempts: [u32; OVERLOAD_WINDOW_BUCKETS],
+    /// Number of the latest bucket since the start of the clock.
     last_bucket: Time,
 }
 
-/// A module instance with what the driver of a real balancer keeps beside it.
+/// A module instance, with the state that the dispatcher of a real balancer keeps for it.
 struct InstanceState {
     balancer: LoadBalancer,
     alive: bool,
@@ -175,24 +182,26 @@
     idle_connections: Vec<IdleConnections>,
 }
 
-/// Idle connections of an instance to an upstream.
+/// Idle connections of a module instance to one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleConnections {
     count: u32,
-    /// When the last was used, and the incarnation of the upstream that it leads to.
+    /// When a connection was last used.
     last_used: Time,
+    /// Incarnation of the upstream that the connections lead to.
     incarnation: u32,
 }
 
-/// When a change of a list holds, once it is noticed.
+/// The condition under which a scheduled endpoint update still applies when discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ValidWhile {
-    /// As long as the upstream's incarnation is this one.
+    /// The upstream still has this incarnation.
     Incarnation(u32),
-    /// As long as the regions are cut for this time.
+    /// The regions are still separated by this partition.
     Partition(u32),
 }
 
+/// A change of an endpoint's state that discovery lists after a delay.
 #[derive(Clone, Copy, Debug)]
 struct EndpointUpdate {
     upstream: usize,
@@ -201,6 +210,7 @@
     valid_while: ValidWhile,
 }
 
+/// The state of a run.
 struct Fleet<'a> {
     config: &'a Config,
     topology: Topology,
@@ -221,8 +231,9 @@
     tier_failing: bool,
     regions_partitioned: bool,
     partition_count: u32,
-    /// Front balancers that run, and those that clients request.
+    /// Whether each front balancer runs.
     front_up: Vec<bool>,
+    /// Whether clients send requests to each front balancer.
     front_in_rotation: Vec<bool>,
     actions: Vec<Action>,
     pending_attempt_ends: VecDeque<(usize, RequestId, AttemptEnd)>,
@@ -295,7 +306,7 @@
         let variance = (1.0 + config.work_variation * config.work_variation).ln();
         let mut fleet = Self {
             service_time_factor: LogNormal::new(-variance / 2.0, variance.sqrt())
-                .expect("the variation has been checked"),
+                .expect("the checked variation gives a finite deviation"),
             counts: Counts {
                 tiers: vec![TierCount::default(); config.depth as usize],
                 seconds: vec![
@@ -325,7 +336,8 @@
             partition_count: 0,
             actions: Vec::new(),
             pending_attempt_ends: VecDeque::new(),
-            latency: Histogram::new_with_max(3_600 * SECOND, 3).expect("these bounds are allowed"),
+            latency: Histogram::new_with_max(3_600 * SECOND, 3)
+                .expect("the bounds of the latency histogram are valid"),
             measured_in_flight: 0,
             measurement_start,
             arrivals_end,
@@ -381,11 +393,11 @@
             Event::EndpointUpdate(update) => self.on_endpoint_update(update as usize),
             Event::Fault(step) => self.on_fault(self.fault_plan[step as usize]),
             Event::UpstreamStop(upstream)
-                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // its zone was lost
+                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // already down: its zone was lost
             Event::UpstreamStop(upstream) => {
                 self.stop_upstream(upstream as usize, ProcessState::Down);
-                let after = seconds(self.config.rolling_restart.down_s);
-                self.queue.push(self.queue.now() + after, Event::UpstreamStart(upstream));
+                let downtime = seconds(self.config.rolling_restart.down_s);
+                self.queue.push(self.queue.now() + downtime, Event::UpstreamStart(upstream));
             }
             Event::UpstreamStart(upstream) => self.on_upstream_start(upstream as usize),
             Event::UpstreamReady(upstream) => self.on_upstream_ready(upstream as usize),
@@ -401,8 +413,10 @@
         }
     }
 
-    // ---- Clients ----
+    // ---- Client requests ----
 
+    /// Sends the next client request to a front balancer in rotation. It is lost if there is none, or if the
+    /// balancer is down.
     fn on_arrival(&mut self) {
         let Arrival { at, class, entry } = self.next_arrival;
         self.next_arrival = self.load.next_arrival();
@@ -426,6 +440,7 @@
         self.start_request(instance, RequestSource::Client, class, deadline, measured);
     }
 
+    /// Counts a client request for its second of arrival, and for the whole run if it is measured.
     fn count_request(
         &mut self,
         arrived_at: Time,
@@ -441,9 +456,9 @@
         }
     }
 
-    // ---- Calls ----
+    // ---- Requests at a balancer ----
 
-    /// A request comes to a balancer.
+    /// Hands a new request to a module instance.
     fn start_request(
         &mut self,
         instance: usize,
@@ -482,7 +497,7 @@
         key
     }
 
-    /// Gives a request its final answer, if one is owed still.
+    /// Gives a request its final response, unless it already has one or its client disconnected.
     fn respond(&mut self, key: Key, response: Response) {
         let Some(request) = self.requests.get_mut(key) else { return };
         if !std::mem::replace(&mut request.awaiting_response, false) {
@@ -505,12 +520,13 @@
             }
             RequestSource::Attempt(attempt) => match response {
                 Response::Served => self.continue_attempt(attempt),
-                // An upstream fails if any of its requests does.
+                // An upstream responds with an error if any of its own requests fails.
                 Response::Refused | Response::Failed => self.finish_attempt(attempt, AttemptOutcome::Error),
             },
         }
     }
 
+    /// Removes a request that has its response and no active attempt.
     fn remove_if_done(&mut self, key: Key) {
         if self
             .requests
@@ -522,9 +538,10 @@
         }
     }
 
-    // ---- Attempts, at the balancer ----
+    // ---- Attempts: balancer side ----
 
-    /// `times` are when the attempt is given up, and when it must have begun.
+    /// Sends an attempt, or reports it as not sent. `times` are its time limit and, if there is one, the time before
+    /// which it must reach the network.
     fn send(&mut self, instance: usize, id: RequestId, endpoint: EndpointId, times: (Time, Option<Time>)) {
         let now = self.queue.now();
         let (until, begin_by) = times;
@@ -534,8 +551,9 @@
         let (number, until) = (request.attempt_count, until.min(request.deadline));
         request.attempt_count += 1;
         let upstream = endpoint.0 as usize;
-        let (zone, other) = (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
-        let delay = network_delay(self.config, zone, other);
+        let (zone, upstream_zone) =
+            (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
+        let delay = network_delay(self.config, zone, upstream_zone);
         let idle_connections = &mut instance_state.idle_connections[self.topology.index_in_service(upstream)];
         let opens_connection = idle_connections.count == 0
             || now.saturating_sub(idle_connections.last_used) >= seconds(self.config.conn_idle_s);
@@ -565,7 +583,7 @@
             number,
             upstream,
             class: request.class,
-            sent: now,
+            sent_at: now,
             until,
             opens_connection,
             connection_stale,
@@ -583,18 +601,20 @@
         self.counts.attempts_sent += 1;
         self.counts.attempts_in_window += u64::from(now >= self.measurement_start && now < self.arrivals_end);
         self.counts.connections_opened += u64::from(opens_connection);
-        self.counts.cross_zone += u64::from(zone != other);
-        self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, other));
+        self.counts.cross_zone += u64::from(zone != upstream_zone);
+        self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, upstream_zone));
         self.queue.push(starts_at + delay, Event::AttemptReceived(active_attempt));
         self.queue.push(until, Event::AttemptTimedOut(active_attempt));
     }
 
-    /// Time from a balancer to the upstream of an attempt; `None` if nothing gets through.
+    /// Network delay between a balancer and the upstream of its attempt; `None` while they are partitioned or if
+    /// the request was removed.
     fn upstream_delay(&self, attempt: &Attempt) -> Option<Time> {
         let zone = self.topology.instances[self.requests.get(attempt.request)?.instance].zone;
-        let other = self.topology.upstreams[attempt.upstream].zone;
-        let partitioned = self.regions_partitioned && Topology::regions_differ(self.config, zone, other);
-        (!partitioned).then(|| network_delay(self.config, zone, other))
+        let upstream_zone = self.topology.upstreams[attempt.upstream].zone;
+        let partitioned =
+            self.regions_partitioned && Topology::regions_differ(self.config, zone, upstream_zone);
+        (!partitioned).then(|| network_delay(self.config, zone, upstream_zone))
     }
 
     fn on_response_received(&mut self, key: Key) {
@@ -617,8 +637,8 @@
         self.on_attempt_ended(&timed_out, outcome);
     }
 
-    /// A balancer stops waiting for an attempt: it closes the connection, which the upstream sees unless its own
-    /// machine or the balancer's has fallen silent.
+    /// Stops waiting for an attempt and closes its connection. The upstream sees that, unless `silent` is set
+    /// because the balancer's machine vanished, or the regions are partitioned.
     fn abandon_attempt(&mut self, key: Key, silent: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         attempt.awaited = false;
@@ -631,7 +651,7 @@
         }
     }
 
-    /// The balancer of an attempt hears how it ended.
+    /// Records the outcome of an attempt and notifies the module instance that sent it.
     fn on_attempt_ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let now = self.queue.now();
         let tier = self.topology.service_of(attempt.upstream).tier as usize;
@@ -663,7 +683,7 @@
         let end = AttemptEnd {
             attempt: attempt.number,
             outcome,
-            elapsed: now - attempt.sent,
+            elapsed: now - attempt.sent_at,
             request_closed: served || !awaiting_response,
             body_consumed: false,
             load: None,
@@ -676,7 +696,7 @@
         }
     }
 
-    // ---- Attempts, at the upstream ----
+    // ---- Attempts: upstream side ----
 
     fn on_attempt_received(&mut self, key: Key) {
         let now = self.queue.now();
@@ -685,8 +705,8 @@
             self.attempts.remove(key);
             return;
         }
-        let (upstream, opens_connection, connection_stale, sent) =
-            (attempt.upstream, attempt.opens_connection, attempt.connection_stale, attempt.sent);
+        let (upstream, opens_connection, connection_stale, sent_at) =
+            (attempt.upstream, attempt.opens_connection, attempt.connection_stale, attempt.sent_at);
         let reachable = self.upstream_delay(attempt).is_some();
         let process_state = self.upstream_states[upstream].process_state;
         if !reachable || process_state == ProcessState::Silent {
@@ -694,7 +714,8 @@
             attempt.stage = AttemptStage::Lost;
             if opens_connection {
                 (attempt.stage, attempt.outcome) = (AttemptStage::Responding, AttemptOutcome::ConnectFailed);
-                self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::ResponseReceived(key));
+                self.queue
+                    .push(sent_at + millis(self.config.connect_timeout_ms), Event::ResponseReceived(key));
             }
             return;
         }
@@ -728,18 +749,18 @@
         } else {
             self.finish_attempt(key, AttemptOutcome::Rejected);
         }
-        debug_assert!(now >= sent);
+        debug_assert!(now >= sent_at);
     }
 
-    /// Part of its capacity that an upstream has: all of it once it is warm.
+    /// The fraction of its capacity that an upstream has reached; 1 once it is warm.
     fn capacity_fraction(&self, upstream: usize) -> f64 {
         let Some(started) = self.upstream_states[upstream].started else { return 1.0 };
-        let age = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
-        (self.config.start_capacity + (1.0 - self.config.start_capacity) * age).min(1.0)
+        let warm_up_progress = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
+        (self.config.start_capacity + (1.0 - self.config.start_capacity) * warm_up_progress).min(1.0)
     }
 
-    /// Counts a request of a cold upstream, and tells whether it falls over: more came in the window than the
-    /// multiple of what it can do, and than chance adds to that.
+    /// Counts an attempt to a cold upstream and returns whether the upstream crashes: whether the attempts in the
+    /// window exceed the allowed multiple of its capacity, plus a margin for the variance of random arrivals.
     fn record_cold_attempt(&mut self, upstream: usize) -> bool {
         let capacity_fraction = self.capacity_fraction(upstream);
         if capacity_fraction >= 1.0 {
@@ -763,6 +784,7 @@
         f64::from(state.recent_attempts.iter().sum::<u32>()) > limit + 2.0 * limit.sqrt() + 2.0
     }
 
+    /// Starts to process an attempt and draws its service time.
     fn start_processing(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         attempt.stage = AttemptStage::Processing;
@@ -797,7 +819,7 @@
         }
     }
 
-    /// Takes the next request from an upstream's queue; one whose time is over is not begun any more.
+    /// Starts to process the next attempt in an upstream's queue. Attempts that reached their time limit are rejected.
     fn start_next_queued(&mut self, upstream: usize) {
         let now = self.queue.now();
         while let Some(key) = self.upstream_states[upstream].queue.pop_front() {
@@ -810,7 +832,7 @@
         }
     }
 
-    /// An upstream makes the next of its requests for an attempt, or has its answer.
+    /// Sends the upstream's next request for an attempt, or finishes the attempt if there is none.
     fn continue_attempt(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         let (class, until, measured, upstream) =
@@ -828,7 +850,7 @@
         self.finish_attempt(key, AttemptOutcome::Success);
     }
 
-    /// An upstream answers an attempt.
+    /// Sends the upstream's response to an attempt.
     fn finish_attempt(&mut self, key: Key, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let delay = self.upstream_delay(attempt).filter(|_| attempt.awaited);
@@ -844,7 +866,7 @@
             None if awaited => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
                     attempt.stage = AttemptStage::Lost;
-                    attempt.opens_connection = false; // it has reached the upstream: nothing says that it never ran
+                    attempt.opens_connection = false; // may have been processed: not a failed connect
                 }
             }
             None => drop(self.attempts.remove(key)),
@@ -861,14 +883,14 @@
             }
             AttemptStage::WaitingForCallee(request) => {
                 self.attempts.remove(key);
-                self.client_disconnected(request);
+                self.on_client_disconnected(request);
             }
             AttemptStage::Lost => drop(self.attempts.remove(key)),
-            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {} // seen when that is over
+            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {} // handled when this stage ends
         }
     }
 
-    fn client_disconnected(&mut self, key: Key) {
+    fn on_client_disconnected(&mut self, key: Key) {
         let Some(request) = self.requests.get_mut(key).filter(|request| request.awaiting_response) else {
             return;
         };
@@ -878,9 +900,9 @@
         self.remove_if_done(key);
     }
 
-    // ---- Lists ----
+    // ---- Endpoint lists ----
 
-    /// A change of an upstream's entry comes into the list once discovery has noticed it.
+    /// Schedules a change of an endpoint's state, which discovery lists after a delay.
     fn schedule_endpoint_update(
         &mut self,
         upstream: usize,
@@ -906,6 +928,7 @@
         }
     }
 
+    /// Lists the state of an endpoint, with the start time of its latest process.
     fn update_endpoint(&mut self, upstream: usize, endpoint_state: EndpointState, changed_at: Time) {
         let (service, entry) =
             (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
@@ -915,7 +938,7 @@
         self.counts.list_changes += 1;
     }
 
-    /// Sets the time of the next change that no fault brings about.
+    /// Schedules the next change of a listed capacity.
     fn schedule_capacity_change(&mut self) {
         let rate = self.config.discovery.changes_per_day / 86_400.0;
         if rate > 0.0 {
@@ -924,7 +947,7 @@
         }
     }
 
-    /// An upstream is given another size, in turn a little less and all of it.
+    /// Toggles the listed capacity of a random endpoint between 1 and 0.9.
     fn on_capacity_change(&mut self) {
         self.schedule_capacity_change();
         let upstream = self.rng.random_range(0..self.upstream_states.len());
@@ -940,7 +963,7 @@
 
     fn on_fault(&mut self, step: FaultStep) {
         match step {
-            FaultStep::TierFailing(fails) => self.tier_failing = fails,
+            FaultStep::TierFailing(failing) => self.tier_failing = failing,
             FaultStep::ZoneLost(zone, lost) => self.set_zone_lost(zone, lost),
             FaultStep::RegionsPartitioned(partitioned) => self.set_regions_partitioned(partitioned),
             FaultStep::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
@@ -956,6 +979,7 @@
         }
     }
 
+    /// Takes down all upstreams and front balancers of a zone, or starts new processes for them.
     fn set_zone_lost(&mut self, zone: usize, lost: bool) {
         let now = self.queue.now();
         for upstream in (0..self.upstream_states.len())
@@ -986,12 +1010,14 @@
                 let at = now + seconds(self.config.front_notice_s);
                 self.queue.push(at, Event::FrontRemoved(front as u32));
             } else {
-                let ready = self.first_lists_at(instances);
-                self.queue.push(ready, Event::FrontReady(front as u32));
+                let ready_at = self.first_lists_at(instances);
+                self.queue.push(ready_at, Event::FrontReady(front as u32));
             }
         }
     }
 
+    /// Starts or ends a partition between the regions. Discovery is in the first region, so it removes the endpoints
+    /// of the others, and lists them again after the partition.
     fn set_regions_partitioned(&mut self, partitioned: bool) {
         self.regions_partitioned = partitioned;
         self.partition_count += u32::from(partitioned);
@@ -1024,8 +1050,8 @@
         }
     }
 
-    /// The incarnation of an upstream ends, and with it its balancer. Connections to it are reset, unless its machine
-    /// is gone: then they are found out when they are used.
+    /// Ends the process of an upstream and its balancer. If the machine is still up, connections are reset; if it
+    /// vanished, balancers only notice when they use a connection.
     fn stop_upstream(&mut self, upstream: usize, process_state: ProcessState) {
         if process_state == ProcessState::Down {
             let index = self.topology.index_in_service(upstream);
@@ -1065,7 +1091,7 @@
         );
     }
 
-    /// Module instances end: nobody waits for their attempts any more, and clients' requests are lost.
+    /// Ends module instances: their attempts are abandoned, and pending client requests are lost.
     fn stop_instances(&mut self, instances: Range<usize>, silent: bool) {
         for key in self.requests.keys(|request| instances.contains(&request.instance)) {
             let Some(request) = self.requests.get(key) else { continue };
@@ -1094,26 +1120,27 @@
         }
     }
 
-    /// A new incarnation starts: cold, and of use once its balancer has its lists.
+    /// Starts a new process of an upstream. It is cold, and takes requests once its balancer has its lists.
     fn on_upstream_start(&mut self, upstream: usize) {
         let now = self.queue.now();
         self.upstream_states[upstream].started = Some(now);
         let instances = self.topology.upstreams[upstream].instances.clone();
-        let ready = self.first_lists_at(instances);
-        self.counts.max_start_time = self.counts.max_start_time.max(ready - now);
-        self.queue.push(ready, Event::UpstreamReady(upstream as u32));
+        let ready_at = self.first_lists_at(instances);
+        self.counts.max_start_time = self.counts.max_start_time.max(ready_at - now);
+        self.queue.push(ready_at, Event::UpstreamReady(upstream as u32));
     }
 
-    /// When module instances that start now have their lists.
+    /// Returns when module instances that start now have their first lists.
     fn first_lists_at(&mut self, instances: Range<usize>) -> Time {
         let now = self.queue.now();
         instances.map(|instance| self.discovery.first_list_at(instance, now)).max().unwrap_or(now)
     }
 
+    /// Puts a started upstream in service, and schedules its listing.
     fn on_upstream_ready(&mut self, upstream: usize) {
         let state = &mut self.upstream_states[upstream];
         if state.process_state == ProcessState::Up {
-            return; // started twice: after a restart, and with its zone
+            return; // started twice: by a restart and by the return of its zone
         }
         state.process_state = ProcessState::Up;
         (state.recent_attempts, state.last_bucket) = ([0; OVERLOAD_WINDOW_BUCKETS], 0);
@@ -1127,7 +1154,7 @@
         );
     }
 
-    /// Module instances start anew, and know their lists.
+    /// Replaces module instances by new ones and gives them their endpoint lists.
     fn restart_instances(&mut self, instances: Range<usize>) {
         let now = self.queue.now();
         for instance in instances {
@@ -1141,14 +1168,16 @@
         }
     }
 
-    // ---- The module ----
+    // ---- Decision module ----
 
+    /// Gives a module instance the whole endpoint list of its service.
     fn send_endpoint_list(&mut self, instance: usize) {
         let list = self.discovery.list(self.topology.instances[instance].service).to_vec();
         self.notify_instance(instance, ModuleEvent::EndpointList(&list));
     }
 
-    /// Tells an instance of an event, does what it says, and tells it of what came of that at once.
+    /// Passes an event to a module instance and carries out its actions, then does the same for the attempt ends that
+    /// these actions caused.
     fn notify_instance(&mut self, instance: usize, event: ModuleEvent<'_>) {
         self.handle(instance, event);
         while let Some((instance, id, end)) = self.pending_attempt_ends.pop_front() {
@@ -1159,6 +1188,7 @@
         }
     }
 
+    /// Passes one event to a module instance and carries out its actions.
     fn handle(&mut self, instance: usize, event: ModuleEvent<'_>) {
         let instance_state = &mut self.instance_states[instance];
         if !instance_state.alive {
@@ -1188,7 +1218,7 @@
                 self.queue.push(self.queue.now().saturating_add(after), Event::Timer(instance as u32, token));
             }
             Action::WatchEndpoints => self.discovery.start_watch(instance, &mut self.queue),
-            Action::QueryLoad(_) => self.counts.load_queries += 1, // the settings allow none
+            Action::QueryLoad(_) => self.counts.load_queries += 1, // not allowed by the settings
             Action::Log(_) => self.counts.log_lines += 1,
         }
     }
@@ -1199,6 +1229,7 @@
         }
     }
 
+    /// Cancels an attempt on behalf of the module and queues the notification of its end.
     fn cancel_attempt(&mut self, instance: usize, id: RequestId, number: u32) {
         let Some(&key) = self.instance_states[instance].requests.get(&id) else { return };
         let Some(active_attempt) = self.requests.get(key).and_then(|request| request.active_attempt) else {
@@ -1208,12 +1239,12 @@
         else {
             return;
         };
-        let sent = attempt.sent;
+        let sent_at = attempt.sent_at;
         self.counts.cancellations += 1;
         self.abandon_attempt(active_attempt, false);
         let Some(request) = self.requests.get_mut(key) else { return };
         request.active_attempt = None;
-        let (elapsed, closed) = (self.queue.now() - sent, !request.awaiting_response);
+        let (elapsed, closed) = (self.queue.now() - sent_at, !request.awaiting_response);
         let end = AttemptEnd {
             attempt: number,
             outcome: AttemptOutcome::Cancelled,
@@ -1226,7 +1257,7 @@
     }
 }
 
-/// A final answer.
+/// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Response {
     Served,
@@ -1234,7 +1265,7 @@
     Failed,
 }
 
-/// A module instance as its balancer starts it.
+/// Creates the decision module of a module instance.
 fn new_balancer(
     config: &Config,
     classes: &[RequestClass],
@@ -1271,17 +1302,17 @@
         cross_zone_price: config.cross_price,
         load_query_price: 1.0,
     };
-    LoadBalancer::new(settings, seed, now).expect("settings that come from a checked configuration hold")
+    LoadBalancer::new(settings, seed, now).expect("a checked configuration gives valid settings")
 }
 
-/// What a balancer adds to a request, or to its answer.
+/// Time that a balancer adds to each request and to each response.
 fn balancer_service_time(config: &Config) -> Time {
     (config.balancer_us * 1e3) as Time
 }
 
-/// Time from one zone to another.
-fn network_delay(config: &Config, zone: usize, other: usize) -> Time {
-    millis(match (zone == other, Topology::regions_differ(config, zone, other)) {
+/// One-way network delay between two zones.
+fn network_delay(config: &Config, from_zone: usize, to_zone: usize) -> Time {
+    millis(match (from_zone == to_zone, Topology::regions_differ(config, from_zone, to_zone)) {
         (true, _) => config.same_zone_ms,
         (_, true) => config.cross_region_ms,
         (_, false) => config.cross_zone_ms,
