--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -542,7 +542,13 @@
 
     /// Sends an attempt, or reports it as not sent. `times` are its time limit and, if there is one, the time before
     /// which it must reach the network.
-    fn send(&mut self, instance: usize, id: RequestId, endpoint: EndpointId, times: (Time, Option<Time>)) {
+    fn send_attempt(
+        &mut self,
+        instance: usize,
+        id: RequestId,
+        endpoint: EndpointId,
+        times: (Time, Option<Time>),
+    ) {
         let now = self.queue.now();
         let (until, begin_by) = times;
         let instance_state = &mut self.instance_states[instance];
@@ -1179,9 +1185,9 @@
     /// Passes an event to a module instance and carries out its actions, then does the same for the attempt ends that
     /// these actions caused.
     fn notify_instance(&mut self, instance: usize, event: ModuleEvent<'_>) {
-        self.handle(instance, event);
+        self.dispatch_event(instance, event);
         while let Some((instance, id, end)) = self.pending_attempt_ends.pop_front() {
-            self.handle(instance, ModuleEvent::AttemptEnded(id, end));
+            self.dispatch_event(instance, ModuleEvent::AttemptEnded(id, end));
             if let Some(&key) = self.instance_states[instance].requests.get(&id) {
                 self.remove_if_done(key);
             }
@@ -1189,7 +1195,7 @@
     }
 
     /// Passes one event to a module instance and carries out its actions.
-    fn handle(&mut self, instance: usize, event: ModuleEvent<'_>) {
+    fn dispatch_event(&mut self, instance: usize, event: ModuleEvent<'_>) {
         let instance_state = &mut self.instance_states[instance];
         if !instance_state.alive {
             return;
@@ -1204,7 +1210,7 @@
     fn apply_action(&mut self, instance: usize, action: Action) {
         match action {
             Action::Send { id, endpoint, until, begin_by } => {
-                self.send(instance, id, endpoint, (until, begin_by))
+                self.send_attempt(instance, id, endpoint, (until, begin_by))
             }
             Action::Reject { id, .. } => self.respond_by_id(instance, id, Response::Refused),
             Action::Fail(id) => self.respond_by_id(instance, id, Response::Failed),
--- a/emulator/src/topology.rs
+++ b/emulator/src/topology.rs
@@ -152,7 +152,7 @@
             .collect();
         tiers.sort_unstable();
         tiers.into_iter().for_each(|tier| self.add_service(tier));
-        let in_tier: Vec<Vec<usize>> = (0..config.depth)
+        let services_in_tier: Vec<Vec<usize>> = (0..config.depth)
             .map(|tier| (0..config.services).filter(|&index| self.services[index].tier == tier).collect())
             .collect();
         let mut has_client = vec![false; config.services];
@@ -161,10 +161,10 @@
             if tier + 1 == depth {
                 continue;
             }
-            let mut callees = vec![*in_tier[tier + 1].choose(rng).expect("each tier has a service")];
+            let mut callees = vec![*services_in_tier[tier + 1].choose(rng).expect("each tier has a service")];
             for _ in 0..rng.random_range(0..=2) {
-                let deeper = rng.random_range(tier + 1..depth.min(tier + 4));
-                let callee = *in_tier[deeper].choose(rng).expect("each tier has a service");
+                let callee_tier = rng.random_range(tier + 1..depth.min(tier + 4));
+                let callee = *services_in_tier[callee_tier].choose(rng).expect("each tier has a service");
                 if !callees.contains(&callee) {
                     callees.push(callee);
                 }
@@ -176,7 +176,7 @@
         for index in (0..config.services).filter(|&index| !has_client[index]) {
             let tier = self.services[index].tier as usize;
             if tier > 0 {
-                let client = *in_tier[tier - 1].choose(rng).expect("each tier has a service");
+                let client = *services_in_tier[tier - 1].choose(rng).expect("each tier has a service");
                 self.services[client].callees.push(Callee { service: index, probability: 0.0 });
             }
         }
@@ -188,7 +188,7 @@
                 callee.probability = (config.calls_per_call * weight / weights).min(1.0);
             }
         }
-        self.entry_services = in_tier[0].clone();
+        self.entry_services = services_in_tier[0].clone();
     }
 
     /// Computes the expected requests to each service for one client request.
@@ -230,12 +230,12 @@
     /// service with two of them are in different regions.
     fn add_upstreams(&mut self, config: &Config, sizes: &[usize], rng: &mut ChaCha8Rng) {
         let per_region = config.zones / config.regions;
-        let spread = LogNormal::new(0.0, config.service_spread)
+        let service_time_spread = LogNormal::new(0.0, config.service_spread)
             .expect("the checked spread is finite and not negative");
         for (index, &size) in sizes.iter().enumerate() {
-            let first = rng.random_range(0..config.zones);
+            let first_position = rng.random_range(0..config.zones);
             let start = self.upstreams.len();
-            for position in first..first + size {
+            for position in first_position..first_position + size {
                 let (region, index_in_region) =
                     (position % config.regions, position / config.regions % per_region);
                 let zone = region * per_region + index_in_region;
@@ -243,7 +243,7 @@
             }
             let service = &mut self.services[index];
             service.upstreams = start..self.upstreams.len();
-            service.mean_service_time = config.service_ms * 1e6 * spread.sample(rng);
+            service.mean_service_time = config.service_ms * 1e6 * service_time_spread.sample(rng);
             let rate = service.requests_per_client_request * self.request_rate / size as f64;
             service.concurrency =
                 (rate * service.mean_service_time / 1e9 / config.utilisation).ceil().max(1.0) as u32;
