--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Stands in for discovery and its agents on the virtual clock, as the protocol describes them.
+//! A simulated discovery service and its agents, on the virtual clock.
 //!
-//! Pushed lists reach a balancer through an agent on its own machine, each some time after discovery has them.
-//! Where lists are asked for, a balancer keeps a watch on discovery itself: a call waits there for what is new,
-//! and the next one follows on its answer. Discovery works on the calls of all balancers in turn.
+//! Pushed lists reach a balancer through an agent on its own machine, each with a delay after discovery has the
+//! list. Where balancers poll, each keeps a watch on discovery: a request waits there for changes, and the next
+//! request follows its response. Discovery processes the requests of all balancers one after another.
 
 use crate::engine::{Queue, SECOND, Time, millis, seconds};
 use balancer::decision::EndpointEntry;
@@ -10,39 +10,45 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-/// How long a watch waits, how long one may be silent beyond that, and the time in which a connection comes up:
-/// those of the balancer's own client.
+/// How long discovery holds a watch request open. This and the two timeouts below are those of the balancer's own
+/// discovery client.
 const WATCH_WAIT: Time = 2 * SECOND;
-const WATCH_SILENCE: Time = SECOND;
-const CONNECT: Time = SECOND / 2;
-/// Pause before the next call of a watch that told nothing new.
+/// How long the client waits for a response, beyond the time that the request may be held open.
+const RESPONSE_TIMEOUT: Time = SECOND;
+/// How long the client waits for a new connection.
+const CONNECT_TIMEOUT: Time = SECOND / 2;
+/// Pause before the next watch request after a response without changes.
 const WATCH_PAUSE: Time = SECOND / 20;
 
-/// The settings of the stand-in.
+/// Configuration of the simulated discovery service.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoveryConfig {
-    /// Lists are asked for, not pushed.
+    /// Balancers poll for lists instead of having them pushed.
     pub ask: bool,
-    /// Time from a change to its being listed, in seconds: at least and at most.
+    /// Minimum time until discovery lists a change, in seconds.
     pub notice_min_s: f64,
+    /// Maximum time until discovery lists a change, in seconds.
     pub notice_max_s: f64,
-    /// The same for a machine that has fallen silent.
+    /// Minimum time until discovery lists the removal of a machine that stopped responding, in seconds.
     pub silent_notice_min_s: f64,
+    /// Maximum time until discovery lists the removal of a machine that stopped responding, in seconds.
     pub silent_notice_max_s: f64,
-    /// Time from a list to the agent that pushes it on, in milliseconds: at least and at most.
+    /// Minimum time from listing a change until an agent pushes it to its balancer, in milliseconds.
     pub push_min_ms: f64,
+    /// Maximum time from listing a change until an agent pushes it to its balancer, in milliseconds.
     pub push_max_ms: f64,
-    /// One way from a balancer to discovery, in milliseconds.
+    /// One-way network delay between a balancer and discovery, in milliseconds.
     pub network_ms: f64,
-    /// What a new call, and one that goes on with a watch, cost a machine of discovery, in microseconds.
+    /// Processing time of a request that does not continue a watch, in microseconds on one machine.
     pub call_us: f64,
+    /// Processing time of a request that continues a watch, in microseconds on one machine.
     pub watch_us: f64,
-    /// Machines that discovery runs on.
+    /// Number of machines that discovery runs on.
     pub machines: f64,
-    /// A balancer that asks counts as told after this time, in seconds.
+    /// A polling balancer is considered notified of whatever was listed this many seconds ago.
     pub ask_within_s: f64,
-    /// Changes of lists a day, beside those that faults bring about.
+    /// List changes per day, in addition to those caused by faults.
     pub changes_per_day: f64,
 }
 
@@ -66,82 +72,89 @@
     }
 }
 
-/// An event of discovery; the number tells a call from those before it.
+/// An event of discovery: the index of the module instance that it concerns, and the number of the request or push.
+/// Events with an outdated number are ignored.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// What there is reaches a balancer.
-    Told(u32, u32),
-    /// A call of a balancer reaches discovery.
-    Asked(u32, u32),
-    /// The wait of a call is over.
-    WaitOver(u32, u32),
-    /// A balancer's call got no answer in time.
-    Silent(u32, u32),
-    /// A balancer makes its next call.
-    Next(u32, u32),
+    /// A list or a response reaches a balancer.
+    ListDelivered(u32, u32),
+    /// A request of a balancer reaches discovery.
+    RequestReceived(u32, u32),
+    /// The time for which a watch request may be held open is over.
+    WatchWaitOver(u32, u32),
+    /// A balancer's request got no response in time.
+    RequestTimedOut(u32, u32),
+    /// A balancer sends its next request.
+    NextRequest(u32, u32),
 }
 
-/// What comes of an event for a balancer.
+/// What an event means for the balancer that it concerns.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// Nothing.
+pub enum Notification {
+    /// The balancer is not notified.
     Nothing,
-    /// The entries that changed, perhaps none.
+    /// The entries that changed; may be empty.
     Changes(Vec<EndpointEntry>),
-    /// The call failed.
+    /// The request failed.
     Failed,
 }
 
-/// A change of a service's list.
+/// A change of an entry in a service's list.
 #[derive(Clone, Copy, Debug)]
 struct Change {
-    /// Position of the entry.
+    /// Position of the entry in the list.
     entry: usize,
-    happened: Time,
-    listed: Time,
+    /// When the change happened.
+    changed_at: Time,
+    /// When discovery listed it.
+    listed_at: Time,
 }
 
+/// The endpoint list of a service.
 #[derive(Debug, Default)]
 struct List {
     entries: Vec<EndpointEntry>,
-    /// Its length is the list's version.
+    /// All changes so far. Their number is the version of the list.
     changes: Vec<Change>,
-    /// Calls that wait for news of it, in the order in which they came.
-    waiting: Vec<(u32, u32)>,
-    /// The balancers that it is for.
+    /// Instance and number of each watch request that is held open, in order of arrival.
+    waiting_requests: Vec<(u32, u32)>,
+    /// Module instances that use this list.
     watchers: Vec<usize>,
 }
 
-/// What discovery or the agent holds of a balancer.
+/// What discovery, or the agent, knows about a module instance.
 #[derive(Clone, Debug, Default)]
 struct Watcher {
     service: usize,
-    /// The version that it has been told.
-    version: usize,
-    /// The number of its call, or of the push on its way.
-    number: u32,
-    busy: bool,
+    /// The list version that the instance has.
+    known_version: usize,
+    /// Number of the latest request or push.
+    request_number: u32,
+    /// A request or a push is in progress.
+    in_progress: bool,
     alive: bool,
-    cut: bool,
-    /// Since when it can be told.
-    reachable_from: Time,
-    /// Its call goes on with a watch.
-    continues: bool,
+    /// The instance is in a region that is partitioned from discovery.
+    partitioned: bool,
+    /// Since when the instance can be reached.
+    reachable_since: Time,
+    /// The next request continues a watch.
+    continues_watch: bool,
 }
 
-/// Times from a change until balancers follow it.
+/// Delays from changes until balancers apply them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Followed {
-    /// Changes told to a balancer each.
+pub struct PropagationStats {
+    /// Number of deliveries: each change counts once for each balancer.
     pub count: u64,
-    /// From the change itself, in nanoseconds: the longest, and the sum.
-    pub longest: Time,
-    pub sum: u128,
-    /// The longest from when discovery had it and could be reached.
-    pub longest_told: Time,
+    /// Longest delay since the change happened, in nanoseconds.
+    pub max_delay: Time,
+    /// Sum of the delays since the changes happened, in nanoseconds.
+    pub total_delay: u128,
+    /// Longest delay since discovery had listed the change and could reach the balancer, in nanoseconds.
+    pub max_notification_delay: Time,
 }
 
-/// Discovery, and the agents of all balancers.
+/// The discovery service and the agents of all balancers.
 #[derive(Debug)]
 pub struct Discovery {
     config: DiscoveryConfig,
@@ -149,18 +162,21 @@
     lists: Vec<List>,
     watchers: Vec<Watcher>,
     down: bool,
-    /// When it is done with the calls that it has.
+    /// When discovery will have processed the requests that it has received.
     busy_until: Time,
-    /// Calls and pushes, and entries told with them.
+    /// Number of requests and pushes.
     pub messages: u64,
-    pub entries_told: u64,
-    /// Calls that got no answer.
+    /// Number of list entries sent in responses and pushes.
+    pub entries_sent: u64,
+    /// Number of requests without a response.
     pub failures: u64,
-    pub followed: Followed,
+    /// Delays of list changes.
+    pub propagation: PropagationStats,
 }
 
 impl Discovery {
-    /// Discovery with a list for each service, and balancers that know them: each by the service it sends to.
+    /// Creates a discovery service with one list per service. `watchers` gives, for each module instance, the
+    /// service that it sends requests to; each instance starts with the current version of that list.
     pub fn new(
         config: DiscoveryConfig,
         rng: ChaCha8Rng,
@@ -171,8 +187,8 @@
         let watchers: Vec<Watcher> = watchers.map(watcher).collect();
         let list = |entries| List { entries, ..List::default() };
         let mut lists: Vec<List> = lists.into_iter().map(list).collect();
-        for (at, watcher) in watchers.iter().enumerate() {
-            lists[watcher.service].watchers.push(at);
+        for (instance, watcher) in watchers.iter().enumerate() {
+            lists[watcher.service].watchers.push(instance);
         }
         Self {
             config,
@@ -182,252 +198,275 @@
             down: false,
             busy_until: 0,
             messages: 0,
-            entries_told: 0,
+            entries_sent: 0,
             failures: 0,
-            followed: Followed::default(),
+            propagation: PropagationStats::default(),
         }
     }
 
-    /// The list of a service as it stands.
+    /// The current list of a service.
     pub fn list(&self, service: usize) -> &[EndpointEntry] {
         &self.lists[service].entries
     }
 
-    /// When a change that happens now is listed; later if its machine has just fallen silent.
-    pub fn notice(&mut self, now: Time, silent: bool) -> Time {
-        let (least, most) = match silent {
+    /// Returns when a change that happens now will be listed; later if the machine stopped without notice.
+    pub fn listing_time(&mut self, now: Time, silent: bool) -> Time {
+        let (min, max) = match silent {
             false => (self.config.notice_min_s, self.config.notice_max_s),
             true => (self.config.silent_notice_min_s, self.config.silent_notice_max_s),
         };
-        now + seconds(least + (most - least) * self.rng.random::<f64>())
+        now + seconds(min + (max - min) * self.rng.random::<f64>())
     }
 
-    /// Lists a change that happened at a time, and sets out to tell all that can be told.
+    /// Lists a change that happened at `changed_at`, and starts to notify the balancers that can be reached.
     pub fn change<E: Copy + From<Event>>(
         &mut self,
         service: usize,
         entry: usize,
         change: impl FnOnce(&mut EndpointEntry),
-        happened: Time,
+        changed_at: Time,
         queue: &mut Queue<E>,
     ) {
         let list = &mut self.lists[service];
         change(&mut list.entries[entry]);
-        list.changes.push(Change { entry, happened, listed: queue.now() });
+        list.changes.push(Change { entry, changed_at, listed_at: queue.now() });
         if self.config.ask {
-            self.answer_waiting(service, queue);
+            self.answer_waiting_requests(service, queue);
         } else {
-            for at in 0..self.lists[service].watchers.len() {
-                self.push(self.lists[service].watchers[at], queue);
+            for index in 0..self.lists[service].watchers.len() {
+                self.push_list(self.lists[service].watchers[index], queue);
             }
         }
     }
 
-    /// Sets out to tell a balancer what it does not know, where lists are pushed.
-    fn push<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
+    /// Starts to push the changes that a balancer does not have, if lists are pushed.
+    fn push_list<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let down = self.down;
         let watcher = &mut self.watchers[instance];
-        let news = watcher.version < self.lists[watcher.service].changes.len();
-        if self.config.ask || down || watcher.cut || !watcher.alive || watcher.busy || !news {
+        let has_changes = watcher.known_version < self.lists[watcher.service].changes.len();
+        if self.config.ask
+            || down
+            || watcher.partitioned
+            || !watcher.alive
+            || watcher.in_progress
+            || !has_changes
+        {
             return;
         }
-        let (least, most) = (self.config.push_min_ms, self.config.push_max_ms);
-        watcher.busy = true;
-        watcher.number += 1;
-        let at = queue.now() + millis(least + (most - least) * self.rng.random::<f64>());
-        queue.push(at, Event::Told(instance as u32, watcher.number).into());
+        let (min, max) = (self.config.push_min_ms, self.config.push_max_ms);
+        watcher.in_progress = true;
+        watcher.request_number += 1;
+        let at = queue.now() + millis(min + (max - min) * self.rng.random::<f64>());
+        queue.push(at, Event::ListDelivered(instance as u32, watcher.request_number).into());
     }
 
-    /// Answers the calls that wait for news of a service.
-    fn answer_waiting<E: Copy + From<Event>>(&mut self, service: usize, queue: &mut Queue<E>) {
+    /// Responds to the watch requests that wait for changes of a service's list.
+    fn answer_waiting_requests<E: Copy + From<Event>>(&mut self, service: usize, queue: &mut Queue<E>) {
         if self.down {
             return;
         }
-        for (instance, number) in std::mem::take(&mut self.lists[service].waiting) {
+        for (instance, number) in std::mem::take(&mut self.lists[service].waiting_requests) {
             let watcher = &self.watchers[instance as usize];
-            if watcher.number == number && !watcher.cut && watcher.alive {
-                self.answer(instance, number, queue);
+            if watcher.request_number == number && !watcher.partitioned && watcher.alive {
+                self.send_response(instance, number, queue);
             }
         }
     }
 
-    /// A balancer subscribes: it makes its first call, or the first after a failure.
-    pub fn watch<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
+    /// Starts a balancer's watch: sends its first request, or the first one after a failure.
+    pub fn start_watch<E: Copy + From<Event>>(&mut self, instance: usize, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance];
-        if self.config.ask && watcher.alive && !watcher.busy {
-            watcher.busy = true;
-            watcher.continues = false;
-            self.call(instance as u32, queue);
+        if self.config.ask && watcher.alive && !watcher.in_progress {
+            watcher.in_progress = true;
+            watcher.continues_watch = false;
+            self.send_request(instance as u32, queue);
         }
     }
 
-    fn call<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) {
+    fn send_request<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) {
         let watcher = &mut self.watchers[instance as usize];
-        watcher.number += 1;
+        watcher.request_number += 1;
         self.messages += 1;
-        let (number, now) = (watcher.number, queue.now());
-        let reachable = !self.down && !watcher.cut;
-        // A connection that exists goes silent with its call, a new one does not come up. A call that does not go on
-        // with a watch does not wait.
-        let patience = match (watcher.continues, reachable) {
-            (true, _) => WATCH_WAIT + WATCH_SILENCE,
-            (false, true) => WATCH_SILENCE,
-            (false, false) => CONNECT,
+        let (number, now) = (watcher.request_number, queue.now());
+        let reachable = !self.down && !watcher.partitioned;
+        // An existing connection stays silent during an outage, whereas a new one cannot be established. Requests
+        // that do not continue a watch are not held open.
+        let timeout = match (watcher.continues_watch, reachable) {
+            (true, _) => WATCH_WAIT + RESPONSE_TIMEOUT,
+            (false, true) => RESPONSE_TIMEOUT,
+            (false, false) => CONNECT_TIMEOUT,
         };
         if reachable {
-            queue.push(now + millis(self.config.network_ms), Event::Asked(instance, number).into());
+            queue.push(now + millis(self.config.network_ms), Event::RequestReceived(instance, number).into());
         }
-        queue.push(now + patience, Event::Silent(instance, number).into());
+        queue.push(now + timeout, Event::RequestTimedOut(instance, number).into());
     }
 
-    fn answer<E: Copy + From<Event>>(&mut self, instance: u32, number: u32, queue: &mut Queue<E>) {
-        let continues = self.watchers[instance as usize].continues;
-        let cost = if continues { self.config.watch_us } else { self.config.call_us };
-        let at = self.works(queue.now(), cost) + millis(self.config.network_ms);
-        queue.push(at, Event::Told(instance, number).into());
+    fn send_response<E: Copy + From<Event>>(&mut self, instance: u32, number: u32, queue: &mut Queue<E>) {
+        let continues_watch = self.watchers[instance as usize].continues_watch;
+        let cost = if continues_watch { self.config.watch_us } else { self.config.call_us };
+        let at = self.schedule_work(queue.now(), cost) + millis(self.config.network_ms);
+        queue.push(at, Event::ListDelivered(instance, number).into());
     }
 
-    /// Works on a call that costs a machine so many microseconds, after those before it; tells when that is done.
-    fn works(&mut self, now: Time, cost_us: f64) -> Time {
+    /// Queues the processing of a request that takes `cost_us` microseconds on one machine; returns when it is done.
+    fn schedule_work(&mut self, now: Time, cost_us: f64) -> Time {
         self.busy_until = self.busy_until.max(now) + (cost_us * 1e3 / self.config.machines.max(1.0)) as Time;
         self.busy_until
     }
 
-    /// Takes an event; tells the balancer that it concerns, and what that one hears.
-    pub fn handle<E: Copy + From<Event>>(&mut self, event: Event, queue: &mut Queue<E>) -> (usize, Told) {
-        let (Event::Told(instance, number)
-        | Event::Asked(instance, number)
-        | Event::WaitOver(instance, number)
-        | Event::Silent(instance, number)
-        | Event::Next(instance, number)) = event;
-        let at = instance as usize;
-        let watcher = &self.watchers[at];
-        if watcher.number != number || !watcher.alive || !watcher.busy {
-            return (at, Told::Nothing);
+    /// Handles an event. Returns the module instance that it concerns and what that instance is notified of.
+    pub fn handle<E: Copy + From<Event>>(
+        &mut self,
+        event: Event,
+        queue: &mut Queue<E>,
+    ) -> (usize, Notification) {
+        let (Event::ListDelivered(instance, number)
+        | Event::RequestReceived(instance, number)
+        | Event::WatchWaitOver(instance, number)
+        | Event::RequestTimedOut(instance, number)
+        | Event::NextRequest(instance, number)) = event;
+        let index = instance as usize;
+        let watcher = &self.watchers[index];
+        if watcher.request_number != number || !watcher.alive || !watcher.in_progress {
+            return (index, Notification::Nothing);
         }
-        let reachable = !self.down && !watcher.cut;
-        let (service, version, continues) = (watcher.service, watcher.version, watcher.continues);
+        let reachable = !self.down && !watcher.partitioned;
+        let (service, known_version, continues_watch) =
+            (watcher.service, watcher.known_version, watcher.continues_watch);
         match event {
-            Event::Told(..) if reachable => return (at, self.on_told(instance, queue)),
-            Event::Told(..) if !self.config.ask => self.watchers[at].busy = false,
-            Event::Asked(..) if reachable => {
-                // What was missed is asked for without a wait, and so answered even where there is nothing new.
-                if version < self.lists[service].changes.len() || !continues {
-                    self.answer(instance, number, queue);
+            Event::ListDelivered(..) if reachable => return (index, self.on_list_delivered(instance, queue)),
+            Event::ListDelivered(..) if !self.config.ask => self.watchers[index].in_progress = false,
+            Event::RequestReceived(..) if reachable => {
+                // The first request of a watch is not held open: it gets a response even without changes.
+                if known_version < self.lists[service].changes.len() || !continues_watch {
+                    self.send_response(instance, number, queue);
                 } else {
-                    self.lists[service].waiting.push((instance, number));
-                    queue.push(queue.now() + WATCH_WAIT, Event::WaitOver(instance, number).into());
+                    self.lists[service].waiting_requests.push((instance, number));
+                    queue.push(queue.now() + WATCH_WAIT, Event::WatchWaitOver(instance, number).into());
                 }
             }
-            Event::WaitOver(..) if reachable => {
-                let waiting = &mut self.lists[service].waiting;
-                if let Some(place) = waiting.iter().position(|&call| call == (instance, number)) {
-                    waiting.remove(place);
-                    self.answer(instance, number, queue);
+            Event::WatchWaitOver(..) if reachable => {
+                let waiting_requests = &mut self.lists[service].waiting_requests;
+                if let Some(position) =
+                    waiting_requests.iter().position(|&request| request == (instance, number))
+                {
+                    waiting_requests.remove(position);
+                    self.send_response(instance, number, queue);
                 }
             }
-            Event::Silent(..) => {
-                let watcher = &mut self.watchers[at];
-                (watcher.busy, watcher.continues) = (false, false);
-                watcher.number += 1;
-                self.lists[service].waiting.retain(|&call| call != (instance, number));
+            Event::RequestTimedOut(..) => {
+                let watcher = &mut self.watchers[index];
+                (watcher.in_progress, watcher.continues_watch) = (false, false);
+                watcher.request_number += 1;
+                self.lists[service].waiting_requests.retain(|&request| request != (instance, number));
                 self.failures += 1;
-                return (at, Told::Failed);
+                return (index, Notification::Failed);
             }
-            Event::Next(..) => self.call(instance, queue),
-            Event::Told(..) | Event::Asked(..) | Event::WaitOver(..) => {} // it hears nothing, and gives up
+            Event::NextRequest(..) => self.send_request(instance, queue),
+            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {} // unreachable: the request times out
         }
-        (at, Told::Nothing)
+        (index, Notification::Nothing)
     }
 
-    fn on_told<E: Copy + From<Event>>(&mut self, instance: u32, queue: &mut Queue<E>) -> Told {
+    fn on_list_delivered<E: Copy + From<Event>>(
+        &mut self,
+        instance: u32,
+        queue: &mut Queue<E>,
+    ) -> Notification {
         let now = queue.now();
         let watcher = &mut self.watchers[instance as usize];
         let list = &self.lists[watcher.service];
-        let news = &list.changes[watcher.version..];
-        for change in news {
-            let age = now - change.happened;
-            let followed = &mut self.followed;
-            followed.count += 1;
-            followed.sum += u128::from(age);
-            followed.longest = followed.longest.max(age);
-            let told = now.saturating_sub(change.listed.max(watcher.reachable_from));
-            followed.longest_told = followed.longest_told.max(told);
+        let new_changes = &list.changes[watcher.known_version..];
+        for change in new_changes {
+            let age = now - change.changed_at;
+            let propagation = &mut self.propagation;
+            propagation.count += 1;
+            propagation.total_delay += u128::from(age);
+            propagation.max_delay = propagation.max_delay.max(age);
+            let notification_delay = now.saturating_sub(change.listed_at.max(watcher.reachable_since));
+            propagation.max_notification_delay = propagation.max_notification_delay.max(notification_delay);
         }
-        let mut changed: Vec<usize> = news.iter().map(|change| change.entry).collect();
+        let mut changed: Vec<usize> = new_changes.iter().map(|change| change.entry).collect();
         changed.sort_unstable();
         changed.dedup();
         let entries: Vec<EndpointEntry> =
             changed.into_iter().map(|entry| list.entries[entry].clone()).collect();
-        watcher.version = list.changes.len();
-        watcher.number += 1;
-        self.entries_told += entries.len() as u64;
+        watcher.known_version = list.changes.len();
+        watcher.request_number += 1;
+        self.entries_sent += entries.len() as u64;
         if self.config.ask {
-            watcher.continues = true;
+            watcher.continues_watch = true;
             let pause = if entries.is_empty() { WATCH_PAUSE } else { 0 };
-            queue.push(now + pause, Event::Next(instance, watcher.number).into());
+            queue.push(now + pause, Event::NextRequest(instance, watcher.request_number).into());
         } else {
-            watcher.busy = false;
+            watcher.in_progress = false;
             self.messages += 1;
         }
-        Told::Changes(entries)
+        Notification::Changes(entries)
     }
 
-    /// Discovery falls silent, or answers again. Calls that wait with it are dropped.
+    /// Starts or ends an outage of discovery. At the start, the requests that are held open are dropped.
     pub fn set_down<E: Copy + From<Event>>(&mut self, down: bool, queue: &mut Queue<E>) {
         self.down = down;
         if down {
-            self.lists.iter_mut().for_each(|list| list.waiting.clear());
+            self.lists.iter_mut().for_each(|list| list.waiting_requests.clear());
         } else {
             let now = queue.now();
-            self.watchers.iter_mut().for_each(|watcher| watcher.reachable_from = now);
-            (0..self.watchers.len()).for_each(|instance| self.push(instance, queue));
+            self.watchers.iter_mut().for_each(|watcher| watcher.reachable_since = now);
+            (0..self.watchers.len()).for_each(|instance| self.push_list(instance, queue));
         }
     }
 
-    /// A balancer is cut off from discovery, or not any more.
-    pub fn set_cut<E: Copy + From<Event>>(&mut self, instance: usize, cut: bool, queue: &mut Queue<E>) {
+    /// Separates a module instance from discovery, or connects it again.
+    pub fn set_partitioned<E: Copy + From<Event>>(
+        &mut self,
+        instance: usize,
+        partitioned: bool,
+        queue: &mut Queue<E>,
+    ) {
         let watcher = &mut self.watchers[instance];
-        watcher.cut = cut;
-        if cut {
-            let at = instance as u32;
-            self.lists[watcher.service].waiting.retain(|&(waiting, _)| waiting != at);
+        watcher.partitioned = partitioned;
+        if partitioned {
+            let watcher_id = instance as u32;
+            self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != watcher_id);
         } else {
-            watcher.reachable_from = queue.now();
-            self.push(instance, queue);
+            watcher.reachable_since = queue.now();
+            self.push_list(instance, queue);
         }
     }
 
-    /// A balancer has ended.
-    pub fn gone(&mut self, instance: usize) {
+    /// Handles the end of a module instance.
+    pub fn instance_stopped(&mut self, instance: usize) {
         let watcher = &mut self.watchers[instance];
-        (watcher.alive, watcher.busy, watcher.continues) = (false, false, false);
-        watcher.number += 1;
-        let at = instance as u32;
-        self.lists[watcher.service].waiting.retain(|&(waiting, _)| waiting != at);
+        (watcher.alive, watcher.in_progress, watcher.continues_watch) = (false, false, false);
+        watcher.request_number += 1;
+        let watcher_id = instance as u32;
+        self.lists[watcher.service].waiting_requests.retain(|&(waiting, _)| waiting != watcher_id);
     }
 
-    /// A balancer has started, and asks for its first list: when it has it. With discovery silent it
-    /// waits no longer than for a connection; the list that it is configured with then is taken to be as good.
-    pub fn first_list(&mut self, instance: usize, now: Time) -> Time {
+    /// Starts a module instance and returns when it has its first list. While discovery cannot be reached, the
+    /// instance waits only for the connect timeout; its configured list is then assumed to be up to date.
+    pub fn first_list_at(&mut self, instance: usize, now: Time) -> Time {
         let watcher = &mut self.watchers[instance];
         watcher.alive = true;
-        watcher.reachable_from = now;
-        watcher.version = self.lists[watcher.service].changes.len();
+        watcher.reachable_since = now;
+        watcher.known_version = self.lists[watcher.service].changes.len();
         self.messages += 1;
-        self.entries_told += self.lists[watcher.service].entries.len() as u64;
-        if self.down || watcher.cut {
-            return now + CONNECT;
+        self.entries_sent += self.lists[watcher.service].entries.len() as u64;
+        if self.down || watcher.partitioned {
+            return now + CONNECT_TIMEOUT;
         }
         if !self.config.ask {
             return now + millis(self.config.push_min_ms);
         }
-        self.works(now, self.config.call_us) + 2 * millis(self.config.network_ms)
+        self.schedule_work(now, self.config.call_us) + 2 * millis(self.config.network_ms)
     }
 
-    /// Changes that balancers which live and can be reached have not been told.
-    pub fn untold(&self) -> usize {
-        let reachable = self.watchers.iter().filter(|watcher| watcher.alive && !watcher.cut && !self.down);
-        reachable.map(|watcher| self.lists[watcher.service].changes.len() - watcher.version).sum()
+    /// Number of changes not yet delivered to running balancers that can be reached; each counts once per balancer.
+    pub fn undelivered_changes(&self) -> usize {
+        let reachable =
+            self.watchers.iter().filter(|watcher| watcher.alive && !watcher.partitioned && !self.down);
+        reachable.map(|watcher| self.lists[watcher.service].changes.len() - watcher.known_version).sum()
     }
 }
