--- a/fault-injector/tests/injection.rs
+++ b/fault-injector/tests/injection.rs
@@ -61,7 +61,7 @@
     let lines = lines(&probe(&faults, "connect", &echo()));
     let failed: Vec<usize> = (0..12).filter(|&at| lines[at] == ENETUNREACH).collect();
     assert_eq!(failed, [2, 3]);
-    assert_eq!(faults.injected("connect", "ENETUNREACH"), 2);
+    assert_eq!(faults.injected_count("connect", "ENETUNREACH"), 2);
 }
 
 #[test]
@@ -71,7 +71,7 @@
         let faults = Faults::new(format!("connect:ENETUNREACH:share=0.5:seed={seed}"));
         let lines = lines(&probe(&faults, "connect", &address));
         let failed = lines.iter().filter(|line| *line == ENETUNREACH).count();
-        assert_eq!(faults.injected("connect", "ENETUNREACH"), failed);
+        assert_eq!(faults.injected_count("connect", "ENETUNREACH"), failed);
         lines
     };
     assert_eq!(play(1), play(1));
@@ -100,7 +100,7 @@
         assert_eq!((writes, back), ("4", "four"));
         assert!(reads.parse::<u32>().unwrap() >= 2, "{line}");
     }
-    assert_eq!(faults.injected("write", "short=1"), 4 * lines.len());
+    assert_eq!(faults.injected_count("write", "short=1"), 4 * lines.len());
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let faults = Faults::new(format!("rename:kill:from=3:path={}", path.display()));
     let output = probe(&faults, "replace", path.to_str().unwrap());
     assert_eq!(output.status.signal(), Some(SIGKILL));
-    assert_eq!(faults.injected("rename", "kill"), 1);
+    assert_eq!(faults.injected_count("rename", "kill"), 1);
     fs::remove_file(format!("{}.new", path.display())).expect("the third file, not in place");
     fs::remove_file(path).unwrap();
 }
--- a/tests/attempt_timing.rs
+++ b/tests/attempt_timing.rs
@@ -34,7 +34,7 @@
 
 /// Has a caller leave a program that may be held up; what is left of its connection has to be kept. A test that starts its
 /// program just now may hold a copy of the socket: so it is shut down, and a reset is waited for.
-fn depart(program: &Program, caller: Caller, departure: Departure) -> Option<TcpStream> {
+fn depart(program: &Program, caller: Client, departure: Departure) -> Option<TcpStream> {
     let mut stream = caller.input.into_inner();
     match departure {
         Departure::Fin | Departure::HalfClose => {}
@@ -44,7 +44,7 @@
     }
     if matches!(departure, Departure::Reset) {
         drop(stream);
-        program.all_callers_left();
+        program.wait_until_clients_disconnected();
         return None;
     }
     stream.shutdown(Shutdown::Write).ok(); // it may have been cut off
@@ -67,7 +67,7 @@
 
 /// A configuration whose only upstream is at an address, and whose connects are not given up.
 fn alone_at(address: SocketAddr, may_cancel: bool) -> serde_json::Value {
-    let mut config = config(refusing(), &[target("s-0", address, "in_service")]);
+    let mut config = config(refusing_address(), &[target("s-0", address, "in_service")]);
     config["settings"]["Limits"]["Cancelling"] = may_cancel.into();
     config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
     config
@@ -87,8 +87,8 @@
 
 /// The next request that is whole is that of a caller who has come since.
 fn only_a_later_request_comes(program: &Program, upstream: &Upstream, case: &str) {
-    assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200, "{case}");
-    let first = upstream.request().body;
+    assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
+    let first = upstream.next_request().body;
     assert!(first == b"later", "{case}: {} bytes came", first.len());
     let more: Vec<usize> = requests(upstream).iter().map(|message| message.body.len()).collect();
     assert!(more.is_empty(), "{case}: {more:?} bytes came after that");
@@ -101,14 +101,14 @@
 #[test]
 fn a_caller_that_leaves_in_a_connect_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
-        let crowded = Crowded::open();
+        let crowded = BlockedListener::open();
         let program = Program::start(&alone_at(crowded.address, may_cancel));
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
-        crowded.wait_for(1);
+        caller.send("post", LONG_BUDGET, "b");
+        crowded.wait_for_pending(1);
         let _rest = depart(&program, caller, departure);
-        crowded.nobody_waits();
-        let upstream = crowded.let_in(|_| Act::Answer(ok("")));
+        crowded.wait_until_none_pending();
+        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
@@ -117,17 +117,17 @@
 #[test]
 fn a_caller_that_leaves_as_a_connection_comes_up_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
-        let crowded = Crowded::open();
+        let crowded = BlockedListener::open();
         let program = Program::start(&alone_at(crowded.address, may_cancel));
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
-        crowded.wait_for(1);
+        caller.send("post", LONG_BUDGET, "b");
+        crowded.wait_for_pending(1);
         program.pause();
-        let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-        eventually("the connection is up", || coming_up(upstream.address) == 0);
+        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        eventually("the connection is up", || pending_connections(upstream.address) == 0);
         let _rest = depart(&program, caller, departure);
         std::thread::sleep(2 * GONE);
-        program.go_on();
+        program.resume();
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
@@ -136,16 +136,16 @@
 #[test]
 fn a_caller_that_left_before_its_request_was_read_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
-        let upstream = Upstream::start(|_| Act::Answer(ok("")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
         let program = Program::start(&alone_at(upstream.address, may_cancel));
-        assert_eq!(program.call("post").status(), 200);
-        upstream.request();
+        assert_eq!(program.request("post").status(), 200);
+        upstream.next_request();
         program.pause();
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
+        caller.send("post", LONG_BUDGET, "b");
         let _rest = depart(&program, caller, departure);
         std::thread::sleep(2 * GONE);
-        program.go_on();
+        program.resume();
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
@@ -155,26 +155,26 @@
 fn a_caller_that_leaves_as_its_attempt_is_turned_away_gets_no_other() {
     each_departure(|departure, may_cancel| {
         let case = format!("{departure:?}, may cancel: {may_cancel}");
-        let upstream = Port::open();
+        let upstream = ManualPeer::open();
         let program = Program::start(&alone_at(upstream.address, may_cancel));
         let mut caller = program.connect();
-        caller.send("post", LONG, "first");
+        caller.send("post", LONG_BUDGET, "first");
         let mut line = upstream.accept();
         assert_eq!(line.read().body, b"first");
         program.pause();
-        line.write(&full());
+        line.write(&rejected_response());
         let _rest = depart(&program, caller, departure);
         std::thread::sleep(2 * GONE);
-        program.go_on();
+        program.resume();
         let mut later = program.connect();
-        later.send("post", LONG, "later");
+        later.send("post", LONG_BUDGET, "later");
         let first = line.try_read().unwrap_or_else(|| {
             line = upstream.accept();
             line.read()
         });
         assert_eq!(first.body, b"later", "{case}");
-        line.write(&ok(""));
-        assert_eq!(later.answer().expect("an answer").status(), 200, "{case}");
+        line.write(&ok_response(""));
+        assert_eq!(later.read_response().expect("an answer").status(), 200, "{case}");
     });
 }
 
@@ -187,21 +187,21 @@
             if message.first_line.starts_with("GET /load ") {
                 std::thread::sleep(GONE);
             }
-            Act::Answer(ok(r#"{"inflight":1}"#))
+            UpstreamAction::Respond(ok_response(r#"{"inflight":1}"#))
         };
         let upstreams = [(); 2].map(|()| Upstream::start(asked));
-        let mut config = config(refusing(), &in_service(&[&upstreams[0], &upstreams[1]]));
+        let mut config = config(refusing_address(), &in_service(&[&upstreams[0], &upstreams[1]]));
         config["settings"]["Limits"]["Cancelling"] = may_cancel.into();
         config["settings"]["Limits"]["MayProbe"] = true.into();
         config["settings"]["Telemetry"] = serde_json::json!({"Fields": ["inflight"], "Via": "probe"});
         let program = Program::start(&config);
         program.pause();
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
+        caller.send("post", LONG_BUDGET, "b");
         let _rest = depart(&program, caller, departure);
         std::thread::sleep(2 * GONE);
-        program.go_on();
-        assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200, "{case}");
+        program.resume();
+        assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
         let seen = RefCell::new(Vec::new());
         eventually("they are asked", || {
             seen.borrow_mut().extend(upstreams.iter().flat_map(requests));
@@ -216,15 +216,15 @@
 /// The requests that an upstream has seen.
 fn requests(upstream: &Upstream) -> Vec<Message> {
     let request = |seen| match seen {
-        Seen::Request(message) => Some(message),
+        UpstreamEvent::Request(message) => Some(message),
         _ => None,
     };
-    upstream.seen.try_iter().filter_map(request).collect()
+    upstream.events.try_iter().filter_map(request).collect()
 }
 
 /// How much the kernel takes in on a connection that nobody reads.
 fn capacity() -> usize {
-    let port = Port::open();
+    let port = ManualPeer::open();
     let mut stream = TcpStream::connect(port.address).unwrap();
     let _held = port.accept();
     stream.set_nonblocking(true).unwrap();
@@ -240,17 +240,17 @@
     assert!(long > 200_000, "more than is kept, and read ahead: {long}");
     each_departure(|departure, may_cancel| {
         for size in [100_000, long] {
-            let crowded = Crowded::open();
+            let crowded = BlockedListener::open();
             let program = Program::start(&alone_at(crowded.address, may_cancel));
             let mut caller = program.connect();
-            caller.send("post", LONG, &"b".repeat(size));
-            crowded.wait_for(1);
+            caller.send("post", LONG_BUDGET, &"b".repeat(size));
+            crowded.wait_for_pending(1);
             program.pause();
-            let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-            eventually("the connection is up", || coming_up(upstream.address) == 0);
+            let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+            eventually("the connection is up", || pending_connections(upstream.address) == 0);
             let _rest = depart(&program, caller, departure);
             std::thread::sleep(2 * GONE);
-            program.go_on();
+            program.resume();
             let case = format!("{departure:?} behind {size} bytes, may cancel: {may_cancel}");
             only_a_later_request_comes(&program, &upstream, &case);
         }
@@ -272,17 +272,17 @@
 
 /// Far more than the kernel takes to bring up a connection that had no room at first.
 const BUDGET: Duration = Duration::from_secs(60);
-const BUDGET_TEXT: &str = LONG;
+const BUDGET_TEXT: &str = LONG_BUDGET;
 const HELD: Duration = Duration::from_millis(400);
 
 /// Guards the time that an upstream is told where a new process waits for its first list. On a busy machine the process
 /// may read the requests late, or not wait for the list: so one trial of some has to go as it should.
 #[test]
 fn a_request_that_waits_for_the_first_list_tells_what_is_left() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let bodies = ["b", &"b".repeat(60_000), &"b".repeat(100_000)];
     eventually_trials(|| {
-        let discovery = Port::open();
+        let discovery = ManualPeer::open();
         let mut config = config(discovery.address, &in_service(&[&upstream]));
         config["settings"]["Discovery"] = "push".into();
         let program = Program::start(&config);
@@ -296,10 +296,10 @@
         let sent = Instant::now();
         std::thread::sleep(HELD);
         let left = (BUDGET + SLACK).saturating_sub(sent.elapsed());
-        agent.try_write(&listing(2, true, &in_service(&[&upstream])));
+        agent.try_write(&list_response(2, true, &in_service(&[&upstream])));
         let told = callers.each_mut().map(|caller| {
-            assert_eq!(caller.answer().expect("an answer").status(), 200);
-            told(&upstream.request())
+            assert_eq!(caller.read_response().expect("an answer").status(), 200);
+            told(&upstream.next_request())
         });
         told.iter().all(|told| *told <= left)
     });
@@ -309,21 +309,21 @@
 #[test]
 fn a_process_that_is_held_up_tells_what_is_left() {
     const MEASURED: usize = 5;
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&alone_at(upstream.address, true));
     let mut caller = program.connect();
     let mut measured = 0;
     eventually_trials(|| {
-        assert_eq!(caller.call("post", LONG, "b").expect("an answer").status(), 200);
-        upstream.request();
+        assert_eq!(caller.request("post", LONG_BUDGET, "b").expect("an answer").status(), 200);
+        upstream.next_request();
         program.pause();
         caller.send("post", BUDGET_TEXT, "b");
         let sent = Instant::now();
         std::thread::sleep(SLACK);
         let passed = sent.elapsed();
-        program.go_on();
-        assert_eq!(caller.answer().expect("an answer").status(), 200);
-        let request = upstream.request();
+        program.resume();
+        assert_eq!(caller.read_response().expect("an answer").status(), 200);
+        let request = upstream.next_request();
         // The machine may have held it up for longer, which nobody answers for.
         if passed < SLACK + Duration::from_millis(8) {
             in_time(&request, BUDGET, passed, "held up");
@@ -343,7 +343,7 @@
 /// Guards the same for a retry, and for a connection that comes up late.
 #[test]
 fn a_retry_and_a_late_connection_tell_what_is_left() {
-    let (first, crowded, discovery) = (Port::open(), Crowded::open(), Discovery::start());
+    let (first, crowded, discovery) = (ManualPeer::open(), BlockedListener::open(), Discovery::start());
     let mut config = config(discovery.address, &[target("s-0", first.address, "in_service")]);
     config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
     let program = Program::start(&config);
@@ -355,42 +355,45 @@
     discovery
         .publish(&[target("s-0", first.address, "in_service"), target("s-1", crowded.address, "in_service")]);
     std::thread::sleep(HELD);
-    line.write(&full());
-    crowded.wait_for(1);
+    line.write(&rejected_response());
+    crowded.wait_for_pending(1);
     std::thread::sleep(HELD);
     let passed = sent.elapsed();
-    let second = crowded.let_in(|_| Act::Answer(ok("")));
-    assert_eq!(caller.answer().expect("an answer").status(), 200);
-    in_time(&second.request(), BUDGET, passed, "second");
+    let second = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+    assert_eq!(caller.read_response().expect("an answer").status(), 200);
+    in_time(&second.next_request(), BUDGET, passed, "second");
 }
 
 /// Guards the same for a body that is passed on as it comes: its time runs from its last byte.
 #[test]
 fn a_streamed_body_tells_what_is_left() {
     for is_late in [false, true] {
-        let crowded = Crowded::open();
+        let crowded = BlockedListener::open();
         let program = Program::start(&alone_at(crowded.address, true));
-        let whole = request("post", BUDGET_TEXT, &"b".repeat(100_000));
+        let whole = request_text("post", BUDGET_TEXT, &"b".repeat(100_000));
         let (start, end) = whole.split_at(whole.len() - if is_late { 5 } else { 0 });
         let mut caller = program.connect();
         caller.write(start);
-        crowded.wait_for(1); // it has been read
+        crowded.wait_for_pending(1); // it has been read
         let sent = Instant::now();
         std::thread::sleep(HELD);
         let mut passed = sent.elapsed();
-        let upstream = crowded.let_in(|_| Act::Answer(ok("")));
+        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
         if is_late {
             upstream_connected(&upstream);
             passed = Duration::ZERO; // its time begins now
             caller.write(end);
         }
-        assert_eq!(caller.answer().expect("an answer").status(), 200);
-        in_time(&upstream.request(), BUDGET, passed, &format!("last byte late: {is_late}"));
+        assert_eq!(caller.read_response().expect("an answer").status(), 200);
+        in_time(&upstream.next_request(), BUDGET, passed, &format!("last byte late: {is_late}"));
     }
 }
 
 fn upstream_connected(upstream: &Upstream) {
-    while !matches!(upstream.seen.recv_timeout(PATIENCE).expect("a connection"), Seen::Connected) {}
+    while !matches!(
+        upstream.events.recv_timeout(TEST_TIMEOUT).expect("a connection"),
+        UpstreamEvent::Connected
+    ) {}
 }
 
 /// Guards the same over tiers in a row, each of which works for a while.
@@ -398,7 +401,7 @@
 fn tiers_in_a_row_tell_what_is_left() {
     const TIERS: usize = 4;
     let work = Duration::from_millis(50);
-    let last = Upstream::start(|_| Act::Answer(ok("")));
+    let last = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let mut programs = vec![Program::start(&alone_at(last.address, true))];
     for _ in 1..TIERS {
         let below = programs.last().unwrap().address;
@@ -407,36 +410,38 @@
             std::thread::sleep(work);
             let left = told(message).saturating_sub(begun.elapsed());
             let mut stream = TcpStream::connect(below).unwrap();
-            stream.write_all(request("post", &format!("{:.6}", left.as_secs_f64()), "b").as_bytes()).unwrap();
+            stream
+                .write_all(request_text("post", &format!("{:.6}", left.as_secs_f64()), "b").as_bytes())
+                .unwrap();
             let answer = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
             assert_eq!(answer.status(), 200);
-            Act::Answer(ok(""))
+            UpstreamAction::Respond(ok_response(""))
         });
         programs.push(Program::start(&alone_at(tier.address, true)));
     }
     let mut caller = programs.last().unwrap().connect();
     let sent = Instant::now();
-    assert_eq!(caller.call("post", BUDGET_TEXT, "b").expect("an answer").status(), 200);
+    assert_eq!(caller.request("post", BUDGET_TEXT, "b").expect("an answer").status(), 200);
     let passed = work * (TIERS as u32 - 1);
     assert!(sent.elapsed() >= passed);
-    let request = last.request();
+    let request = last.next_request();
     in_time(&request, BUDGET, passed + SLACK, "after all tiers, with no slack");
 }
 
 /// Guards upstreams against requests that they could only drop: the caller has its refusal at once.
 #[test]
 fn a_request_with_hardly_any_time_left_is_refused_without_an_attempt() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&alone_at(upstream.address, true));
-    assert_eq!(program.connect().call("post", LONG, "b").unwrap().status(), 200);
+    assert_eq!(program.connect().request("post", LONG_BUDGET, "b").unwrap().status(), 200);
     for budget in ["0.0", "0.004", "0.009"] {
         for class in ["look", "pay", "post"] {
             assert_eq!(
-                program.connect().call(class, budget, "b").unwrap().status(),
+                program.connect().request(class, budget, "b").unwrap().status(),
                 503,
                 "{class}, {budget}"
             );
         }
     }
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(upstream.take_request_count(), 1);
 }
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 const LENGTH: usize = 300_000;
-const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn served_by(upstream: &Upstream) -> Program {
-    Program::start(&config(refusing(), &in_service(&[upstream])))
+    Program::start(&config(refusing_address(), &in_service(&[upstream])))
 }
 
-fn does(act: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Act {
-    Act::Do(Arc::new(act))
+fn does(act: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> UpstreamAction {
+    UpstreamAction::Run(Arc::new(act))
 }
 
 /// Bytes of which no two stretches are alike.
@@ -38,7 +38,7 @@
 
 /// The head of a request, with these headers in place of its length.
 fn head(class: &str, headers: &str) -> String {
-    request(class, LONG, "").replace("Content-Length: 0\r\n", headers)
+    request_text(class, LONG_BUDGET, "").replace("Content-Length: 0\r\n", headers)
 }
 
 #[test]
@@ -47,8 +47,8 @@
     let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n").into_bytes();
     let forms = [
         [with_length.clone(), body.clone()].concat(),
-        [CHUNKED.as_bytes().to_vec(), in_chunks(&body, 7000, "")].concat(),
-        [CHUNKED.as_bytes().to_vec(), in_chunks(&body, 50_000, "X-Sum: 1\r\n")].concat(),
+        [CHUNKED_HEAD.as_bytes().to_vec(), in_chunks(&body, 7000, "")].concat(),
+        [CHUNKED_HEAD.as_bytes().to_vec(), in_chunks(&body, 50_000, "X-Sum: 1\r\n")].concat(),
         [b"HTTP/1.1 200 OK\r\n\r\n".to_vec(), body.clone()].concat(),
         [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_vec(), body.clone()].concat(),
     ];
@@ -57,7 +57,7 @@
             let text = text.clone();
             does(move |stream| stream.write_all(&text).unwrap())
         });
-        let answer = served_by(&upstream).call("post");
+        let answer = served_by(&upstream).request("post");
         assert_eq!(answer.status(), 200);
         assert!(answer.body == body, "{} bytes came of {LENGTH}", answer.body.len());
     }
@@ -67,12 +67,12 @@
 fn an_answer_in_tiny_pieces_comes_through() {
     let upstream = Upstream::start(|_| {
         does(|stream| {
-            let text = [CHUNKED.as_bytes().to_vec(), in_chunks(&noise(1000), 1, "")].concat();
+            let text = [CHUNKED_HEAD.as_bytes().to_vec(), in_chunks(&noise(1000), 1, "")].concat();
             stream.set_nodelay(true).unwrap();
             text.chunks(3).for_each(|piece| stream.write_all(piece).unwrap());
         })
     });
-    assert!(served_by(&upstream).call("post").body == noise(1000));
+    assert!(served_by(&upstream).request("post").body == noise(1000));
 }
 
 /// The first bytes of a long answer are what its caller waits for; its rest may take longer than the caller's time.
@@ -111,23 +111,23 @@
 /// Guards a caller against half an answer that passes for a whole one.
 #[test]
 fn a_long_answer_that_breaks_off_is_seen_to() {
-    let heads = [format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"), CHUNKED.to_owned()];
+    let heads = [format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"), CHUNKED_HEAD.to_owned()];
     for head in heads {
         let upstream = Upstream::start(move |_| {
             let head = head.clone();
             does(move |stream| {
                 stream.write_all(head.as_bytes()).unwrap();
                 let body = noise(LENGTH / 2);
-                let text = if head == CHUNKED { in_chunks(&body, 9000, "") } else { body };
+                let text = if head == CHUNKED_HEAD { in_chunks(&body, 9000, "") } else { body };
                 stream.write_all(&text[..text.len() - 5]).unwrap();
             })
         });
         let program = served_by(&upstream);
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
-        assert!(caller.answer().is_none(), "it ends before its end");
-        upstream.request();
-        assert_eq!(upstream.requests(), 0, "what has begun is not asked for again");
+        caller.send("post", LONG_BUDGET, "b");
+        assert!(caller.read_response().is_none(), "it ends before its end");
+        upstream.next_request();
+        assert_eq!(upstream.take_request_count(), 0, "what has begun is not asked for again");
     }
 }
 
@@ -137,13 +137,13 @@
     for whole in [true, false] {
         let upstream = Upstream::start(move |_| {
             does(move |stream| {
-                let text = [CHUNKED.as_bytes().to_vec(), in_chunks(&noise(LENGTH), 9000, "")].concat();
+                let text = [CHUNKED_HEAD.as_bytes().to_vec(), in_chunks(&noise(LENGTH), 9000, "")].concat();
                 stream.write_all(&text[..if whole { text.len() } else { LENGTH / 2 }]).unwrap();
             })
         });
         let program = served_by(&upstream);
         let mut caller = program.connect();
-        caller.write(&request("post", LONG, "").replace("HTTP/1.1", "HTTP/1.0"));
+        caller.write(&request_text("post", LONG_BUDGET, "").replace("HTTP/1.1", "HTTP/1.0"));
         let mut got = Vec::new();
         let end = caller.input.read_to_end(&mut got);
         assert_eq!(end.is_ok(), whole, "{end:?}");
@@ -156,24 +156,24 @@
 fn answers_wait_at_their_upstreams_while_callers_do_not_read() {
     let upstream = Upstream::start(|_| {
         does(|stream| {
-            stream.write_all(CHUNKED.as_bytes()).unwrap();
+            stream.write_all(CHUNKED_HEAD.as_bytes()).unwrap();
             let text = in_chunks(&vec![7; 8 << 20], 1 << 16, "");
             stream.write_all(&text).ok(); // to a caller that leaves
         })
     });
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["memory_mb"] = 32.into();
     let program = Program::start(&config);
-    let mut callers: Vec<Caller> = (0..100).map(|_| program.connect()).collect();
+    let mut callers: Vec<Client> = (0..100).map(|_| program.connect()).collect();
     for caller in &mut callers {
-        caller.send("post", LONG, "b");
+        caller.send("post", LONG_BUDGET, "b");
     }
     for caller in &mut callers {
         let mut line = String::new();
         caller.input.read_line(&mut line).unwrap();
         assert!(line.contains("200"), "{line}");
     }
-    assert!(program.memory() < 24 << 10, "{} KiB", program.memory());
+    assert!(program.resident_kib() < 24 << 10, "{} KiB", program.resident_kib());
     let last = callers.pop().unwrap().input;
     let mut counted = 0;
     for byte in last.bytes().map_while(Result::ok).take(2 << 20) {
@@ -186,7 +186,9 @@
 fn long_requests_come_through_in_every_form() {
     let body = noise(LENGTH);
     let sent = body.clone();
-    let upstream = Upstream::start(move |message| Act::Answer(ok(&format!("{}", message.body == sent))));
+    let upstream = Upstream::start(move |message| {
+        UpstreamAction::Respond(ok_response(&format!("{}", message.body == sent)))
+    });
     let program = served_by(&upstream);
     let length = format!("Content-Length: {LENGTH}\r\n");
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -200,20 +202,21 @@
         caller.write(&head("post", headers));
         let mut output = caller.input.get_ref().try_clone().unwrap();
         text.chunks(777).for_each(|piece| output.write_all(piece).unwrap());
-        let answer = caller.answer().expect("an answer");
+        let answer = caller.read_response().expect("an answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"true"[..]), "{headers}");
-        assert_eq!(caller.call("look", LONG, "").expect("the next answer").status(), 200);
+        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("the next answer").status(), 200);
     }
 }
 
 /// The time of a request runs from its last byte, however long it is in coming.
 #[test]
 fn a_slow_long_request_has_its_time_from_its_last_byte() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&message.body.len().to_string())));
+    let upstream =
+        Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     // It comes for twice its time, and that is long enough for an answer from a machine with all cores busy.
-    let text = request("post", "2", "").replace("Length: 0", &format!("Length: {LENGTH}"));
+    let text = request_text("post", "2", "").replace("Length: 0", &format!("Length: {LENGTH}"));
     let body = noise(LENGTH);
     caller.write(&text);
     let mut output = caller.input.get_ref().try_clone().unwrap();
@@ -221,7 +224,7 @@
         std::thread::sleep(Duration::from_millis(400));
         output.write_all(piece).unwrap();
     }
-    let answer = caller.answer().expect("an answer");
+    let answer = caller.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.body), (200, LENGTH.to_string().into_bytes()));
 }
 
@@ -231,13 +234,13 @@
     let breaking = TcpBreak::start();
     let targets =
         [target("s-0", breaking.address, "in_service"), target("s-1", breaking.address, "in_service")];
-    let program = Program::start(&config(refusing(), &targets));
+    let program = Program::start(&config(refusing_address(), &targets));
     let body = noise(4 << 20);
     let mut caller = program.connect();
     caller.write(&head("pay", &format!("Content-Length: {}\r\n", body.len())));
     let mut output = caller.input.get_ref().try_clone().unwrap();
     let writing = std::thread::spawn(move || output.write_all(&body).is_ok());
-    let answer = caller.answer().expect("an answer");
+    let answer = caller.read_response().expect("an answer");
     assert!([502, 503].contains(&answer.status()), "{}", answer.status());
     assert_eq!(breaking.connections.lock().unwrap().len(), 1, "one attempt");
     drop(caller);
@@ -249,14 +252,14 @@
 fn an_upstream_that_stops_reading_a_long_request_is_given_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let targets = [target("s-0", listener.local_addr().unwrap(), "in_service")];
-    let program = Program::start(&config(refusing(), &targets));
+    let program = Program::start(&config(refusing_address(), &targets));
     let body = noise(30 << 20); // made before the connection is, on which its caller is cut if it says nothing
     let mut caller = program.connect();
     caller.write(&head("post", &format!("Content-Length: {}\r\n", body.len())));
     let mut output = caller.input.get_ref().try_clone().unwrap();
     let writing = std::thread::spawn(move || output.write_all(&body).is_ok());
     let _unread = listener.accept().unwrap();
-    assert_eq!(caller.answer().expect("an answer").status(), 502);
+    assert_eq!(caller.read_response().expect("an answer").status(), 502);
     drop(caller);
     assert!(!writing.join().unwrap(), "the rest was not taken");
 }
@@ -284,7 +287,8 @@
 
 #[test]
 fn a_caller_that_expects_a_go_ahead_gets_it() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&message.body.len().to_string())));
+    let upstream =
+        Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
     for length in [5, LENGTH] {
         let mut caller = program.connect();
@@ -294,7 +298,7 @@
         assert!(line.starts_with("HTTP/1.1 100"), "{line}");
         caller.input.read_line(&mut line).unwrap();
         caller.input.get_mut().write_all(&noise(length)).unwrap();
-        let answer = caller.answer().expect("an answer");
+        let answer = caller.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, length.to_string().into_bytes()));
     }
 }
@@ -306,11 +310,11 @@
         let upstream = Upstream::start(move |message| {
             let kept = if message.first_line.starts_with("HEAD") { 0 } else { length };
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-            Act::Answer(text + &"a".repeat(kept))
+            UpstreamAction::Respond(text + &"a".repeat(kept))
         });
         let program = served_by(&upstream);
         let mut caller = program.connect();
-        caller.write(&request("look", LONG, "").replace("GET", "HEAD"));
+        caller.write(&request_text("look", LONG_BUDGET, "").replace("GET", "HEAD"));
         let mut lines = Vec::new();
         while lines.last().is_none_or(|line| line != "\r\n") {
             let mut line = String::new();
@@ -320,14 +324,15 @@
         assert!(lines[0].contains("200"), "{lines:?}");
         let told = format!("content-length: {length}\r\n");
         assert!(lines.iter().any(|line| line.to_lowercase() == told), "{lines:?}");
-        assert_eq!(caller.call("look", LONG, "").expect("the next answer").body.len(), length);
+        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("the next answer").body.len(), length);
     }
 }
 
 /// A caller may take 2 s over a head, and be slow over a small body then.
 #[test]
 fn a_slow_head_and_a_slow_body_are_waited_for() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&message.body.len().to_string())));
+    let upstream =
+        Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     let text = head("post", "Content-Length: 60000\r\n");
@@ -340,23 +345,23 @@
         std::thread::sleep(Duration::from_millis(90));
         output.write_all(piece).unwrap();
     }
-    let answer = caller.answer().expect("an answer");
+    let answer = caller.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.body), (200, b"60000".to_vec()));
 }
 
 /// Guards a caller that is slow over its head against a crowd that connects, and never brings a call.
 #[test]
 fn a_slow_head_is_served_in_a_crowd() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 128.into(); // room for 54 callers, half of it for those without a whole request
     let program = Program::start(&config);
-    let mut resting: Vec<Caller> = (0..24).map(|_| program.connect()).collect();
+    let mut resting: Vec<Client> = (0..24).map(|_| program.connect()).collect();
     for caller in &mut resting {
-        assert_eq!(caller.call("look", LONG, "").expect("served").status(), 200);
+        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
     let mut slow = program.connect();
-    let text = request("look", LONG, "");
+    let text = request_text("look", LONG_BUDGET, "");
     let mut output = slow.input.get_ref().try_clone().unwrap();
     let mut crowd = Vec::new();
     for piece in text.as_bytes().chunks(text.len().div_ceil(10)) {
@@ -368,7 +373,7 @@
         }
         std::thread::sleep(Duration::from_millis(50)); // as slow as it takes for the pieces to come apart
     }
-    assert_eq!(slow.answer().expect("an answer").status(), 200);
-    let served = resting.iter_mut().filter_map(|caller| caller.call("look", LONG, "")).count();
+    assert_eq!(slow.read_response().expect("an answer").status(), 200);
+    let served = resting.iter_mut().filter_map(|caller| caller.request("look", LONG_BUDGET, "")).count();
     assert_eq!(served, 24, "the crowd stays within its part of the room");
 }
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -284,7 +284,7 @@
     other: Upstream,
     discovery: Discovery,
     program: Program,
-    caller: Caller,
+    caller: Client,
 }
 
 impl TwoUpstreams {
@@ -293,7 +293,7 @@
         let answering = |body: &'static str| {
             Upstream::start(move |_| {
                 std::thread::sleep(ANSWERED_AFTER);
-                Act::Answer(ok(body))
+                UpstreamAction::Respond(ok_response(body))
             })
         };
         let (restarted, other) = (answering("restarted"), answering("other"));
@@ -320,7 +320,7 @@
         let (mut to_restarted, mut calls) = (0, 0);
         let first = Instant::now();
         while calls < most && Instant::now() < end {
-            let answer = self.caller.call("look", LONG, "").expect("an answer");
+            let answer = self.caller.request("look", LONG_BUDGET, "").expect("an answer");
             to_restarted += u32::from(answer.body == b"restarted");
             calls += 1;
             std::thread::sleep((SPACING * calls).saturating_sub(first.elapsed()));
@@ -337,7 +337,7 @@
         std::thread::sleep(warm.saturating_duration_since(Instant::now()));
         let least = LEAST_OF_A_WARM_ONE * f64::from(CALLS);
         loop {
-            let (to_restarted, calls) = self.share(CALLS, Instant::now() + PATIENCE);
+            let (to_restarted, calls) = self.share(CALLS, Instant::now() + TEST_TIMEOUT);
             if f64::from(to_restarted) >= least {
                 break;
             }
@@ -345,7 +345,7 @@
             assert!(is_in_time, "{case}: warm, it gets {to_restarted} of {calls} calls");
         }
         self.program.terminate();
-        assert!(self.program.end().0.success());
+        assert!(self.program.wait_for_exit().0.success());
     }
 }
 
--- a/tests/common/fault_injector.rs
+++ b/tests/common/fault_injector.rs
@@ -33,7 +33,7 @@
     }
 
     /// How often a call was struck so far. `fault` is an error's name, or as in the plan.
-    pub fn injected(&self, call: &str, fault: &str) -> usize {
+    pub fn injected_count(&self, call: &str, fault: &str) -> usize {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         log.lines().filter(|line| *line == format!("{call} {fault}")).count()
     }
--- a/tests/common/operator.rs
+++ b/tests/common/operator.rs
@@ -1,6 +1,6 @@
 //! An operator at the door of the built program.
 
-use super::process::{Message, PATIENCE, Program, config};
+use super::process::{Message, Program, TEST_TIMEOUT, config};
 use serde_json::Value;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,48 +8,48 @@
 use std::time::Instant;
 
 /// The address of the door of a program just started.
-pub fn door(program: &mut Program) -> SocketAddr {
-    program.logged("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap()
+pub fn admin_address(program: &mut Program) -> SocketAddr {
+    program.wait_for_log("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-pub fn with_door(discovery: SocketAddr, known: &[String]) -> Value {
+pub fn config_with_admin(discovery: SocketAddr, known: &[String]) -> Value {
     let mut config = config(discovery, known);
     config["admin_addr"] = "127.0.0.1:0".into();
     config
 }
 
 /// Writes this to the door; the answer, if any comes.
-pub fn say(door: SocketAddr, text: &str) -> Option<Message> {
+pub fn send_raw(door: SocketAddr, text: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     Message::read(&mut BufReader::new(stream))
 }
 
-pub fn call(door: SocketAddr, method: &str, path: &str) -> Message {
-    say(door, &format!("{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n"))
+pub fn admin_request(door: SocketAddr, method: &str, path: &str) -> Message {
+    send_raw(door, &format!("{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n"))
         .expect("an answer")
 }
 
-pub fn order(door: SocketAddr, uid: &str, order: &str) -> u16 {
-    call(door, "POST", &format!("/control/upstreams/{uid}/{order}")).status()
+pub fn send_order(door: SocketAddr, uid: &str, order: &str) -> u16 {
+    admin_request(door, "POST", &format!("/control/upstreams/{uid}/{order}")).status()
 }
 
-pub fn counters(door: SocketAddr) -> Value {
-    let answer = call(door, "GET", "/control/counters");
+pub fn read_counters(door: SocketAddr) -> Value {
+    let answer = admin_request(door, "GET", "/control/counters");
     assert_eq!(answer.status(), 200);
     serde_json::from_slice(&answer.body).unwrap()
 }
 
 /// Asks for the figures until they are so; they may lag.
-pub fn counted(door: SocketAddr, so: impl Fn(&Value) -> bool) -> Value {
+pub fn wait_for_counters(door: SocketAddr, so: impl Fn(&Value) -> bool) -> Value {
     let asked = Instant::now();
     loop {
-        let figures = counters(door);
+        let figures = read_counters(door);
         if so(&figures) {
             return figures;
         }
-        assert!(asked.elapsed() < PATIENCE, "{figures}");
+        assert!(asked.elapsed() < TEST_TIMEOUT, "{figures}");
     }
 }
 
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Far more than anything takes here; reached only where something hangs.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// A caller's time where the test does not wait for its end.
-pub const LONG: &str = "60";
+pub const LONG_BUDGET: &str = "60";
 
 /// A request or an answer as it was on the socket.
 #[derive(Clone, Debug)]
@@ -81,34 +81,34 @@
 
 /// What a stand-in for an upstream does with a request.
 #[derive(Clone)]
-pub enum Act {
+pub enum UpstreamAction {
     /// Does this with the connection, and closes it.
-    Do(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
+    Run(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
     /// Writes this and keeps the connection.
-    Answer(String),
+    Respond(String),
     /// Writes this and closes the connection.
-    AnswerAndClose(String),
+    RespondAndClose(String),
     /// Writes the one, and then the other, which belongs to no request.
-    AnswerAndMore(String, String),
+    RespondWithExtra(String, String),
     /// Says nothing until the peer closes.
-    Silence,
+    NeverRespond,
 }
 
-pub fn ok(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn full() -> String {
+pub fn rejected_response() -> String {
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".into()
 }
 
 /// What happens at an upstream.
 #[derive(Debug)]
-pub enum Seen {
+pub enum UpstreamEvent {
     Connected,
     Request(Message),
     /// What belongs to no request is written.
-    Wrote,
+    ExtraWritten,
     /// A connection has ended.
     Closed,
 }
@@ -116,68 +116,80 @@
 /// A stand-in for an upstream; it tells what it sees in order.
 pub struct Upstream {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
-    pub fn start(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Self {
-        let (tell, seen) = channel();
-        let address = listen(move |stream| upstream_connection(stream, &act, &tell));
-        Self { address, seen }
+    pub fn start(act: impl Fn(&Message) -> UpstreamAction + Send + Sync + 'static) -> Self {
+        let (event_sender, events) = channel();
+        let address = listen(move |stream| upstream_connection(stream, &act, &event_sender));
+        Self { address, events }
     }
 
     /// The next request, whatever else is seen before.
-    pub fn request(&self) -> Message {
+    pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) = self.seen.recv_timeout(PATIENCE).expect("a request") {
+            if let UpstreamEvent::Request(message) =
+                self.events.recv_timeout(TEST_TIMEOUT).expect("a request")
+            {
                 return message;
             }
         }
     }
 
     /// Waits until a connection has ended.
-    pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("the end of a connection"), Seen::Closed) {}
+    pub fn wait_for_close(&self) {
+        while !matches!(
+            self.events.recv_timeout(TEST_TIMEOUT).expect("the end of a connection"),
+            UpstreamEvent::Closed
+        ) {}
     }
 
     /// Waits until something is written that belongs to no request.
-    pub fn wrote(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("more than an answer"), Seen::Wrote) {}
+    pub fn wait_for_extra(&self) {
+        while !matches!(
+            self.events.recv_timeout(TEST_TIMEOUT).expect("more than an answer"),
+            UpstreamEvent::ExtraWritten
+        ) {}
     }
 
     /// The requests seen since the last look.
-    pub fn requests(&self) -> usize {
-        self.seen.try_iter().filter(|seen| matches!(seen, Seen::Request(_))).count()
+    pub fn take_request_count(&self) -> usize {
+        self.events.try_iter().filter(|seen| matches!(seen, UpstreamEvent::Request(_))).count()
     }
 }
 
-fn upstream_connection(stream: TcpStream, act: &impl Fn(&Message) -> Act, tell: &Sender<Seen>) {
-    tell.send(Seen::Connected).ok();
+fn upstream_connection(
+    stream: TcpStream,
+    act: &impl Fn(&Message) -> UpstreamAction,
+    tell: &Sender<UpstreamEvent>,
+) {
+    tell.send(UpstreamEvent::Connected).ok();
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(message) = Message::read(&mut input) {
-        tell.send(Seen::Request(message.clone())).ok();
+        tell.send(UpstreamEvent::Request(message.clone())).ok();
         match act(&message) {
-            Act::Do(act) => {
+            UpstreamAction::Run(act) => {
                 act(&mut output);
                 break;
             }
-            Act::Answer(text) => output.write_all(text.as_bytes()).unwrap_or(()),
-            Act::AnswerAndClose(text) => {
+            UpstreamAction::Respond(text) => output.write_all(text.as_bytes()).unwrap_or(()),
+            UpstreamAction::RespondAndClose(text) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
                 break;
             }
-            Act::AnswerAndMore(text, more) => {
+            UpstreamAction::RespondWithExtra(text, more) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
                 output.write_all(more.as_bytes()).unwrap_or(());
-                tell.send(Seen::Wrote).ok();
+                tell.send(UpstreamEvent::ExtraWritten).ok();
             }
-            Act::Silence => {}
+            UpstreamAction::NeverRespond => {}
         }
     }
     // Not by dropping it: a test that starts its program just now holds a copy until that runs.
     output.shutdown(Shutdown::Both).ok();
-    tell.send(Seen::Closed).ok();
+    tell.send(UpstreamEvent::Closed).ok();
 }
 
 /// Serves each connection to a free port on a thread of its own, until the test ends.
@@ -198,7 +210,7 @@
 }
 
 /// An address at which nothing listens, and nothing will: the port stays taken.
-pub fn refusing() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     let (socket, address) = bound();
     std::mem::forget(socket);
     address
@@ -213,22 +225,22 @@
 }
 
 /// Discovery while it is down: connections to it are refused.
-pub struct Down {
+pub struct UnavailableDiscovery {
     pub address: SocketAddr,
     socket: Socket,
 }
 
-impl Down {
+impl UnavailableDiscovery {
     pub fn open() -> Self {
         let (socket, address) = bound();
         Self { address, socket }
     }
 
     /// It is back, and has this list.
-    pub fn back(self, targets: &[String]) -> Discovery {
+    pub fn restore(self, targets: &[String]) -> Discovery {
         self.socket.listen(128).unwrap();
         let discovery = Discovery::on(self.socket.into(), "");
-        discovery.set(targets);
+        discovery.set_targets(targets);
         discovery
     }
 }
@@ -242,11 +254,11 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        Self::start_failing("")
+        Self::start_with_first_response("")
     }
 
     /// The first call gets this for an answer and the end of its connection, if it is not empty.
-    pub fn start_failing(first: &'static str) -> Self {
+    pub fn start_with_first_response(first: &'static str) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), first)
     }
 
@@ -270,7 +282,7 @@
                 let state = changed.wait_while(lock.lock().unwrap(), |(rev, _)| *rev <= after).unwrap();
                 let body = format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, state.0, state.1);
                 drop(state);
-                if output.write_all(ok(&body).as_bytes()).is_err() {
+                if output.write_all(ok_response(&body).as_bytes()).is_err() {
                     return;
                 }
             }
@@ -280,12 +292,12 @@
 
     /// Tells of a new list, and waits until the balancer has taken it and watches for the next.
     pub fn publish(&self, targets: &[String]) {
-        self.set(targets);
-        self.watched();
+        self.set_targets(targets);
+        self.wait_until_watched();
     }
 
     /// Has a new list from now on.
-    pub fn set(&self, targets: &[String]) {
+    pub fn set_targets(&self, targets: &[String]) {
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
         *state = (state.0 + 1, targets.join(","));
@@ -294,9 +306,9 @@
     }
 
     /// Waits until the balancer has taken the present list and watches for the next.
-    pub fn watched(&self) {
+    pub fn wait_until_watched(&self) {
         let rev = self.state.0.lock().unwrap().0;
-        while self.asked.recv_timeout(PATIENCE).expect("the next watch") < rev {}
+        while self.asked.recv_timeout(TEST_TIMEOUT).expect("the next watch") < rev {}
     }
 }
 
@@ -358,7 +370,7 @@
     }
 
     /// Starts it where the kernel lets it open no more descriptors than its configuration allows.
-    pub fn start_limited(config: &serde_json::Value) -> Self {
+    pub fn start_with_descriptor_limit(config: &serde_json::Value) -> Self {
         let most = config["limits"]["sockets"].to_string();
         let limited = ["-c", r#"ulimit -n "$0" && exec "$1""#, &most, env!("CARGO_BIN_EXE_balancer")];
         Self::start_as(config, Command::new("sh").args(limited), &[])
@@ -398,7 +410,7 @@
     }
 
     /// Waits until no signal is on its way to it.
-    pub fn has_taken_signals(&self) {
+    pub fn wait_until_signals_delivered(&self) {
         let none = || {
             let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
             let pending =
@@ -408,7 +420,7 @@
         eventually("signals are taken", none);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -418,7 +430,7 @@
     }
 
     /// Waits for a line of the log that holds this text.
-    pub fn logged(&mut self, text: &str) -> String {
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
             assert!(self.log.read_line(&mut line).unwrap() > 0, "the program has ended, not logged {text:?}");
@@ -429,13 +441,13 @@
     }
 
     /// Connections that callers have with it.
-    pub fn connections(&self) -> usize {
+    pub fn client_connections(&self) -> usize {
         self.sockets(&["01", "08"])
     }
 
     /// Waits until the kernel has the end of each caller, by FIN or by RST. A test that starts its program just now may
     /// hold a copy of a socket that was closed.
-    pub fn all_callers_left(&self) {
+    pub fn wait_until_clients_disconnected(&self) {
         eventually("the end of each caller", || self.sockets(&["01"]) == 0);
     }
 
@@ -453,37 +465,37 @@
     }
 
     /// Descriptors that it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Resident memory, in KiB.
-    pub fn memory(&self) -> u64 {
+    pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
     /// Waits for the end; the rest of the log comes with it.
-    pub fn end(mut self) -> (ExitStatus, String) {
+    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).unwrap();
         (self.child.wait().unwrap(), log)
     }
 
-    pub fn connect(&self) -> Caller {
+    pub fn connect(&self) -> Client {
         self.try_connect().expect("a connection")
     }
 
-    pub fn try_connect(&self) -> Option<Caller> {
+    pub fn try_connect(&self) -> Option<Client> {
         let stream = TcpStream::connect(self.address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Some(Caller { input: BufReader::new(stream) })
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Some(Client { input: BufReader::new(stream) })
     }
 
     /// One request on a connection of its own.
-    pub fn call(&self, class: &str) -> Message {
-        self.connect().call(class, LONG, "body").expect("an answer")
+    pub fn request(&self, class: &str) -> Message {
+        self.connect().request(class, LONG_BUDGET, "body").expect("an answer")
     }
 }
 
@@ -495,11 +507,11 @@
 }
 
 /// Runs the program with this text as its configuration until it ends by itself.
-pub fn run_to_end(config: &str) -> (ExitStatus, String) {
-    run_to_end_with(config, &[])
+pub fn run_until_exit(config: &str) -> (ExitStatus, String) {
+    run_until_exit_with(config, &[])
 }
 
-pub fn run_to_end_with(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
+pub fn run_until_exit_with(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
     let command = &mut Command::new(env!("CARGO_BIN_EXE_balancer"));
     let (mut child, mut log, _) = spawn(config, command, environment);
     let mut text = String::new();
@@ -532,48 +544,48 @@
 }
 
 /// A caller's connection.
-pub struct Caller {
+pub struct Client {
     pub input: BufReader<TcpStream>,
 }
 
-impl Caller {
+impl Client {
     pub fn write(&mut self, text: &str) {
         self.input.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     pub fn send(&mut self, class: &str, budget: &str, body: &str) {
-        self.write(&request(class, budget, body));
+        self.write(&request_text(class, budget, body));
     }
 
     /// Leaves: by FIN, by RST, or by FIN behind so many further bytes.
-    pub fn leave(mut self, way: Leave) {
+    pub fn disconnect(mut self, way: DisconnectMode) {
         match way {
-            Leave::Fin => {}
-            Leave::Rst => {
+            DisconnectMode::Fin => {}
+            DisconnectMode::Rst => {
                 socket2::SockRef::from(self.input.get_ref()).set_linger(Some(Duration::ZERO)).unwrap()
             }
-            Leave::After(bytes) => self.write(&"m".repeat(bytes)),
+            DisconnectMode::FinAfterBytes(bytes) => self.write(&"m".repeat(bytes)),
         }
     }
 
     /// The next answer; `None` where the connection ends without one.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
     /// One request and its answer; `None` where the connection has ended.
-    pub fn call(&mut self, class: &str, budget: &str, body: &str) -> Option<Message> {
-        self.input.get_mut().write_all(request(class, budget, body).as_bytes()).ok()?;
-        self.answer()
+    pub fn request(&mut self, class: &str, budget: &str, body: &str) -> Option<Message> {
+        self.input.get_mut().write_all(request_text(class, budget, body).as_bytes()).ok()?;
+        self.read_response()
     }
 }
 
 /// Idle callers, so many at a time: one that is closed comes again.
-pub struct Crowd(Arc<AtomicBool>);
+pub struct IdleClients(Arc<AtomicBool>);
 
-impl Crowd {
+impl IdleClients {
     /// Each says this, and nothing more.
-    pub fn gather(address: SocketAddr, size: usize, says: fn() -> String) -> Self {
+    pub fn connect(address: SocketAddr, size: usize, says: fn() -> String) -> Self {
         const AT_ONCE: usize = 20; // more than are taken beyond the places
         let (dispersed, mut held) = (Arc::new(AtomicBool::new(false)), Vec::new());
         let is_over = dispersed.clone();
@@ -581,7 +593,7 @@
             while !is_over.load(Ordering::Relaxed) {
                 held.retain_mut(is_open);
                 for _ in held.len()..size.min(held.len() + AT_ONCE) {
-                    let Ok(mut caller) = TcpStream::connect_timeout(&address, PATIENCE) else { break };
+                    let Ok(mut caller) = TcpStream::connect_timeout(&address, TEST_TIMEOUT) else { break };
                     caller.write_all(says().as_bytes()).ok();
                     caller.set_nonblocking(true).unwrap();
                     held.push(caller);
@@ -593,7 +605,7 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -609,22 +621,32 @@
 
 /// How a caller leaves.
 #[derive(Clone, Copy, Debug)]
-pub enum Leave {
+pub enum DisconnectMode {
     Fin,
     Rst,
-    After(usize),
+    FinAfterBytes(usize),
 }
 
 /// All ways to leave: with few bytes, and with more than are kept of what follows a request.
-pub const WAYS: [Leave; 4] = [Leave::Fin, Leave::Rst, Leave::After(10), Leave::After(40 << 10)];
+pub const DISCONNECT_MODES: [DisconnectMode; 4] = [
+    DisconnectMode::Fin,
+    DisconnectMode::Rst,
+    DisconnectMode::FinAfterBytes(10),
+    DisconnectMode::FinAfterBytes(40 << 10),
+];
 
 /// A request as a caller writes it, with an id of its own.
-pub fn request(class: &str, budget: &str, body: &str) -> String {
+pub fn request_text(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    named_request(&format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Ordering::Relaxed)), class, budget, body)
+    request_text_with_id(
+        &format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Ordering::Relaxed)),
+        class,
+        budget,
+        body,
+    )
 }
 
-pub fn named_request(id: &str, class: &str, budget: &str, body: &str) -> String {
+pub fn request_text_with_id(id: &str, class: &str, budget: &str, body: &str) -> String {
     let (method, extra, body) = match class {
         "look" => ("GET", "", ""),
         "pay" => ("POST", "Idempotency-Key: 5c0f6e1a\r\n", body),
@@ -638,12 +660,12 @@
 }
 
 /// A peer that does nothing by itself: the test takes each connection, reads and writes on it.
-pub struct Port {
+pub struct ManualPeer {
     pub address: SocketAddr,
     taken: Receiver<TcpStream>,
 }
 
-impl Port {
+impl ManualPeer {
     pub fn open() -> Self {
         let (tell, taken) = channel();
         let tell = Mutex::new(tell);
@@ -652,19 +674,19 @@
     }
 
     /// The next connection.
-    pub fn accept(&self) -> Line {
-        let stream = self.taken.recv_timeout(PATIENCE).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Line { input: BufReader::new(stream) }
+    pub fn accept(&self) -> PeerConnection {
+        let stream = self.taken.recv_timeout(TEST_TIMEOUT).expect("a connection");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        PeerConnection { input: BufReader::new(stream) }
     }
 }
 
-/// A connection that was taken at a `Port`.
-pub struct Line {
+/// A connection that was taken at a `ManualPeer`.
+pub struct PeerConnection {
     pub input: BufReader<TcpStream>,
 }
 
-impl Line {
+impl PeerConnection {
     pub fn read(&mut self) -> Message {
         Message::read(&mut self.input).expect("a message")
     }
@@ -689,14 +711,14 @@
     }
 
     /// Whether the peer ends the connection without another byte.
-    pub fn ended(&mut self) -> bool {
-        at_end(&mut self.input)
+    pub fn is_closed_by_peer(&mut self) -> bool {
+        reads_eof(&mut self.input)
     }
 }
 
 /// Whether a reader ends without another byte. A read with a timeout is not restarted by the kernel after a signal:
 /// the end of a child of this process may interrupt it in any thread.
-pub fn at_end(input: &mut impl Read) -> bool {
+pub fn reads_eof(input: &mut impl Read) -> bool {
     loop {
         match input.read(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -706,22 +728,22 @@
 }
 
 /// A list as discovery writes it, indented.
-pub fn listing(rev: u64, all: bool, targets: &[String]) -> String {
+pub fn list_response(rev: u64, all: bool, targets: &[String]) -> String {
     let body = format!(
         "{{\n  \"rev\": {rev},\n  \"all\": {all},\n  \"targets\": [\n    {}\n  ]\n}}\n",
         targets.join(",\n    ")
     );
-    ok(&body)
+    ok_response(&body)
 }
 
 /// An address whose connections do not come up until the test lets them in: those before fill the backlog.
-pub struct Crowded {
+pub struct BlockedListener {
     pub address: SocketAddr,
     listener: TcpListener,
     before: Vec<TcpStream>,
 }
 
-impl Crowded {
+impl BlockedListener {
     pub fn open() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -731,38 +753,41 @@
         let another = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
         let before = std::iter::from_fn(another).collect();
         let crowded = Self { address, listener, before };
-        crowded.nobody_waits(); // the last try of our own is over
+        crowded.wait_until_none_pending(); // the last try of our own is over
         crowded
     }
 
     /// Waits until so many connections wait to come up.
-    pub fn wait_for(&self, waiting: usize) {
-        eventually("connections that wait", || coming_up(self.address) == waiting);
+    pub fn wait_for_pending(&self, waiting: usize) {
+        eventually("connections that wait", || pending_connections(self.address) == waiting);
     }
 
     /// Waits until no connection waits to come up any more.
-    pub fn nobody_waits(&self) {
-        self.wait_for(0);
+    pub fn wait_until_none_pending(&self) {
+        self.wait_for_pending(0);
     }
 
     /// Lets in what waits, which takes the kernel some seconds, and whatever comes later.
-    pub fn let_in(self, act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Upstream {
-        let (tell, seen) = channel();
+    pub fn accept_connections(
+        self,
+        act: impl Fn(&Message) -> UpstreamAction + Send + Sync + 'static,
+    ) -> Upstream {
+        let (event_sender, events) = channel();
         let address = self.address;
         let act = Arc::new(act);
         std::thread::spawn(move || {
             drop(self.before);
             for stream in self.listener.incoming().map_while(Result::ok) {
-                let (act, tell) = (act.clone(), tell.clone());
-                std::thread::spawn(move || upstream_connection(stream, &*act, &tell));
+                let (act, event_sender) = (act.clone(), event_sender.clone());
+                std::thread::spawn(move || upstream_connection(stream, &*act, &event_sender));
             }
         });
-        Upstream { address, seen }
+        Upstream { address, events }
     }
 }
 
 /// Connections to an address that have not come up.
-pub fn coming_up(address: SocketAddr) -> usize {
+pub fn pending_connections(address: SocketAddr) -> usize {
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(address) = address else { unreachable!("bound to IPv4") };
     let address = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
@@ -779,7 +804,7 @@
 pub fn eventually(what: &str, holds: impl Fn() -> bool) {
     let asked = std::time::Instant::now();
     while !holds() {
-        assert!(asked.elapsed() < PATIENCE, "never: {what}");
+        assert!(asked.elapsed() < TEST_TIMEOUT, "never: {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -24,7 +24,7 @@
 const LONG_BODY: usize = 60 << 10;
 
 fn serving(upstream: &Upstream) -> serde_json::Value {
-    config(refusing(), &in_service(&[upstream]))
+    config(refusing_address(), &in_service(&[upstream]))
 }
 
 /// As few descriptors as may be configured.
@@ -58,8 +58,9 @@
 const SERVED_NO_MORE: Duration = Duration::from_millis(3500);
 
 /// Has a client's connection rest between requests. One may be refused on a busy machine.
-fn warm_up(client: &mut Caller) {
-    let served = (0..TRIES).any(|_| client.call("look", LONG, "").expect("an answer").status() == 200);
+fn warm_up(client: &mut Client) {
+    let served =
+        (0..TRIES).any(|_| client.request("look", LONG_BUDGET, "").expect("an answer").status() == 200);
     assert!(served, "no call was served");
 }
 
@@ -71,7 +72,7 @@
     MoreBytes,
 }
 
-fn end(client: &mut Caller) -> End {
+fn end(client: &mut Client) -> End {
     match client.input.read(&mut [0]) {
         Ok(0) => End::Fin,
         Ok(_) => End::MoreBytes,
@@ -81,8 +82,8 @@
 }
 
 /// Asserts that this answer comes, that it says to be the last, and that the connection then ends in order.
-fn assert_last_answer(client: &mut Caller, statuses: &[u16], case: &str) {
-    let answer = client.answer().unwrap_or_else(|| panic!("{case}: no answer"));
+fn assert_last_answer(client: &mut Client, statuses: &[u16], case: &str) {
+    let answer = client.read_response().unwrap_or_else(|| panic!("{case}: no answer"));
     let connection = answer.headers.get("connection").map(String::as_str);
     assert!(statuses.contains(&answer.status()), "{case}: {}", answer.status());
     assert_eq!(connection, Some("close"), "{case}");
@@ -101,8 +102,8 @@
     program.pause();
     client.write(soon);
     let begun = Instant::now();
-    program.go_on();
-    let answer = client.answer().unwrap_or_else(|| panic!("{case}: no answer"));
+    program.resume();
+    let answer = client.read_response().unwrap_or_else(|| panic!("{case}: no answer"));
     assert_eq!(answer.status(), status, "{case}");
     // A reset would come right behind the end of the connection.
     std::thread::sleep(IN_TIME / 20);
@@ -119,10 +120,10 @@
 /// comes a moment later.
 #[test]
 fn an_answer_to_a_request_half_read_is_not_reset() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&serving(&upstream));
     let body = "b".repeat(LONG_BODY);
-    let good = request("post", LONG, &body);
+    let good = request_text("post", LONG_BUDGET, &body);
     let length = format!("Content-Length: {LONG_BODY}");
     let cases = [
         (404, good.replace("/post", "/nothing")),
@@ -138,16 +139,16 @@
             assert!(judged, "{case}: no try was fast enough");
         }
     }
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
 /// Fills all places with requests that their upstream holds; the clients.
-fn fill_with_calls(program: &Program, upstream: &Upstream) -> Vec<Caller> {
+fn fill_with_calls(program: &Program, upstream: &Upstream) -> Vec<Client> {
     (0..PLACES)
         .map(|_| {
             let mut client = program.connect();
-            client.send("post", LONG, "b");
-            upstream.request();
+            client.send("post", LONG_BUDGET, "b");
+            upstream.next_request();
             client
         })
         .collect()
@@ -156,27 +157,31 @@
 /// Crossing: a surplus client is refused by the head of its request while its body lies unread in the kernel.
 #[test]
 fn the_refusal_of_a_surplus_client_is_not_reset() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = Program::start(&small(&upstream));
     let _busy = fill_with_calls(&program, &upstream);
-    let request = request("post", LONG, &"b".repeat(LONG_BODY));
+    let request = request_text("post", LONG_BUDGET, &"b".repeat(LONG_BODY));
     for late in [0, LONG_BODY / 2] {
         let (soon, later) = request.split_at(request.len() - late);
         let judged = (0..TRIES).any(|_| is_answered_in_order(&program, 503, soon, later, "surplus"));
         assert!(judged, "no try was fast enough");
     }
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
 /// Crossing: a surplus client's next request is read behind the one that is refused.
 #[test]
 fn a_request_read_behind_a_refused_one_has_its_answer() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = Program::start(&small(&upstream));
     let _busy = fill_with_calls(&program, &upstream);
     let mut client = program.connect();
-    client.write(&format!("{}{}", request("look", LONG, ""), request("look", LONG, "")));
-    assert_eq!(client.answer().expect("the first refusal").status(), 503);
+    client.write(&format!(
+        "{}{}",
+        request_text("look", LONG_BUDGET, ""),
+        request_text("look", LONG_BUDGET, "")
+    ));
+    assert_eq!(client.read_response().expect("the first refusal").status(), 503);
     assert_last_answer(&mut client, &[503], "the second refusal");
 }
 
@@ -185,11 +190,12 @@
 /// Crossing: a client stops within a request and stays.
 #[test]
 fn a_client_that_stops_within_a_request_has_its_error_in_time() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&serving(&upstream));
-    let short = request("pay", LONG, "body");
-    let long = request("post", LONG, &"b".repeat(100_000));
-    let chunked = request("post", LONG, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    let short = request_text("pay", LONG_BUDGET, "body");
+    let long = request_text("post", LONG_BUDGET, &"b".repeat(100_000));
+    let chunked =
+        request_text("post", LONG_BUDGET, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let parts = [
         ("one byte", &short[..1]),
         ("half a head", &short[..60]),
@@ -220,9 +226,9 @@
 #[test]
 fn a_request_that_comes_whole_as_its_client_is_overdue_has_an_answer() {
     const CLIENTS: u32 = 100;
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&serving(&upstream));
-    let whole = request("look", LONG, "");
+    let whole = request_text("look", LONG_BUDGET, "");
     let (soon, last) = whole.split_at(whole.len() - 2);
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
@@ -234,7 +240,7 @@
             scope.spawn(move || {
                 std::thread::sleep(completes.saturating_duration_since(Instant::now()));
                 client.input.get_mut().write_all(last.as_bytes()).ok(); // it may be answered already
-                let status = client.answer().expect("a final answer").status();
+                let status = client.read_response().expect("a final answer").status();
                 assert!([200, 408, 503].contains(&status), "{status}");
                 // A client that a busy machine lets write later than the connection lingers has a reset behind it.
                 assert!(status != 408 || end(&mut client) != End::MoreBytes);
@@ -248,17 +254,17 @@
 /// Crossing: a connection on which a request has begun is closed for a new one.
 #[test]
 fn a_request_begun_on_a_connection_whose_place_is_needed_is_refused() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&small(&upstream));
-    let whole = request("look", LONG, "");
-    let mut begun: Vec<Caller> = (0..PLACES).map(|_| program.connect()).collect();
+    let whole = request_text("look", LONG_BUDGET, "");
+    let mut begun: Vec<Client> = (0..PLACES).map(|_| program.connect()).collect();
     for client in &mut begun {
         client.write(&whole[..30]);
     }
-    assert_eq!(program.call("look").status(), 200);
+    assert_eq!(program.request("look").status(), 200);
     // One of them is refused; the others are owed an error for their half requests.
     let statuses: Vec<u16> =
-        begun.iter_mut().map(|client| client.answer().expect("an answer").status()).collect();
+        begun.iter_mut().map(|client| client.read_response().expect("an answer").status()).collect();
     assert!(statuses.iter().all(|status| [408, 503].contains(status)), "{statuses:?}");
     assert!(statuses.contains(&503), "{statuses:?}");
     assert!(begun.iter_mut().all(|client| end(client) == End::Fin));
@@ -267,26 +273,26 @@
 /// Crossing: a client begins to write on a resting connection in the moment in which that is closed for a new one.
 #[test]
 fn a_request_begun_on_a_resting_connection_that_is_closed_has_an_answer() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&small(&upstream));
-    let mut resting: Vec<Caller> = (0..PLACES).map(|_| program.connect()).collect();
+    let mut resting: Vec<Client> = (0..PLACES).map(|_| program.connect()).collect();
     for client in &mut resting {
-        assert_eq!(client.call("look", LONG, "").expect("served").status(), 200);
+        assert_eq!(client.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
     program.pause();
-    let requests: Vec<String> = (0..PLACES).map(|_| request("look", LONG, "")).collect();
+    let requests: Vec<String> = (0..PLACES).map(|_| request_text("look", LONG_BUDGET, "")).collect();
     for (client, request) in resting.iter_mut().zip(&requests) {
         client.write(&request[..30]);
     }
-    let mut new: Vec<Caller> = (0..8).map(|_| program.connect()).collect();
-    new.iter_mut().for_each(|client| client.send("look", LONG, ""));
-    program.go_on();
+    let mut new: Vec<Client> = (0..8).map(|_| program.connect()).collect();
+    new.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
+    program.resume();
     for client in &mut new {
-        assert!([200, 503].contains(&client.answer().expect("an answer").status()));
+        assert!([200, 503].contains(&client.read_response().expect("an answer").status()));
     }
     for (client, request) in resting.iter_mut().zip(&requests) {
         client.input.get_mut().write_all(&request.as_bytes()[30..]).ok(); // it may be answered already
-        let answer = client.answer().expect("a final answer");
+        let answer = client.read_response().expect("a final answer");
         assert!([200, 503].contains(&answer.status()));
     }
 }
@@ -301,10 +307,10 @@
     let (go_on, held) = channel::<()>();
     let held = Arc::new(Mutex::new(held));
     let upstream = Upstream::start(move |message| match message.first_line.starts_with("POST") {
-        false => Act::Answer(ok("")),
+        false => UpstreamAction::Respond(ok_response("")),
         true => {
             let held = held.clone();
-            Act::Do(Arc::new(move |stream| {
+            UpstreamAction::Run(Arc::new(move |stream| {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
                 stream.write_all(head.as_bytes()).unwrap();
                 stream.write_all(&[b'a'; LENGTH / 2]).unwrap();
@@ -317,61 +323,61 @@
     let mut idle = program.connect();
     warm_up(&mut idle);
     let mut client = program.connect();
-    client.send("post", LONG, "b");
+    client.send("post", LONG_BUDGET, "b");
     client.input.get_mut().peek(&mut [0]).expect("the answer begins");
-    client.send("look", LONG, "");
+    client.send("look", LONG_BUDGET, "");
     program.terminate();
     assert_eq!(end(&mut idle), End::Fin, "connections are closed between requests");
     std::thread::sleep(Duration::from_millis(300)); // also those that go on are told of it
     go_on.send(()).unwrap();
-    let first = client.answer().expect("the first answer");
+    let first = client.read_response().expect("the first answer");
     assert_eq!((first.status(), first.body.len()), (200, LENGTH));
     assert_last_answer(&mut client, &[200, 503], "the second");
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
 
 /// Crossing: a request is still open when the process ends.
 #[test]
 fn a_request_that_is_open_when_the_process_ends_has_its_answer() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = Program::start(&short_lived(&upstream));
     let mut client = program.connect();
-    client.send("post", LONG, "b");
-    upstream.request();
+    client.send("post", LONG_BUDGET, "b");
+    upstream.next_request();
     program.terminate();
-    let answer = client.answer().expect("a final answer");
+    let answer = client.read_response().expect("a final answer");
     assert_eq!(answer.status(), 502);
     assert_eq!(end(&mut client), End::Fin);
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
 
 /// Crossing: a request lies in the kernel as a whole, or in part, when its resting connection is closed at the end.
 #[test]
 fn a_request_in_the_kernel_as_connections_are_closed_has_its_answer() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&long_served(&upstream));
-    let mut resting: Vec<Caller> = (0..20).map(|_| program.connect()).collect();
+    let mut resting: Vec<Client> = (0..20).map(|_| program.connect()).collect();
     for client in &mut resting {
         warm_up(client);
     }
     program.terminate();
-    program.has_taken_signals();
+    program.wait_until_signals_delivered();
     program.pause();
-    let requests: Vec<String> = (0..20).map(|_| request("look", LONG, "")).collect();
+    let requests: Vec<String> = (0..20).map(|_| request_text("look", LONG_BUDGET, "")).collect();
     for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
         client.write(&request[..if number % 2 == 0 { request.len() } else { 30 }]);
     }
     std::thread::sleep(SERVED_NO_MORE);
-    program.go_on();
+    program.resume();
     for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
         if number % 2 == 1 {
             client.write(&request[30..]);
         }
-        let answer = client.answer().expect("a final answer");
+        let answer = client.read_response().expect("a final answer");
         assert!([200, 503].contains(&answer.status()));
         assert_eq!(end(client), End::Fin);
     }
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
 
 // ---- System calls that fail ----
@@ -388,43 +394,43 @@
 
 fn takes_backlog_where_accept_fails(error: &str) {
     const WAITING: usize = 50;
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let faults = Faults::new(format!("accept:{error}:share=0.5:seed=3"));
     let program = Program::start_with(&long_served(&upstream), &faults.environment());
     program.terminate();
-    program.has_taken_signals();
+    program.wait_until_signals_delivered();
     program.pause();
-    let mut waiting: Vec<Caller> = (0..WAITING).map(|_| program.connect()).collect();
-    waiting.iter_mut().for_each(|client| client.send("look", LONG, ""));
+    let mut waiting: Vec<Client> = (0..WAITING).map(|_| program.connect()).collect();
+    waiting.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
     std::thread::sleep(SERVED_NO_MORE);
-    program.go_on();
+    program.resume();
     for client in &mut waiting {
-        let answer = client.answer().unwrap_or_else(|| panic!("{error}: no answer"));
+        let answer = client.read_response().unwrap_or_else(|| panic!("{error}: no answer"));
         assert!([200, 503].contains(&answer.status()), "{error}");
     }
-    assert!(program.end().0.success());
-    assert!(faults.injected("accept", error) > WAITING / 4, "{error} was hardly injected");
+    assert!(program.wait_for_exit().0.success());
+    assert!(faults.injected_count("accept", error) > WAITING / 4, "{error} was hardly injected");
 }
 
 /// Crossing: an option of a connection just taken cannot be set.
 #[test]
 fn a_connection_whose_options_cannot_be_set_is_served() {
-    let upstream = Upstream::start(|_| Act::Answer(ok(&"a".repeat(LONG_BODY))));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response(&"a".repeat(LONG_BODY))));
     // The first call is for the listener, the second for the client.
     let faults = Faults::new("setsockopt:EINVAL:on=inet:from=2:count=1");
     let program = Program::start_with(&serving(&upstream), &faults.environment());
     let mut client = program.connect();
     for _ in 0..3 {
-        let answer = client.call("look", LONG, "").expect("an answer");
+        let answer = client.request("look", LONG_BUDGET, "").expect("an answer");
         assert_eq!((answer.status(), answer.body.len()), (200, LONG_BODY));
     }
-    assert_eq!(faults.injected("setsockopt", "EINVAL"), 1);
+    assert_eq!(faults.injected_count("setsockopt", "EINVAL"), 1);
 }
 
 /// Crossing: the answer to a client that is overdue is written in pieces.
 #[test]
 fn an_answer_at_the_close_is_written_whole() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let faults = Faults::new("write:short=1:on=inet");
     let program = Program::start_with(&serving(&upstream), &faults.environment());
     let mut client = program.connect();
@@ -437,14 +443,14 @@
 /// A client that ends its sending behind its request counts as gone, and its connection ends.
 #[test]
 fn a_client_that_ends_its_sending_is_gone() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = Program::start(&serving(&upstream));
     let mut client = program.connect();
-    client.send("post", LONG, "b");
-    upstream.request();
+    client.send("post", LONG_BUDGET, "b");
+    upstream.next_request();
     client.input.get_ref().shutdown(Shutdown::Write).unwrap();
     assert_eq!(end(&mut client), End::Fin);
-    upstream.closed();
+    upstream.wait_for_close();
 }
 
 #[test]
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A configuration in which lists are asked for, or pushed.
-fn configured(mode: &str, discovery: &Port, known: &[String]) -> serde_json::Value {
+fn configured(mode: &str, discovery: &ManualPeer, known: &[String]) -> serde_json::Value {
     let mut config = config(discovery.address, known);
     config["settings"]["Discovery"] = mode.into();
     config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
@@ -21,17 +21,19 @@
 /// wait if that is later. Only asking again tells it.
 #[test]
 fn a_watch_that_falls_silent_is_asked_again_in_time() {
-    let whole = listing(2, true, &[]);
+    let whole = list_response(2, true, &[]);
     for mode in ["push", "ask"] {
         for until in [0, "HTTP/1.1 200".len(), whole.len() / 2] {
-            let (old, new) =
-                (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
-            let discovery = Port::open();
+            let (old, new) = (
+                Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+                Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+            );
+            let discovery = ManualPeer::open();
             let program = Program::start(&configured(mode, &discovery, &in_service(&[&old])));
             let mut watch = discovery.accept();
             let mut call = watch.read().first_line;
             if call.contains("wait_ms=0 ") {
-                watch.write(&listing(1, false, &[])); // nothing was missed before
+                watch.write(&list_response(1, false, &[])); // nothing was missed before
                 call = watch.read().first_line;
             }
             let wait = call.split("wait_ms=").nth(1).and_then(|wait| wait.split(' ').next()).unwrap();
@@ -41,10 +43,10 @@
             assert!(again.read().first_line.contains("after=1&"), "what has changed since");
             let told = Duration::from_secs(6).max(Duration::from_millis(wait.parse().unwrap()) + 2 * SECOND);
             assert!(silent.elapsed() + SECOND < told, "{mode}, {until} bytes: after {:?}", silent.elapsed());
-            again.write(&listing(2, true, &[target("s-new", new.address, "in_service")]));
+            again.write(&list_response(2, true, &[target("s-new", new.address, "in_service")]));
             again.read(); // it has taken that
-            assert_eq!(program.call("post").body, b"new", "{mode}, {until} bytes");
-            assert_eq!(old.requests(), 0);
+            assert_eq!(program.request("post").body, b"new", "{mode}, {until} bytes");
+            assert_eq!(old.take_request_count(), 0);
         }
     }
 }
@@ -54,31 +56,33 @@
 /// Guards the rule on drains at a start: what the agent has counts as told from the first moment.
 #[test]
 fn the_first_request_waits_for_the_list_of_the_agent() {
-    let (old, new) =
-        (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
-    let discovery = Port::open();
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+    );
+    let discovery = ManualPeer::open();
     let program = Program::start(&configured("push", &discovery, &in_service(&[&old])));
     let mut agent = discovery.accept();
     agent.read();
     let mut caller = program.connect();
-    caller.send("post", LONG, "b"); // while the answer of the agent is held
-    agent.write(&listing(
+    caller.send("post", LONG_BUDGET, "b"); // while the answer of the agent is held
+    agent.write(&list_response(
         2,
         false,
         &[target("s-0", old.address, "terminating"), target("s-1", new.address, "in_service")],
     ));
-    assert_eq!(caller.answer().expect("an answer").body, b"new");
-    assert_eq!(old.requests(), 0);
+    assert_eq!(caller.read_response().expect("an answer").body, b"new");
+    assert_eq!(old.take_request_count(), 0);
 }
 
 /// An agent that is down says nothing, and nobody learns anything from it: what was known serves.
 #[test]
 fn a_silent_agent_does_not_keep_a_balancer_from_serving() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("known")));
-    let discovery = Port::open();
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("known")));
+    let discovery = ManualPeer::open();
     let program = Program::start(&configured("push", &discovery, &in_service(&[&upstream])));
     discovery.accept().read();
-    assert_eq!(program.call("post").body, b"known");
+    assert_eq!(program.request("post").body, b"known");
 }
 
 // ---- A connection that does not come up ----
@@ -99,18 +103,19 @@
 #[test]
 fn a_request_that_waits_for_a_connection_leaves_an_upstream_that_drains() {
     for gone in [false, true] {
-        let (crowded, new) = (Crowded::open(), Upstream::start(|_| Act::Answer(ok("new"))));
+        let (crowded, new) =
+            (BlockedListener::open(), Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))));
         let discovery = Discovery::start();
         let program = Program::start(&alone_at(crowded.address, discovery.address, true));
         let mut caller = program.connect();
-        caller.send("post", LONG, "b");
-        crowded.wait_for(1);
+        caller.send("post", LONG_BUDGET, "b");
+        crowded.wait_for_pending(1);
         let mut list = vec![target("s-1", new.address, "in_service")];
         list.extend((!gone).then(|| target("s-0", crowded.address, "terminating")));
         discovery.publish(&list);
-        let old = crowded.let_in(|_| Act::Answer(ok("old")));
-        assert_eq!(caller.answer().expect("an answer").body, b"new", "gone: {gone}");
-        assert_eq!(old.requests(), 0);
+        let old = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("old")));
+        assert_eq!(caller.read_response().expect("an answer").body, b"new", "gone: {gone}");
+        assert_eq!(old.take_request_count(), 0);
     }
 }
 
@@ -123,44 +128,48 @@
     let held = Mutex::new(held);
     let failing = Upstream::start(move |_| {
         held.lock().unwrap().recv().ok();
-        Act::Answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into())
+        UpstreamAction::Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into())
     });
-    let (crowded, discovery) = (Crowded::open(), Discovery::start());
+    let (crowded, discovery) = (BlockedListener::open(), Discovery::start());
     let mut config = alone_at(failing.address, discovery.address, true);
     config["settings"]["Classes"][1]["WindowNs"] = (window.as_nanos() as u64).into();
     let program = Program::start(&config);
     let mut caller = program.connect();
-    caller.send("pay", LONG, "b");
+    caller.send("pay", LONG_BUDGET, "b");
     let begun = Instant::now();
-    failing.request();
+    failing.next_request();
     discovery.publish(&[
         target("s-0", failing.address, "in_service"),
         target("s-1", crowded.address, "in_service"),
     ]);
     release.send(()).unwrap();
-    crowded.wait_for(1); // the repeat has no connection yet
+    crowded.wait_for_pending(1); // the repeat has no connection yet
     eventually("the end of the window", || begun.elapsed() > window);
-    let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-    assert_eq!(caller.answer().expect("an answer").status(), 502);
-    assert_eq!(upstream.requests(), 0);
+    let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+    assert_eq!(caller.read_response().expect("an answer").status(), 502);
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
 /// Guards upstreams against work that nobody waits for, also where attempts that are out must not be cancelled.
 #[test]
 fn a_request_whose_caller_leaves_during_a_connect_is_not_sent_on() {
     for may_cancel in [true, false] {
-        for way in WAYS {
-            let crowded = Crowded::open();
-            let program = Program::start(&alone_at(crowded.address, refusing(), may_cancel));
+        for way in DISCONNECT_MODES {
+            let crowded = BlockedListener::open();
+            let program = Program::start(&alone_at(crowded.address, refusing_address(), may_cancel));
             let mut caller = program.connect();
-            caller.send("post", LONG, "b");
-            crowded.wait_for(1);
-            caller.leave(way);
-            crowded.nobody_waits();
+            caller.send("post", LONG_BUDGET, "b");
+            crowded.wait_for_pending(1);
+            caller.disconnect(way);
+            crowded.wait_until_none_pending();
             // What comes later finds the upstream free of the first.
-            let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-            assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200, "{way:?}");
-            assert_eq!(upstream.request().body, b"later", "{way:?}, may cancel: {may_cancel}");
+            let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+            assert_eq!(
+                program.connect().request("post", LONG_BUDGET, "later").unwrap().status(),
+                200,
+                "{way:?}"
+            );
+            assert_eq!(upstream.next_request().body, b"later", "{way:?}, may cancel: {may_cancel}");
         }
     }
 }
@@ -170,27 +179,28 @@
 #[test]
 fn a_request_whose_caller_leaves_within_a_long_body_during_a_connect_is_not_sent_on() {
     let body = "b".repeat(100_000);
-    let leaves = |cut: usize, way: Leave, may_cancel: bool| {
-        let crowded = Crowded::open();
-        let mut config = alone_at(crowded.address, refusing(), may_cancel);
+    let leaves = |cut: usize, way: DisconnectMode, may_cancel: bool| {
+        let crowded = BlockedListener::open();
+        let mut config = alone_at(crowded.address, refusing_address(), may_cancel);
         config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into(); // not by its end
         let program = Program::start(&config);
         let mut caller = program.connect();
-        let whole = request("post", LONG, &body);
+        let whole = request_text("post", LONG_BUDGET, &body);
         caller.write(&whole[..whole.len() - cut]);
-        crowded.wait_for(1);
-        caller.leave(way);
-        crowded.nobody_waits();
-        let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-        assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200, "{way:?}");
-        let first = upstream.request().body;
+        crowded.wait_for_pending(1);
+        caller.disconnect(way);
+        crowded.wait_until_none_pending();
+        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{way:?}");
+        let first = upstream.next_request().body;
         assert_eq!(first, b"later", "{way:?}, {cut} bytes short, may cancel: {may_cancel}");
     };
     let leaves = &leaves;
     std::thread::scope(|scope| {
         for may_cancel in [true, false] {
-            let cut_off = [Leave::Fin, Leave::Rst, Leave::After(3)].map(|way| (5, way));
-            for (cut, way) in cut_off.into_iter().chain(WAYS.map(|way| (0, way))) {
+            let cut_off = [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
+                .map(|way| (5, way));
+            for (cut, way) in cut_off.into_iter().chain(DISCONNECT_MODES.map(|way| (0, way))) {
                 scope.spawn(move || leaves(cut, way, may_cancel));
             }
         }
@@ -204,36 +214,36 @@
 /// the caller in one look at its sockets, the connection first.
 #[test]
 fn a_request_whose_caller_leaves_as_its_connection_comes_up_is_not_sent_on() {
-    let leaves = |body: &str, cut: usize, way: Leave, may_cancel: bool| {
-        let crowded = Crowded::open();
-        let mut config = alone_at(crowded.address, refusing(), may_cancel);
+    let leaves = |body: &str, cut: usize, way: DisconnectMode, may_cancel: bool| {
+        let crowded = BlockedListener::open();
+        let mut config = alone_at(crowded.address, refusing_address(), may_cancel);
         config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into(); // not by its end
         let program = Program::start(&config);
         let mut caller = program.connect();
-        let whole = request("post", LONG, body);
+        let whole = request_text("post", LONG_BUDGET, body);
         caller.write(&whole[..whole.len() - cut]);
-        crowded.wait_for(1);
+        crowded.wait_for_pending(1);
         program.pause();
-        let upstream = crowded.let_in(|_| Act::Answer(ok("")));
-        eventually("the connection is up", || coming_up(upstream.address) == 0);
-        caller.leave(way);
-        program.all_callers_left();
+        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        eventually("the connection is up", || pending_connections(upstream.address) == 0);
+        caller.disconnect(way);
+        program.wait_until_clients_disconnected();
         std::thread::sleep(2 * GONE);
-        program.go_on();
-        assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200, "{way:?}");
-        let first = upstream.request().body;
+        program.resume();
+        assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{way:?}");
+        let first = upstream.next_request().body;
         let case = format!("{way:?}, {cut} bytes short of {}, may cancel: {may_cancel}", body.len());
         assert!(first == b"later", "{case}: {} bytes came", first.len());
-        assert_eq!(upstream.requests(), 0, "{case}");
+        assert_eq!(upstream.take_request_count(), 0, "{case}");
     };
     let (leaves, short, long) = (&leaves, "b", &"b".repeat(100_000));
     std::thread::scope(|scope| {
         for may_cancel in [true, false] {
-            for way in WAYS {
+            for way in DISCONNECT_MODES {
                 scope.spawn(move || leaves(short, 0, way, may_cancel));
                 scope.spawn(move || leaves(long, 0, way, may_cancel));
             }
-            for way in [Leave::Fin, Leave::Rst, Leave::After(3)] {
+            for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
                 scope.spawn(move || leaves(long, 5, way, may_cancel));
             }
         }
@@ -244,9 +254,9 @@
 /// again.
 #[test]
 fn a_request_whose_time_ends_during_a_connect_is_refused_not_failed() {
-    let crowded = Crowded::open();
-    let program = Program::start(&alone_at(crowded.address, refusing(), true));
-    let answer = program.connect().call("post", "0.3", "b").expect("an answer");
+    let crowded = BlockedListener::open();
+    let program = Program::start(&alone_at(crowded.address, refusing_address(), true));
+    let answer = program.connect().request("post", "0.3", "b").expect("an answer");
     assert_eq!(answer.status(), 503);
 }
 
@@ -255,20 +265,20 @@
 /// Where a request is turned away, the next attempt follows at once; with its caller gone it must not.
 #[test]
 fn a_request_whose_caller_leaves_before_a_retry_is_not_sent_again() {
-    for way in WAYS {
-        let upstream = Port::open();
-        let program = Program::start(&alone_at(upstream.address, refusing(), false));
+    for way in DISCONNECT_MODES {
+        let upstream = ManualPeer::open();
+        let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
         let mut caller = program.connect();
-        caller.send("post", LONG, "first");
+        caller.send("post", LONG_BUDGET, "first");
         let mut line = upstream.accept();
         assert_eq!(line.read().body, b"first");
         gone_after(&program, caller, way);
-        line.write(&full());
+        line.write(&rejected_response());
         let mut later = program.connect();
-        later.send("post", LONG, "later");
+        later.send("post", LONG_BUDGET, "later");
         assert_eq!(line.read().body, b"later", "{way:?}");
-        line.write(&ok(""));
-        assert_eq!(later.answer().expect("an answer").status(), 200);
+        line.write(&ok_response(""));
+        assert_eq!(later.read_response().expect("an answer").status(), 200);
     }
 }
 
@@ -276,28 +286,28 @@
 #[test]
 fn a_request_whose_caller_leaves_as_it_is_turned_away_is_not_sent_again() {
     for may_cancel in [true, false] {
-        for way in WAYS {
-            let upstream = Port::open();
-            let program = Program::start(&alone_at(upstream.address, refusing(), may_cancel));
+        for way in DISCONNECT_MODES {
+            let upstream = ManualPeer::open();
+            let program = Program::start(&alone_at(upstream.address, refusing_address(), may_cancel));
             let mut caller = program.connect();
-            caller.send("post", LONG, "first");
+            caller.send("post", LONG_BUDGET, "first");
             let mut line = upstream.accept();
             assert_eq!(line.read().body, b"first");
             program.pause();
-            line.write(&full());
-            caller.leave(way);
-            program.all_callers_left();
+            line.write(&rejected_response());
+            caller.disconnect(way);
+            program.wait_until_clients_disconnected();
             std::thread::sleep(2 * GONE);
-            program.go_on();
+            program.resume();
             let mut later = program.connect();
-            later.send("post", LONG, "later");
+            later.send("post", LONG_BUDGET, "later");
             let first = line.try_read().unwrap_or_else(|| {
                 line = upstream.accept();
                 line.read()
             });
             assert_eq!(first.body, b"later", "{way:?}, may cancel: {may_cancel}");
-            line.write(&ok(""));
-            assert_eq!(later.answer().expect("an answer").status(), 200);
+            line.write(&ok_response(""));
+            assert_eq!(later.read_response().expect("an answer").status(), 200);
         }
     }
 }
@@ -306,81 +316,81 @@
 #[test]
 fn callers_that_break_off_within_a_long_body_are_no_failures_of_its_upstream() {
     for may_cancel in [true, false] {
-        let upstream = Port::open();
-        let program = Program::start(&alone_at(upstream.address, refusing(), may_cancel));
+        let upstream = ManualPeer::open();
+        let program = Program::start(&alone_at(upstream.address, refusing_address(), may_cancel));
         for _ in 0..10 {
-            for way in [Leave::Fin, Leave::Rst, Leave::After(3)] {
+            for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
                 let mut caller = program.connect();
-                let whole = request("post", LONG, &"b".repeat(200_000));
+                let whole = request_text("post", LONG_BUDGET, &"b".repeat(200_000));
                 caller.write(&whole[..whole.len() - 5]);
                 let mut line = upstream.accept();
                 line.input.read_exact(&mut vec![0; 190_000]).unwrap(); // well beyond what is kept
-                caller.leave(way);
+                caller.disconnect(way);
                 assert!(line.try_read().is_none(), "it breaks off there as well");
             }
         }
         let mut later = program.connect();
-        later.send("post", LONG, "later");
+        later.send("post", LONG_BUDGET, "later");
         let mut line = upstream.accept();
         assert_eq!(line.read().body, b"later");
-        line.write(&ok(""));
-        assert_eq!(later.answer().expect("an answer").status(), 200);
+        line.write(&ok_response(""));
+        assert_eq!(later.read_response().expect("an answer").status(), 200);
         program.terminate();
-        let (_, log) = program.end();
+        let (_, log) = program.wait_for_exit();
         assert!(!log.contains("breaker"), "may cancel: {may_cancel}: {log}");
     }
 }
 
 /// Has a caller leave, and waits until the program has seen that: it closes its side then.
-fn gone_after(program: &Program, caller: Caller, way: Leave) {
-    let open = program.connections();
-    caller.leave(way);
-    eventually("the end of the caller's connection", || program.connections() < open);
+fn gone_after(program: &Program, caller: Client, way: DisconnectMode) {
+    let open = program.client_connections();
+    caller.disconnect(way);
+    eventually("the end of the caller's connection", || program.client_connections() < open);
 }
 
 /// Guards against what a balancer finds all at once after it was held up: requests whose callers have left already.
 #[test]
 fn requests_whose_callers_left_in_the_backlog_are_not_sent_on() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let program = Program::start(&alone_at(upstream.address, refusing(), false));
-    assert_eq!(program.call("post").status(), 200);
-    upstream.request();
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
+    assert_eq!(program.request("post").status(), 200);
+    upstream.next_request();
     program.pause();
-    for way in WAYS {
+    for way in DISCONNECT_MODES {
         let mut caller = program.connect();
-        caller.send("post", LONG, "left");
-        caller.leave(way);
+        caller.send("post", LONG_BUDGET, "left");
+        caller.disconnect(way);
     }
     let mut later = program.connect();
-    later.send("post", LONG, "later");
-    program.go_on();
-    assert_eq!(later.answer().expect("an answer").status(), 200);
-    assert_eq!(upstream.request().body, b"later");
-    assert_eq!(upstream.requests(), 0);
+    later.send("post", LONG_BUDGET, "later");
+    program.resume();
+    assert_eq!(later.read_response().expect("an answer").status(), 200);
+    assert_eq!(upstream.next_request().body, b"later");
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
 /// Guards against a request cut off in its body, which is none.
 #[test]
 fn a_request_whose_caller_leaves_within_its_body_is_not_sent_on() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let program = Program::start(&alone_at(upstream.address, refusing(), false));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
     for size in [10, 60 << 10] {
-        for way in [Leave::Fin, Leave::Rst, Leave::After(3)] {
+        for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
             let mut caller = program.connect();
-            let whole = request("post", LONG, &"b".repeat(size));
+            let whole = request_text("post", LONG_BUDGET, &"b".repeat(size));
             caller.write(&whole[..whole.len() - 5]);
             gone_after(&program, caller, way);
         }
     }
-    assert_eq!(program.connect().call("post", LONG, "later").unwrap().status(), 200);
-    assert_eq!(upstream.request().body, b"later");
+    assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200);
+    assert_eq!(upstream.next_request().body, b"later");
 }
 
 // ---- A signal to stop ----
 
 /// A balancer that takes no more than 0.7 s from the signal until it closes connections: its kill may come 1.1 s after.
 fn short_lived(upstream: std::net::SocketAddr) -> serde_json::Value {
-    let mut config = alone_at(upstream, refusing(), true);
+    let mut config = alone_at(upstream, refusing_address(), true);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["AimNs"] = 300_000_000_u64.into();
         class["DeadlineNs"] = 400_000_000_u64.into();
@@ -393,53 +403,55 @@
 /// end of its connection; what comes too late to be served before the kill is refused.
 #[test]
 fn a_request_half_read_when_connections_are_closed_gets_its_answer() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    for (cut, part) in [(7, "its head"), (request("pay", "0.4", "a body").len() - 3, "its body")] {
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    for (cut, part) in [(7, "its head"), (request_text("pay", "0.4", "a body").len() - 3, "its body")] {
         let program = Program::start(&short_lived(upstream.address));
         let (mut idle, mut begun) = (program.connect(), program.connect());
-        assert_eq!(idle.call("look", "0.4", "").unwrap().status(), 200);
-        assert_eq!(begun.call("look", "0.4", "").unwrap().status(), 200);
-        let whole = request("pay", "0.4", "a body");
+        assert_eq!(idle.request("look", "0.4", "").unwrap().status(), 200);
+        assert_eq!(begun.request("look", "0.4", "").unwrap().status(), 200);
+        let whole = request_text("pay", "0.4", "a body");
         begun.write(&whole[..cut]);
         program.terminate();
-        assert!(idle.answer().is_none(), "connections are closed between requests");
+        assert!(idle.read_response().is_none(), "connections are closed between requests");
         std::thread::sleep(SECOND); // beyond what is still served
-        upstream.requests();
+        upstream.take_request_count();
         begun.write(&whole[cut..]);
-        let answer = begun.answer().unwrap_or_else(|| panic!("no answer to one half read in {part}"));
+        let answer = begun.read_response().unwrap_or_else(|| panic!("no answer to one half read in {part}"));
         assert_eq!((answer.status(), &answer.headers["connection"][..]), (503, "close"));
-        assert!(begun.answer().is_none());
-        assert_eq!(upstream.requests(), 0);
-        assert!(program.end().0.success());
+        assert!(begun.read_response().is_none());
+        assert_eq!(upstream.take_request_count(), 0);
+        assert!(program.wait_for_exit().0.success());
     }
 }
 
 /// Guards against a request that a balancer closes its connection on, as the runtime had not heard of it yet.
 #[test]
 fn requests_in_the_backlog_at_the_signal_are_answered() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&short_lived(upstream.address));
     let mut open = program.connect();
-    assert_eq!(open.call("look", "0.4", "").unwrap().status(), 200);
+    assert_eq!(open.request("look", "0.4", "").unwrap().status(), 200);
     program.pause();
     program.terminate();
-    let mut waiting: Vec<Caller> = (0..50).map(|_| program.connect()).collect();
+    let mut waiting: Vec<Client> = (0..50).map(|_| program.connect()).collect();
     waiting.push(open);
     waiting.iter_mut().for_each(|caller| caller.send("look", "60", ""));
     std::thread::sleep(SECOND); // all of the time for which callers are served
-    program.go_on();
+    program.resume();
     for caller in &mut waiting {
-        assert!([200, 503].contains(&caller.answer().expect("a final answer").status()));
+        assert!([200, 503].contains(&caller.read_response().expect("a final answer").status()));
     }
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
 
 /// Guards the list during the last requests: discovery may move while they are served, and a second signal to stop
 /// changes nothing.
 #[test]
 fn follows_a_hangup_after_the_signal_to_stop() {
-    let (old, new) =
-        (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+    );
     let (first, second) = (Discovery::start(), Discovery::start());
     let mut settings = config(first.address, &in_service(&[&old]));
     for class in settings["settings"]["Classes"].as_array_mut().unwrap() {
@@ -450,16 +462,16 @@
     let program = Program::start(&settings);
     first.publish(&in_service(&[&old]));
     let mut caller = program.connect();
-    assert_eq!(caller.call("look", LONG, "").unwrap().body, b"old");
+    assert_eq!(caller.request("look", LONG_BUDGET, "").unwrap().body, b"old");
     program.terminate();
     settings["discovery"] = second.address.to_string().into();
-    second.set(&[target("s-new", new.address, "in_service")]);
+    second.set_targets(&[target("s-new", new.address, "in_service")]);
     program.reload(&settings.to_string());
     program.terminate();
-    second.watched();
-    assert_eq!(caller.call("look", LONG, "").unwrap().body, b"new");
-    assert!(caller.answer().is_none());
-    assert!(program.end().0.success());
+    second.wait_until_watched();
+    assert_eq!(caller.request("look", LONG_BUDGET, "").unwrap().body, b"new");
+    assert!(caller.read_response().is_none());
+    assert!(program.wait_for_exit().0.success());
 }
 
 // ---- Connections to upstreams ----
@@ -467,22 +479,22 @@
 /// Guards the limit of descriptors: a connection that is coming up holds one like any other.
 #[test]
 fn connections_that_come_up_count_as_open() {
-    let crowded = Crowded::open();
-    let mut config = alone_at(crowded.address, refusing(), true);
+    let crowded = BlockedListener::open();
+    let mut config = alone_at(crowded.address, refusing_address(), true);
     config["limits"]["sockets"] = 150.into(); // room for 50 connections to upstreams and 68 callers
     let program = Program::start(&config);
-    let mut callers: Vec<Caller> = (0..60).map(|_| program.connect()).collect();
-    callers[..50].iter_mut().for_each(|caller| caller.send("post", LONG, "b"));
-    crowded.wait_for(50);
+    let mut callers: Vec<Client> = (0..60).map(|_| program.connect()).collect();
+    callers[..50].iter_mut().for_each(|caller| caller.send("post", LONG_BUDGET, "b"));
+    crowded.wait_for_pending(50);
     for caller in &mut callers[50..] {
-        let answer = caller.call("post", LONG, "b").expect("an answer");
+        let answer = caller.request("post", LONG_BUDGET, "b").expect("an answer");
         assert_eq!(answer.status(), 503, "there is no room");
     }
-    callers.drain(..10).for_each(|caller| caller.leave(Leave::Rst));
-    crowded.wait_for(40);
-    let mut later: Vec<Caller> = (0..10).map(|_| program.connect()).collect();
-    later.iter_mut().for_each(|caller| caller.send("post", LONG, "b"));
-    crowded.wait_for(50); // their room was given back
+    callers.drain(..10).for_each(|caller| caller.disconnect(DisconnectMode::Rst));
+    crowded.wait_for_pending(40);
+    let mut later: Vec<Client> = (0..10).map(|_| program.connect()).collect();
+    later.iter_mut().for_each(|caller| caller.send("post", LONG_BUDGET, "b"));
+    crowded.wait_for_pending(50); // their room was given back
 }
 
 // ---- Discovery that fails, moves or says nothing ----
@@ -508,14 +520,14 @@
     const ALL: [Self; 3] = [Self::Closes, Self::Errors, Self::Silent];
 
     /// Takes the next call and fails it.
-    fn next(self, discovery: &Port) {
+    fn next(self, discovery: &ManualPeer) {
         let mut line = discovery.accept();
         line.try_read();
         match self {
             // Not by dropping it: a test that starts its program just now holds a copy until that runs.
             Self::Closes => line.close(),
             Self::Errors => line.try_write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-            Self::Silent => assert!(line.ended(), "given up"),
+            Self::Silent => assert!(line.is_closed_by_peer(), "given up"),
         }
     }
 }
@@ -539,18 +551,18 @@
         }
     }
 
-    assert!(at_end(&mut InterruptedOnce { was_interrupted: false, rest: b"" }), "closed after a signal");
-    assert!(!at_end(&mut InterruptedOnce { was_interrupted: false, rest: b"a byte" }), "still open");
+    assert!(reads_eof(&mut InterruptedOnce { was_interrupted: false, rest: b"" }), "closed after a signal");
+    assert!(!reads_eof(&mut InterruptedOnce { was_interrupted: false, rest: b"a byte" }), "still open");
 }
 
 /// Answers each call with this upstream alone, until the balancer has taken that and watches on; the call that was
 /// answered. Where the machine is so busy that an answer comes after the balancer gave it up, there is another call.
-fn answers_next(discovery: &Port, version: u64, upstream: &Upstream) -> Message {
+fn answers_next(discovery: &ManualPeer, version: u64, upstream: &Upstream) -> Message {
     loop {
         let mut line = discovery.accept();
         let Some(call) = line.try_read() else { continue };
         let asked = Instant::now();
-        line.try_write(&listing(version, true, &[target("s-new", upstream.address, "in_service")]));
+        line.try_write(&list_response(version, true, &[target("s-new", upstream.address, "in_service")]));
         let written = asked.elapsed();
         if line.try_read().is_some() {
             return call;
@@ -569,20 +581,22 @@
 fn a_list_is_told_in_time_after_discovery_failed() {
     for mode in ["push", "ask"] {
         for failing in Fails::ALL {
-            let (old, new) =
-                (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
-            let discovery = Port::open();
+            let (old, new) = (
+                Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+                Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+            );
+            let discovery = ManualPeer::open();
             let program = Program::start(&configured(mode, &discovery, &in_service(&[&old])));
             (0..5).for_each(|_| failing.next(&discovery));
             let mut hangs = discovery.accept();
             hangs.read();
             let back = Instant::now(); // now it has the change, and answers all but the call that it took before
-            assert!(hangs.ended(), "given up");
+            assert!(hangs.is_closed_by_peer(), "given up");
             Fails::Errors.next(&discovery);
             answers_next(&discovery, 2, &new);
             assert!(back.elapsed() < TOLD, "{mode}, {failing:?}: told after {:?}", back.elapsed());
-            assert_eq!(program.call("post").body, b"new", "{mode}, {failing:?}");
-            assert_eq!(old.requests(), 0);
+            assert_eq!(program.request("post").body, b"new", "{mode}, {failing:?}");
+            assert_eq!(old.take_request_count(), 0);
         }
     }
 }
@@ -591,29 +605,31 @@
 #[test]
 fn a_list_is_told_in_time_after_connections_to_discovery_hung() {
     for (mode, seed) in [("push", SEEDS[0]), ("ask", SEEDS[0]), ("ask", SEEDS[1]), ("ask", SEEDS[2])] {
-        let (old, new) =
-            (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
-        let crowded = Crowded::open();
+        let (old, new) = (
+            Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+            Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+        );
+        let crowded = BlockedListener::open();
         let mut settings = config(crowded.address, &in_service(&[&old]));
         settings["seed"] = seed.into();
         settings["settings"]["Discovery"] = mode.into();
         settings["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
         let program = Program::start(&settings);
         for _ in 0..5 {
-            crowded.wait_for(1);
-            crowded.nobody_waits();
+            crowded.wait_for_pending(1);
+            crowded.wait_until_none_pending();
         }
-        crowded.wait_for(1);
+        crowded.wait_for_pending(1);
         let back = Instant::now();
-        let list = listing(2, true, &[target("s-new", new.address, "in_service")]);
-        let discovery = crowded.let_in(move |call| match call.first_line.contains("after=2&") {
-            true => Act::Silence,
-            false => Act::Answer(list.clone()),
+        let list = list_response(2, true, &[target("s-new", new.address, "in_service")]);
+        let discovery = crowded.accept_connections(move |call| match call.first_line.contains("after=2&") {
+            true => UpstreamAction::NeverRespond,
+            false => UpstreamAction::Respond(list.clone()),
         });
-        while !discovery.request().first_line.contains("after=2&") {}
+        while !discovery.next_request().first_line.contains("after=2&") {}
         assert!(back.elapsed() < TOLD, "{mode}, {seed}: told after {:?}", back.elapsed());
-        assert_eq!(program.call("post").body, b"new", "{mode}, {seed}");
-        assert_eq!(old.requests(), 0);
+        assert_eq!(program.request("post").body, b"new", "{mode}, {seed}");
+        assert_eq!(old.take_request_count(), 0);
     }
 }
 
@@ -648,10 +664,12 @@
 }
 
 fn follows_a_hangup(mode: &str, busy: Busy, failing: Fails, seed: &str) {
-    let (old, new) =
-        (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
-    let (first, second) = (Port::open(), Port::open());
-    let crowded = matches!(busy, Busy::Connecting).then(Crowded::open);
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+    );
+    let (first, second) = (ManualPeer::open(), ManualPeer::open());
+    let crowded = matches!(busy, Busy::Connecting).then(BlockedListener::open);
     let mut settings = configured(mode, &first, &in_service(&[&old]));
     settings["seed"] = seed.into();
     if let Some(crowded) = &crowded {
@@ -660,7 +678,7 @@
     let program = Program::start(&settings);
     let held = match (busy, &crowded) {
         (Busy::Connecting, Some(crowded)) => {
-            crowded.wait_for(1);
+            crowded.wait_for_pending(1);
             None
         }
         (Busy::Waiting, _) => {
@@ -675,7 +693,7 @@
         _ => {
             let mut line = first.accept();
             line.read();
-            line.write(&listing(7, true, &[target("s-0", old.address, "in_service")]));
+            line.write(&list_response(7, true, &[target("s-0", old.address, "in_service")]));
             line.read(); // the watch that follows
             Some(line)
         }
@@ -693,19 +711,19 @@
         call.first_line
     );
     if let Some(mut held) = held {
-        assert!(held.ended(), "{case}: the old connection is closed");
+        assert!(held.is_closed_by_peer(), "{case}: the old connection is closed");
     }
-    assert_eq!(program.call("post").body, b"new", "{case}");
-    assert_eq!(old.requests(), 0);
+    assert_eq!(program.request("post").body, b"new", "{case}");
+    assert_eq!(old.take_request_count(), 0);
 }
 
 /// Guards restarts: whether discovery refuses, hangs or says nothing, a new process serves with what it knew.
 #[test]
 fn a_new_process_is_ready_without_discovery() {
     for mode in ["push", "ask"] {
-        let upstream = Upstream::start(|_| Act::Answer(ok("known")));
-        let (silent, crowded) = (Port::open(), Crowded::open());
-        for address in [refusing(), silent.address, crowded.address] {
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("known")));
+        let (silent, crowded) = (ManualPeer::open(), BlockedListener::open());
+        for address in [refusing_address(), silent.address, crowded.address] {
             let mut settings = configured(mode, &silent, &in_service(&[&upstream]));
             settings["discovery"] = address.to_string().into();
             settings["settings"]["Siblings"] = 870.into();
@@ -713,9 +731,9 @@
             let program = Program::start(&settings);
             let mut caller = program.connect();
             caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-            assert_eq!(caller.answer().expect("an answer").status(), 200, "{mode}");
+            assert_eq!(caller.read_response().expect("an answer").status(), 200, "{mode}");
             assert!(started.elapsed() < Duration::from_secs(3), "{mode}: {:?}", started.elapsed());
-            assert_eq!(program.call("post").body, b"known", "{mode}");
+            assert_eq!(program.request("post").body, b"known", "{mode}");
         }
     }
 }
@@ -725,8 +743,8 @@
 #[test]
 fn a_new_process_that_knows_nothing_is_told_in_time() {
     for mode in ["push", "ask"] {
-        let new = Upstream::start(|_| Act::Answer(ok("new")));
-        let discovery = Port::open();
+        let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
+        let discovery = ManualPeer::open();
         let mut settings = configured(mode, &discovery, &[]);
         settings["settings"]["Siblings"] = 870.into();
         let started = Instant::now();
@@ -737,8 +755,8 @@
         assert!(started.elapsed() < TOLD, "{mode}: told after {:?}", started.elapsed());
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-        assert_eq!(caller.answer().expect("an answer").status(), 200, "{mode}");
-        assert_eq!(program.call("post").body, b"new", "{mode}");
+        assert_eq!(caller.read_response().expect("an answer").status(), 200, "{mode}");
+        assert_eq!(program.request("post").body, b"new", "{mode}");
     }
 }
 
@@ -752,8 +770,11 @@
 const OWN: usize = 10;
 
 /// What each of a crowd says: nothing, one call, or a part of one.
-const SAYINGS: [fn() -> String; 3] =
-    [String::new, || request("look", LONG, ""), || request("look", LONG, "")[..20].into()];
+const SAYINGS: [fn() -> String; 3] = [
+    String::new,
+    || request_text("look", LONG_BUDGET, ""),
+    || request_text("look", LONG_BUDGET, "")[..20].into(),
+];
 const PART_OF_A_CALL: usize = 2;
 
 fn crowded(mode: &str, discovery: std::net::SocketAddr, known: &[String]) -> serde_json::Value {
@@ -767,14 +788,17 @@
 /// Waits until a caller that comes among a crowd is served by the upstream that answers so.
 fn serves(program: &Program, body: &str) {
     eventually(body, || {
-        program.connect().call("look", LONG, "").is_some_and(|answer| answer.body == body.as_bytes())
+        program
+            .connect()
+            .request("look", LONG_BUDGET, "")
+            .is_some_and(|answer| answer.body == body.as_bytes())
     });
 }
 
 /// Ends a program that never lacked a descriptor.
 fn had_descriptors(program: Program, case: &str) {
     program.terminate();
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success() && !log.contains("os error 24"), "{case}: {log}");
 }
 
@@ -799,20 +823,20 @@
         if message.first_line.starts_with("POST") {
             drop(until.lock());
         }
-        Act::Answer(ok("old"))
+        UpstreamAction::Respond(ok_response("old"))
     });
-    let [new, newer, last] =
-        ["new", "newer", "last"].map(|body| Upstream::start(move |_| Act::Answer(ok(body))));
-    let (down, second) = (Down::open(), Discovery::start());
+    let [new, newer, last] = ["new", "newer", "last"]
+        .map(|body| Upstream::start(move |_| UpstreamAction::Respond(ok_response(body))));
+    let (down, second) = (UnavailableDiscovery::open(), Discovery::start());
     let mut config = crowded(mode, down.address, &in_service(&[&old]));
-    let program = Program::start_limited(&config);
-    let mut calling: Vec<Caller> = (2..TO_UPSTREAMS).map(|_| program.connect()).collect();
+    let program = Program::start_with_descriptor_limit(&config);
+    let mut calling: Vec<Client> = (2..TO_UPSTREAMS).map(|_| program.connect()).collect();
     for caller in &mut calling {
-        caller.send("post", LONG, "b");
-        old.request();
+        caller.send("post", LONG_BUDGET, "b");
+        old.next_request();
     }
-    let crowd = Crowd::gather(program.address, 2 * TO_CALLERS, SAYINGS[saying]);
-    eventually("all places are taken", || program.descriptors() >= OWN + calling.len() + TO_CALLERS);
+    let crowd = IdleClients::connect(program.address, 2 * TO_CALLERS, SAYINGS[saying]);
+    eventually("all places are taken", || program.descriptor_count() >= OWN + calling.len() + TO_CALLERS);
     // One that says a part of a call keeps its place for some time, and others out: not discovery.
     let is_served = |body| {
         if saying != PART_OF_A_CALL {
@@ -822,34 +846,34 @@
     // The whole crowd comes at once, and this beside it.
     let rush_with = |event: &dyn Fn()| {
         program.pause();
-        eventually("the crowd is back", || program.connections() >= calling.len() + 2 * TO_CALLERS);
+        eventually("the crowd is back", || program.client_connections() >= calling.len() + 2 * TO_CALLERS);
         event();
-        program.go_on();
+        program.resume();
         Instant::now()
     };
 
-    let first = down.back(&[target("s-new", new.address, "in_service")]);
+    let first = down.restore(&[target("s-new", new.address, "in_service")]);
     let told = Instant::now();
-    first.watched();
+    first.wait_until_watched();
     assert!(told.elapsed() < TOLD, "{case}: back, told after {:?}", told.elapsed());
     is_served("new");
 
-    let told = rush_with(&|| first.set(&[target("s-newer", newer.address, "in_service")]));
-    first.watched();
+    let told = rush_with(&|| first.set_targets(&[target("s-newer", newer.address, "in_service")]));
+    first.wait_until_watched();
     assert!(told.elapsed() < TOLD, "{case}: watch, told after {:?}", told.elapsed());
     is_served("newer");
 
-    second.set(&[target("s-last", last.address, "in_service")]);
+    second.set_targets(&[target("s-last", last.address, "in_service")]);
     config["discovery"] = second.address.to_string().into();
     let told = rush_with(&|| program.reload(&config.to_string()));
-    second.watched();
+    second.wait_until_watched();
     assert!(told.elapsed() < TOLD_AFTER_HANGUP, "{case}: hangup, told after {:?}", told.elapsed());
     is_served("last");
 
     drop((held, crowd));
     calling
         .iter_mut()
-        .for_each(|caller| assert_eq!(caller.answer().expect("an answer").body, b"old", "{case}"));
+        .for_each(|caller| assert_eq!(caller.read_response().expect("an answer").body, b"old", "{case}"));
     drop(calling);
     had_descriptors(program, &case);
 }
@@ -858,17 +882,17 @@
 #[test]
 fn idle_callers_leave_a_descriptor_to_the_first_list() {
     for mode in ["push", "ask"] {
-        let new = Upstream::start(|_| Act::Answer(ok("new")));
-        let down = Down::open();
-        let program = Program::start_limited(&crowded(mode, down.address, &[]));
-        let crowd = Crowd::gather(program.address, SOCKETS, SAYINGS[0]);
-        eventually("all places are taken", || program.descriptors() >= OWN + TO_CALLERS);
+        let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
+        let down = UnavailableDiscovery::open();
+        let program = Program::start_with_descriptor_limit(&crowded(mode, down.address, &[]));
+        let crowd = IdleClients::connect(program.address, SOCKETS, SAYINGS[0]);
+        eventually("all places are taken", || program.descriptor_count() >= OWN + TO_CALLERS);
         program.pause();
-        eventually("the crowd is back", || program.connections() >= SOCKETS);
-        let discovery = down.back(&in_service(&[&new]));
-        program.go_on();
+        eventually("the crowd is back", || program.client_connections() >= SOCKETS);
+        let discovery = down.restore(&in_service(&[&new]));
+        program.resume();
         let told = Instant::now();
-        discovery.watched();
+        discovery.wait_until_watched();
         assert!(told.elapsed() < TOLD, "{mode}: told after {:?}", told.elapsed());
         serves(&program, "new");
         drop(crowd);
@@ -880,44 +904,44 @@
 const FULL_BACKLOG: usize = 120;
 
 /// A program that finds this many requests in its backlog, beyond the time for which callers are served.
-fn ends_with_backlog(upstream: &Upstream, size: usize) -> (Program, Vec<Caller>) {
+fn ends_with_backlog(upstream: &Upstream, size: usize) -> (Program, Vec<Client>) {
     let mut config = short_lived(upstream.address);
     config["limits"]["sockets"] = SOCKETS.into();
-    let program = Program::start_limited(&config);
+    let program = Program::start_with_descriptor_limit(&config);
     program.terminate();
-    program.has_taken_signals();
+    program.wait_until_signals_delivered();
     program.pause();
-    let mut waiting: Vec<Caller> = (0..size).map(|_| program.connect()).collect();
+    let mut waiting: Vec<Client> = (0..size).map(|_| program.connect()).collect();
     waiting.iter_mut().for_each(|caller| caller.send("look", "60", ""));
     std::thread::sleep(SECOND); // beyond what is still served
-    program.go_on();
+    program.resume();
     (program, waiting)
 }
 
-fn all_answered(waiting: &mut [Caller]) {
+fn all_answered(waiting: &mut [Client]) {
     for caller in waiting {
-        assert!([200, 503].contains(&caller.answer().expect("a final answer").status()));
+        assert!([200, 503].contains(&caller.read_response().expect("a final answer").status()));
     }
 }
 
 /// Guards the limit of descriptors at the end: what waits in the backlog is taken and answered within it.
 #[test]
 fn a_backlog_at_the_end_of_serving_is_answered_within_the_descriptors() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let (program, mut waiting) = ends_with_backlog(&upstream, SOCKETS);
     all_answered(&mut waiting);
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
 
 /// Guards the same where the process is held up, on a busy machine, when it has taken the first of them.
 #[test]
 fn a_backlog_at_the_end_of_serving_is_answered_by_a_process_that_is_held_up() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let (program, mut waiting) = ends_with_backlog(&upstream, FULL_BACKLOG);
     all_answered(&mut waiting[..1]);
     program.pause();
     std::thread::sleep(SECOND / 4); // more than the last look at the backlog takes
-    program.go_on();
+    program.resume();
     all_answered(&mut waiting[1..]);
-    assert!(program.end().0.success());
+    assert!(program.wait_for_exit().0.success());
 }
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -17,7 +17,7 @@
 const LENGTH: usize = 300_000;
 
 fn served_by(upstream: &Upstream) -> Program {
-    Program::start(&config(refusing(), &in_service(&[upstream])))
+    Program::start(&config(refusing_address(), &in_service(&[upstream])))
 }
 
 /// What a caller got before its connection ended, or its answer was whole.
@@ -32,7 +32,7 @@
 fn ends(program: &Program) -> Ending {
     let mut caller = program.connect();
     let sent = Instant::now();
-    let answer = caller.call("post", SHORT, "b");
+    let answer = caller.request("post", SHORT, "b");
     Ending { took: sent.elapsed(), answer }
 }
 
@@ -44,17 +44,17 @@
     let begun = |head: &str, length| [head.as_bytes(), &some(length)].concat();
     let pause = Duration::from_millis(100);
     let cases = [
-        ("a head stops", stops_after("HTTP/1.1 200 OK\r\nContent-Le"), Some(502)),
-        ("no length, no bytes", stops_after(UNKNOWN_LENGTH), None),
-        ("no length, stops", stops_after(begun(UNKNOWN_LENGTH, 100)), None),
-        ("no length, drips", drips_after(begun(UNKNOWN_LENGTH, 100), "a", pause), None),
-        ("no length, stops late", stops_after(begun(UNKNOWN_LENGTH, 100_000)), None),
-        ("stops in a chunk", stops_after(begun(&format!("{CHUNKED}ffff\r\n"), 100)), None),
-        ("stops behind a chunk", stops_after([CHUNKED.as_bytes(), &chunk(&some(100))].concat()), None),
-        ("chunks drip", drips_after(CHUNKED, chunk(b"a"), pause), None),
-        ("a short one stops", stops_after(begun(&known_length(200), 100)), Some(502)),
-        ("a long one stops", stops_after(begun(&known_length(LENGTH), 100_000)), None),
-        ("a long one drips", drips_after(begun(&known_length(LENGTH), 100_000), "a", pause), None),
+        ("a head stops", stall_after("HTTP/1.1 200 OK\r\nContent-Le"), Some(502)),
+        ("no length, no bytes", stall_after(HEAD_WITHOUT_LENGTH), None),
+        ("no length, stops", stall_after(begun(HEAD_WITHOUT_LENGTH, 100)), None),
+        ("no length, drips", trickle_after(begun(HEAD_WITHOUT_LENGTH, 100), "a", pause), None),
+        ("no length, stops late", stall_after(begun(HEAD_WITHOUT_LENGTH, 100_000)), None),
+        ("stops in a chunk", stall_after(begun(&format!("{CHUNKED_HEAD}ffff\r\n"), 100)), None),
+        ("stops behind a chunk", stall_after([CHUNKED_HEAD.as_bytes(), &chunk(&some(100))].concat()), None),
+        ("chunks drip", trickle_after(CHUNKED_HEAD, chunk(b"a"), pause), None),
+        ("a short one stops", stall_after(begun(&head_with_length(200), 100)), Some(502)),
+        ("a long one stops", stall_after(begun(&head_with_length(LENGTH), 100_000)), None),
+        ("a long one drips", trickle_after(begun(&head_with_length(LENGTH), 100_000), "a", pause), None),
     ];
     let plays = cases.map(|(case, act, status)| {
         std::thread::spawn(move || {
@@ -62,7 +62,7 @@
             let program = served_by(&upstream);
             in_time(case, || {
                 let Ending { took, answer } = ends(&program);
-                upstream.closed(); // nobody gets the rest
+                upstream.wait_for_close(); // nobody gets the rest
                 let got = answer.map(|answer| answer.status());
                 // Where the machine held up the start of the answer, it has not begun.
                 assert!(got == status || got == Some(502), "{case}: {got:?}");
@@ -87,10 +87,10 @@
 /// A caller of HTTP/1.0 gets no chunks: only a reset tells it that the answer broke off.
 #[test]
 fn an_answer_that_stops_is_reset_for_an_old_caller() {
-    let upstream = Upstream::start(|_| stops_after(format!("{UNKNOWN_LENGTH}some")));
+    let upstream = Upstream::start(|_| stall_after(format!("{HEAD_WITHOUT_LENGTH}some")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    caller.write(&request("post", SHORT, "").replace("HTTP/1.1", "HTTP/1.0"));
+    caller.write(&request_text("post", SHORT, "").replace("HTTP/1.1", "HTTP/1.0"));
     let mut got = Vec::new();
     assert!(caller.input.read_to_end(&mut got).is_err(), "{:?}", String::from_utf8_lossy(&got));
 }
@@ -109,19 +109,19 @@
 }
 
 /// Plays this until the answer comes whole. One that is broken off counts where its upstream wrote in time.
-fn comes_whole(upstream: &Upstream, body: &[u8], lateness: &Lateness) {
+fn comes_whole(upstream: &Upstream, body: &[u8], lateness: &MaxDelay) {
     let program = served_by(upstream);
     const PLAYS: usize = 20;
     const HELD_UP: Duration = Duration::from_millis(100);
     for _ in 0..PLAYS {
-        lateness.forget();
+        lateness.reset();
         let Ending { took, answer } = ends(&program);
         match answer {
             Some(answer) if answer.body == body => return,
             Some(answer) if answer.status() == 502 => continue, // held up before it began
-            _ => upstream.closed(),                             // a piece that was late is noted by now
+            _ => upstream.wait_for_close(),                     // a piece that was late is noted by now
         }
-        let late = lateness.worst();
+        let late = lateness.max();
         assert!(late > HELD_UP, "an answer that goes on is broken off after {took:?}, {late:?} late");
     }
     panic!("the upstream is held up all the time");
@@ -131,18 +131,19 @@
 #[test]
 fn a_slow_answer_that_goes_on_comes_whole() {
     let cases = [
-        (known_length(100_000), 100_000, false),
-        (CHUNKED.to_owned(), 100_000, true),
-        (UNKNOWN_LENGTH.to_owned(), 100_000, false),
-        (UNKNOWN_LENGTH.to_owned(), 30_000, false),
+        (head_with_length(100_000), 100_000, false),
+        (CHUNKED_HEAD.to_owned(), 100_000, true),
+        (HEAD_WITHOUT_LENGTH.to_owned(), 100_000, false),
+        (HEAD_WITHOUT_LENGTH.to_owned(), 30_000, false),
     ];
     let answers = cases.map(|(head, length, chunked)| {
         std::thread::spawn(move || {
             let body: Vec<u8> = (0..length).map(|at| at as u8).collect();
             let pieces = slow_pieces(&head, &body, chunked);
-            let (lateness, pause) = (Lateness::default(), Duration::from_millis(40));
+            let (lateness, pause) = (MaxDelay::default(), Duration::from_millis(40));
             let noting = lateness.clone();
-            let upstream = Upstream::start(move |_| paced_noting(pieces.clone(), pause, noting.clone()));
+            let upstream =
+                Upstream::start(move |_| write_paced_recording(pieces.clone(), pause, noting.clone()));
             comes_whole(&upstream, &body, &lateness);
         })
     });
@@ -153,15 +154,17 @@
 #[test]
 fn a_long_answer_may_pause_past_its_time() {
     let body = vec![b'a'; LENGTH];
-    let pieces = slow_pieces(&known_length(LENGTH), &body, false);
-    let lateness = Lateness::default();
+    let pieces = slow_pieces(&head_with_length(LENGTH), &body, false);
+    let lateness = MaxDelay::default();
     let noting = lateness.clone();
     let upstream = Upstream::start(move |_| {
         let (first, rest) = (pieces[..40].to_vec(), pieces[40..].concat()); // to 1.6 s, twice its time
-        let Act::Do(begins) = paced_noting(first, Duration::from_millis(40), noting.clone()) else {
+        let UpstreamAction::Run(begins) =
+            write_paced_recording(first, Duration::from_millis(40), noting.clone())
+        else {
             unreachable!()
         };
-        Act::Do(Arc::new(move |stream| {
+        UpstreamAction::Run(Arc::new(move |stream| {
             begins(stream);
             std::thread::sleep(Duration::from_millis(1400));
             stream.write_all(&rest).ok();
@@ -180,7 +183,7 @@
 }
 
 /// The operators' figures.
-fn counters(door: SocketAddr) -> serde_json::Value {
+fn read_counters(door: SocketAddr) -> serde_json::Value {
     let mut stream = TcpStream::connect(door).unwrap();
     stream.write_all(b"GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n").unwrap();
     let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
@@ -193,48 +196,49 @@
     const STOPPED: usize = 200; // of 64 KiB each, where 8 MB are there for bodies
     const AT_ONCE: usize = 50;
     let upstream = Upstream::start(|message| match message.first_line.contains("/post") {
-        true => stops_after(format!("{UNKNOWN_LENGTH}some")),
-        false => Act::Answer(ok("served")),
+        true => stall_after(format!("{HEAD_WITHOUT_LENGTH}some")),
+        false => UpstreamAction::Respond(ok_response("served")),
     });
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["admin_addr"] = "127.0.0.1:0".into();
     config["limits"]["memory_mb"] = 32.into();
     let mut program = Program::start(&config);
-    let door = program.logged("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap();
+    let door =
+        program.wait_for_log("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap();
     let body = "b".repeat(60_000); // takes as much of the memory as one of the others
-    assert_eq!(program.connect().call("pay", LONG, &body).expect("an answer").status(), 200);
-    let before = program.descriptors();
+    assert_eq!(program.connect().request("pay", LONG_BUDGET, &body).expect("an answer").status(), 200);
+    let before = program.descriptor_count();
     let mut failures = 0;
     while failures < STOPPED {
-        let mut callers: Vec<Caller> = (0..AT_ONCE).map(|_| program.connect()).collect();
+        let mut callers: Vec<Client> = (0..AT_ONCE).map(|_| program.connect()).collect();
         callers.iter_mut().for_each(|caller| caller.send("post", "0.2", "b"));
         for caller in &mut callers {
-            let status = caller.answer().map(|answer| answer.status());
+            let status = caller.read_response().map(|answer| answer.status());
             assert!([None, Some(502), Some(503)].contains(&status), "{status:?}");
             failures += usize::from(status != Some(503)); // its breaker may refuse some
         }
         // An open breaker lets a trial through now and then: calls in between would only be refused.
         eventually("it serves again", || {
-            program.connect().call("pay", LONG, &body).expect("an answer").status() == 200
+            program.connect().request("pay", LONG_BUDGET, &body).expect("an answer").status() == 200
         });
     }
-    eventually("all descriptors are given back", || program.descriptors() <= before);
-    eventually("nothing is open", || counters(door)["inflight"] == 0);
-    eventually("all is counted", || counters(door)["calls"]["post"]["failure"] == failures);
+    eventually("all descriptors are given back", || program.descriptor_count() <= before);
+    eventually("nothing is open", || read_counters(door)["inflight"] == 0);
+    eventually("all is counted", || read_counters(door)["calls"]["post"]["failure"] == failures);
 }
 
 /// An upstream whose long answers to `post` stop, which holds their callers for as long as they have time.
 fn holds_posts() -> Upstream {
     Upstream::start(|message| match message.first_line.contains("/post") {
-        true => stops_after([known_length(LENGTH).as_bytes(), &[b'a'; 100_000]].concat()),
-        false => Act::Answer(ok("served")),
+        true => stall_after([head_with_length(LENGTH).as_bytes(), &[b'a'; 100_000]].concat()),
+        false => UpstreamAction::Respond(ok_response("served")),
     })
 }
 
 /// A caller that has asked for a long answer.
-fn asks_for_much(program: &Program) -> Caller {
+fn asks_for_much(program: &Program) -> Client {
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
+    caller.send("post", LONG_BUDGET, "b");
     caller
 }
 
@@ -242,7 +246,7 @@
 fn answered(program: &Program, class: &str, body: &str) -> Option<Duration> {
     let mut caller = program.connect();
     let sent = Instant::now();
-    let answer = caller.call(class, SHORT, body)?;
+    let answer = caller.request(class, SHORT, body)?;
     assert!([200, 502, 503].contains(&answer.status()), "{}", answer.first_line);
     Some(sent.elapsed())
 }
@@ -252,10 +256,10 @@
 fn small_requests_are_answered_in_time_while_bulk_readers_hold_the_memory() {
     const BULK: usize = 200; // 64 KiB each, where 8 MB are there for bodies
     let upstream = holds_posts();
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["memory_mb"] = 32.into();
     let program = Program::start(&config);
-    let mut bulk: Vec<Caller> = (0..BULK).map(|_| asks_for_much(&program)).collect();
+    let mut bulk: Vec<Client> = (0..BULK).map(|_| asks_for_much(&program)).collect();
     bulk.iter_mut().for_each(|caller| drop(read_head(&mut caller.input)));
     let body = "b".repeat(65_500); // the bodies of the others leave no room for all of it
     for class in ["look", "pay"].repeat(20) {
@@ -269,14 +273,15 @@
 fn requests_are_answered_in_time_while_others_hold_all_places() {
     const CONNECTIONS: usize = 10;
     let upstream = holds_posts();
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 128.into(); // room for 54 callers
-    let program = Program::start_limited(&config);
-    let held: Vec<Caller> = (0..54).map(|_| asks_for_much(&program)).collect();
-    eventually("all places are held", || program.connections() >= held.len());
-    let rush: Vec<Crowd> = [String::new, || "GET /look HTT".to_owned(), || "\u{16}\u{3}\u{1}".to_owned()]
-        .map(|says: fn() -> String| Crowd::gather(program.address, 60, says))
-        .into();
+    let program = Program::start_with_descriptor_limit(&config);
+    let held: Vec<Client> = (0..54).map(|_| asks_for_much(&program)).collect();
+    eventually("all places are held", || program.client_connections() >= held.len());
+    let rush: Vec<IdleClients> =
+        [String::new, || "GET /look HTT".to_owned(), || "\u{16}\u{3}\u{1}".to_owned()]
+            .map(|says: fn() -> String| IdleClients::connect(program.address, 60, says))
+            .into();
     for _ in 0..50 {
         // In a crowd a new connection may be closed before its request is read; its caller comes again.
         let mut plays = (0..CONNECTIONS).filter_map(|_| answered(&program, "look", ""));
@@ -284,5 +289,5 @@
     }
     drop(rush);
     held.iter().for_each(|caller| drop(caller.input.get_ref().shutdown(Shutdown::Both)));
-    eventually("the places are given back", || program.connections() < 20);
+    eventually("the places are given back", || program.client_connections() < 20);
 }
--- a/tests/offline_orders.rs
+++ b/tests/offline_orders.rs
@@ -44,8 +44,9 @@
     /// The folder holds a list of these, unless there are none.
     fn new(name: &str, offline: &[&str]) -> Self {
         let upstreams: Vec<Upstream> =
-            (0..UPSTREAMS).map(|_| Upstream::start(|_| Act::Answer(ok("")))).collect();
-        let config = with_door(refusing(), &in_service(&upstreams.iter().collect::<Vec<_>>()));
+            (0..UPSTREAMS).map(|_| Upstream::start(|_| UpstreamAction::Respond(ok_response("")))).collect();
+        let config =
+            config_with_admin(refusing_address(), &in_service(&upstreams.iter().collect::<Vec<_>>()));
         let site = Self { upstreams, config, folder: shared_folder(name) };
         site.reset(offline);
         site
@@ -72,7 +73,7 @@
         let mut environment = environment.to_vec();
         environment.push(("TMPDIR", self.path("")));
         let mut program = Program::start_with(&self.config, &environment);
-        let door = door(&mut program);
+        let door = admin_address(&mut program);
         Balancer { program, door }
     }
 
@@ -112,7 +113,7 @@
         let verb = if order.offline { "offline" } else { "online" };
         let path = format!("/control/upstreams/{}/{verb}", order.uid);
         let call = format!("POST {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
-        say(self.door, &call).map(|answer| answer.status())
+        send_raw(self.door, &call).map(|answer| answer.status())
     }
 
     /// Gives an order that cannot be carried out.
@@ -146,7 +147,7 @@
     /// open for a while too: it closes by the trial of a call.
     fn gets_offline(&self, site: &Site, offline: &Uids, context: &str) {
         let these_are_down = || {
-            self.program.call("look");
+            self.program.request("look");
             self.hosts_down() == offline.len()
         };
         eventually(&format!("{offline:?} and no others are out, {context}"), these_are_down);
@@ -154,7 +155,7 @@
     }
 
     fn hosts_down(&self) -> usize {
-        counters(self.door)["hosts_down"].as_u64().unwrap() as usize
+        read_counters(self.door)["hosts_down"].as_u64().unwrap() as usize
     }
 
     /// Makes calls that reach none of these. A request from before, read late where the machine is busy, is not one of
@@ -165,17 +166,17 @@
         for _ in 0..CALLS {
             let id = format!("0ff11e00{:08x}", NEXT.fetch_add(1, Ordering::Relaxed));
             let mut caller = self.program.connect();
-            caller.write(&named_request(&id, "look", LONG, ""));
-            assert_eq!(caller.answer().expect("an answer").status(), 200, "{context}");
+            caller.write(&request_text_with_id(&id, "look", LONG_BUDGET, ""));
+            assert_eq!(caller.read_response().expect("an answer").status(), 200, "{context}");
             ids.insert(id);
         }
         for (at, upstream) in site.upstreams.iter().enumerate() {
             let uid = format!("s-{at}");
-            let is_ours = |seen: &Seen| {
-                let Seen::Request(message) = seen else { return false };
+            let is_ours = |seen: &UpstreamEvent| {
+                let UpstreamEvent::Request(message) = seen else { return false };
                 message.headers.get("x-call-id").is_some_and(|id| ids.contains(id))
             };
-            let requests = upstream.seen.try_iter().filter(is_ours).count();
+            let requests = upstream.events.try_iter().filter(is_ours).count();
             assert!(!offline.contains(&uid) || requests == 0, "{uid} is used, {context}");
         }
     }
@@ -248,7 +249,7 @@
             let plan = format!("{call}:{error}:path={path}:from={step}{count}");
             let faults = Faults::new(&plan);
             a_yes_holds_and_a_no_does_not(&site, &faults, &plan);
-            if faults.injected(call, error) == 0 {
+            if faults.injected_count(call, error) == 0 {
                 break;
             }
             injected += 1;
@@ -354,7 +355,7 @@
         if let Some(order) = unanswered {
             let mut carried_out = offline.clone();
             order.apply(&mut carried_out);
-            if counters(next.door)["hosts_down"] == carried_out.len() {
+            if read_counters(next.door)["hosts_down"] == carried_out.len() {
                 offline = carried_out;
             }
         }
@@ -409,10 +410,10 @@
     let balancer = site.start_under(&faults);
     let asked = Instant::now();
     let door = balancer.door;
-    let operator = std::thread::spawn(move || order(door, "s-0", "offline"));
+    let operator = std::thread::spawn(move || send_order(door, "s-0", "offline"));
     let mut served = 0;
     while !operator.is_finished() {
-        assert_eq!(balancer.program.call("look").status(), 200, "{plan}");
+        assert_eq!(balancer.program.request("look").status(), 200, "{plan}");
         served += 1;
         std::thread::sleep(CALL_EVERY);
     }
@@ -422,7 +423,7 @@
     // The next order waits until the late one is done with.
     let mut offline = uids(BEFORE);
     balancer.carries_out(&take_out("s-2"), &mut offline, &plan);
-    assert_eq!(faults.injected(call, DELAY), 1, "{plan}");
+    assert_eq!(faults.injected_count(call, DELAY), 1, "{plan}");
     balancer.has_offline(&site, &offline, &plan);
     site.settles_at(&offline, &plan);
     drop(balancer);
@@ -454,7 +455,7 @@
         let faults = Faults::new(format!("{call}:EIO:path={}:count=10", site.path(LIST)));
         let balancer = site.start_under(&faults);
         balancer.has_offline(&site, &uids(BEFORE), "from the first call on");
-        assert_eq!(faults.injected(call, "EIO"), 10, "{call}");
+        assert_eq!(faults.injected_count(call, "EIO"), 10, "{call}");
     }
 }
 
@@ -465,16 +466,16 @@
     let site = Site::new("stays-unreadable", &[]);
     fs::create_dir(site.folder.join(LIST)).unwrap();
     let mut program = Program::start_with(&site.config, &[("TMPDIR", site.path(""))]);
-    program.logged("the list of upstreams taken out cannot be read now");
-    let balancer = Balancer { door: door(&mut program), program };
-    assert_eq!(balancer.program.call("look").status(), 200);
+    program.wait_for_log("the list of upstreams taken out cannot be read now");
+    let balancer = Balancer { door: admin_address(&mut program), program };
+    assert_eq!(balancer.program.request("look").status(), 200);
     balancer.refuses(&take_out("s-0"));
     balancer.has_offline(&site, &uids(&[]), "after the no");
     fs::remove_dir(site.folder.join(LIST)).unwrap();
     balancer.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
     balancer.has_offline(&site, &uids(&["s-0"]), "after the yes");
     balancer.program.terminate();
-    let (_, log) = balancer.program.end();
+    let (_, log) = balancer.program.wait_for_exit();
     assert!(!log.contains("cannot be read now"), "said once: {log}");
 }
 
@@ -488,7 +489,7 @@
     other.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
     blind.refuses(&take_out("s-1"));
     blind.has_offline(&site, &uids(&[]), "in the one that cannot read");
-    assert!(faults.injected("read", "EIO") > 0);
+    assert!(faults.injected_count("read", "EIO") > 0);
     drop(blind);
     other.carries_out(&take_out("s-2"), &mut Uids::new(), "the folder is sound");
     other.has_offline(&site, &uids(&["s-0", "s-2"]), "in the other");
@@ -506,7 +507,7 @@
         let offline = round % 2 == 0;
         let verb = if offline { "offline" } else { "online" };
         let (at_slow, at_quick) = (slow.door, quick.door);
-        let until_yes = |door, uid| eventually("a yes", || order(door, uid, verb) == 200);
+        let until_yes = |door, uid| eventually("a yes", || send_order(door, uid, verb) == 200);
         std::thread::scope(|scope| {
             scope.spawn(|| until_yes(at_slow, "s-0"));
             scope.spawn(|| until_yes(at_quick, "s-1"));
@@ -527,10 +528,10 @@
         let plan = format!("{call}:{error}:path={}:count=3", site.path(ANNOUNCEMENTS));
         let faults = Faults::new(plan);
         let mut second = site.start_under(&faults);
-        first.program.logged("this process serves beside another process");
-        assert!(faults.injected(call, error) > 0, "{call}");
+        first.program.wait_for_log("this process serves beside another process");
+        assert!(faults.injected_count(call, error) > 0, "{call}");
         drop(first);
-        second.program.logged("this process serves alone");
+        second.program.wait_for_log("this process serves alone");
     }
 }
 
@@ -542,13 +543,13 @@
     let mut environment = faults.environment();
     environment.push(("TMPDIR", site.path("")));
     let mut program = Program::start_with(&site.config, &environment);
-    program.logged("this process cannot be announced");
-    program.logged("this process serves beside another process");
-    let balancer = Balancer { door: door(&mut program), program };
+    program.wait_for_log("this process cannot be announced");
+    program.wait_for_log("this process serves beside another process");
+    let balancer = Balancer { door: admin_address(&mut program), program };
     balancer.has_offline(&site, &uids(BEFORE), "the list is followed all the same");
-    eventually("it is tried again", || faults.injected("open", "EROFS") > 5);
+    eventually("it is tried again", || faults.injected_count("open", "EROFS") > 5);
     balancer.program.terminate();
-    let (_, log) = balancer.program.end();
+    let (_, log) = balancer.program.wait_for_exit();
     assert!(!log.contains("cannot be announced"), "said once: {log}");
     assert!(!log.contains("serves alone"), "{log}");
 }
@@ -577,7 +578,7 @@
     balancer.refuses(&take_out("s-0"));
     balancer.has_offline(&site, &uids(&[]), "after the no");
     fs::create_dir(&site.folder).unwrap();
-    balancer.program.logged("this process serves alone");
+    balancer.program.wait_for_log("this process serves alone");
     balancer.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
     balancer.has_offline(&site, &uids(&["s-0"]), "after the yes");
     drop(balancer);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,27 +8,27 @@
 use std::time::{Duration, Instant};
 
 fn served_by(upstream: &Upstream) -> Program {
-    Program::start(&config(refusing(), &in_service(&[upstream])))
+    Program::start(&config(refusing_address(), &in_service(&[upstream])))
 }
 
 /// The first request ends with `first`, all later ones are served.
-fn once(first: Act) -> impl Fn(&Message) -> Act + Send + Sync {
+fn once(first: UpstreamAction) -> impl Fn(&Message) -> UpstreamAction + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
         0 => first.clone(),
-        _ => Act::Answer(ok("second")),
+        _ => UpstreamAction::Respond(ok_response("second")),
     }
 }
 
 #[test]
 fn forwards_a_request_and_its_answer_unchanged() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("the answer")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("the answer")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    caller.write(&named_request("9b1f03aa5c7e2d41", "pay", "12.5", "the body"));
-    let answer = caller.answer().unwrap();
+    caller.write(&request_text_with_id("9b1f03aa5c7e2d41", "pay", "12.5", "the body"));
+    let answer = caller.read_response().unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"the answer"[..]));
-    let got = upstream.request();
+    let got = upstream.next_request();
     assert_eq!(got.first_line, "POST /pay?x=1 HTTP/1.1");
     assert_eq!(got.body, b"the body");
     assert_eq!(got.headers["x-call-id"], "9b1f03aa5c7e2d41");
@@ -40,38 +40,39 @@
 /// Guards the tiers behind against work for an answer that nobody waits for any more.
 #[test]
 fn tells_an_upstream_how_long_its_answer_is_waited_for() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["settings"]["Classes"][0]["LateWorth"] = 0.0.into();
     config["settings"]["Classes"][0]["AimNs"] = 20_000_000_000_u64.into();
-    assert_eq!(Program::start(&config).call("look").status(), 200);
-    let budget: f64 = upstream.request().headers["x-budget"].parse().unwrap();
+    assert_eq!(Program::start(&config).request("look").status(), 200);
+    let budget: f64 = upstream.next_request().headers["x-budget"].parse().unwrap();
     assert!(
         budget <= 20.0,
-        "the caller waits for {LONG} s, the balancer for 20 s, the upstream hears {budget}"
+        "the caller waits for {LONG_BUDGET} s, the balancer for 20 s, the upstream hears {budget}"
     );
 }
 
 #[test]
 fn uses_a_connection_again() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     for _ in 0..20 {
-        assert_eq!(caller.call("post", LONG, "b").unwrap().status(), 200);
+        assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
     }
-    let connections = upstream.seen.try_iter().filter(|seen| matches!(seen, Seen::Connected)).count();
+    let connections =
+        upstream.events.try_iter().filter(|seen| matches!(seen, UpstreamEvent::Connected)).count();
     assert_eq!(connections, 1);
 }
 
 #[test]
 fn does_not_write_to_a_connection_that_its_upstream_closed() {
-    let upstream = Upstream::start(|_| Act::AnswerAndClose(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::RespondAndClose(ok_response("")));
     let program = served_by(&upstream);
     let mut caller = program.connect();
     for _ in 0..50 {
-        assert_eq!(caller.call("post", LONG, "b").unwrap().status(), 200);
-        upstream.closed();
+        assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
+        upstream.wait_for_close();
     }
 }
 
@@ -81,11 +82,11 @@
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let vague = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     for first in ["", partial, error, vague] {
-        let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
+        let upstream = Upstream::start(once(UpstreamAction::RespondAndClose(first.into())));
         let program = served_by(&upstream);
-        let answer = program.call("post");
+        let answer = program.request("post");
         assert!(![200, 429, 503].contains(&answer.status()), "{first:?} became {}", answer.first_line);
-        assert_eq!(upstream.requests(), 1, "{first:?}");
+        assert_eq!(upstream.take_request_count(), 1, "{first:?}");
     }
 }
 
@@ -93,29 +94,30 @@
 fn sends_keyed_work_again_after_an_answer_that_broke_off() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     for first in ["", partial] {
-        let upstream = Upstream::start(once(Act::AnswerAndClose(first.into())));
-        let answer = served_by(&upstream).call("pay");
+        let upstream = Upstream::start(once(UpstreamAction::RespondAndClose(first.into())));
+        let answer = served_by(&upstream).request("pay");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"second"[..]), "{first:?}");
     }
 }
 
 #[test]
 fn sends_unsafe_work_again_that_never_ran() {
-    let upstream = Upstream::start(once(Act::Answer(full())));
-    assert_eq!(served_by(&upstream).call("post").status(), 200, "turned away, then served");
+    let upstream = Upstream::start(once(UpstreamAction::Respond(rejected_response())));
+    assert_eq!(served_by(&upstream).request("post").status(), 200, "turned away, then served");
 
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let list = [target("s-dead", refusing(), "in_service"), target("s-0", upstream.address, "in_service")];
-    let program = Program::start(&config(refusing(), &list));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let list =
+        [target("s-dead", refusing_address(), "in_service"), target("s-0", upstream.address, "in_service")];
+    let program = Program::start(&config(refusing_address(), &list));
     for _ in 0..4 {
-        assert_eq!(program.call("post").status(), 200, "refused by one upstream, served by the other");
+        assert_eq!(program.request("post").status(), 200, "refused by one upstream, served by the other");
     }
 }
 
 #[test]
 fn refuses_with_advice_when_all_upstreams_turn_work_away() {
-    let upstream = Upstream::start(|_| Act::Answer(full()));
-    let answer = served_by(&upstream).call("post");
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(rejected_response()));
+    let answer = served_by(&upstream).request("post");
     assert_eq!(answer.status(), 503);
     let back: f64 = answer.headers["retry-after"].parse().unwrap();
     assert!(back > 0.0 && back <= 1.0);
@@ -123,32 +125,32 @@
 
 #[test]
 fn answers_in_time_where_an_upstream_is_silent() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = served_by(&upstream);
     let asked = Instant::now();
-    let answer = program.connect().call("post", "0.300", "b").expect("an answer, not an end");
+    let answer = program.connect().request("post", "0.300", "b").expect("an answer, not an end");
     assert_eq!(answer.status(), 502);
     assert!(asked.elapsed() >= Duration::from_millis(300), "it waits as long as the caller");
-    upstream.request();
-    upstream.closed(); // or the upstream would work on for nobody
+    upstream.next_request();
+    upstream.wait_for_close(); // or the upstream would work on for nobody
 }
 
 #[test]
 fn withdraws_the_attempt_of_a_caller_that_left() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
-    upstream.request();
+    caller.send("post", LONG_BUDGET, "b");
+    upstream.next_request();
     drop(caller);
-    upstream.closed();
+    upstream.wait_for_close();
 }
 
 #[test]
 fn answers_bad_requests_itself() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let good = named_request("9b1f03aa5c7e2d41", "pay", "1.0", "body");
+    let good = request_text_with_id("9b1f03aa5c7e2d41", "pay", "1.0", "body");
     let cases = [
         (good.replace("X-Budget: 1.0\r\n", ""), 400),
         (good.replace("1.0", "soon"), 400),
@@ -171,95 +173,95 @@
     for (text, status) in cases {
         let mut caller = program.connect();
         caller.write(&text);
-        let answer = caller.answer().unwrap_or_else(|| panic!("no answer to {text:?}"));
+        let answer = caller.read_response().unwrap_or_else(|| panic!("no answer to {text:?}"));
         assert_eq!(answer.status(), status, "{text:?}");
     }
-    assert_eq!(upstream.requests(), 0);
-    assert_eq!(program.call("pay").status(), 200, "it serves on");
+    assert_eq!(upstream.take_request_count(), 0);
+    assert_eq!(program.request("pay").status(), 200, "it serves on");
 }
 
 /// Guards against a request hidden in the body of another: one side goes by the length, the other by the chunks.
 #[test]
 fn refuses_a_request_with_both_lengths() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let hidden = format!("0\r\n\r\n{}", request("post", LONG, "hidden"));
-    let plain = request("pay", LONG, "");
+    let hidden = format!("0\r\n\r\n{}", request_text("post", LONG_BUDGET, "hidden"));
+    let plain = request_text("pay", LONG_BUDGET, "");
     let (length, chunked) =
         (format!("Content-Length: {}\r\n", hidden.len()), "Transfer-Encoding: chunked\r\n");
     for both in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
         let mut caller = program.connect();
         caller.write(&(plain.replace("Content-Length: 0\r\n", &both) + &hidden));
-        assert_eq!(caller.answer().expect("an answer").status(), 400, "{both}");
-        assert!(caller.answer().is_none(), "the connection is of no further use");
+        assert_eq!(caller.read_response().expect("an answer").status(), 400, "{both}");
+        assert!(caller.read_response().is_none(), "the connection is of no further use");
     }
-    assert_eq!(upstream.requests(), 0);
+    assert_eq!(upstream.take_request_count(), 0);
     let mut caller = program.connect();
     caller.write(&plain.replace("Content-Length: 0\r\n\r\n", &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n")));
-    assert_eq!(caller.answer().unwrap().status(), 200, "chunks alone are sound");
-    assert_eq!(upstream.request().body, b"abc");
+    assert_eq!(caller.read_response().unwrap().status(), 200, "chunks alone are sound");
+    assert_eq!(upstream.next_request().body, b"abc");
 }
 
 /// Guards the places and the memory: a request is owed within a few seconds, and a head has an end.
 #[test]
 fn sends_callers_away_that_never_finish_a_request() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let good = request("pay", LONG, "body");
+    let good = request_text("pay", LONG_BUDGET, "body");
     let head = good.split("X-Budget").next().unwrap();
     let cases = ["", head, &good[..good.len() - 2], &good.replace("Content-Length: 4", "Content-Length: 5")];
     for begun in cases {
         let mut caller = program.connect();
         caller.write(begun);
         // An error or the end comes; the program would else wait for the rest, and the test with it.
-        assert!(caller.answer().is_none_or(|answer| answer.status() == 408), "{begun:?}");
+        assert!(caller.read_response().is_none_or(|answer| answer.status() == 408), "{begun:?}");
     }
     let mut caller = program.connect();
     caller.write(&format!("{head}X-Pad: {}", "p".repeat(20 << 10)));
-    assert!(caller.answer().is_none_or(|answer| answer.status() == 431), "a head over 8 KiB");
-    assert_eq!(upstream.requests(), 0);
+    assert!(caller.read_response().is_none_or(|answer| answer.status() == 431), "a head over 8 KiB");
+    assert_eq!(upstream.take_request_count(), 0);
     let mut caller = program.connect();
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
+    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200, "one that has asked may rest");
+    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200, "one that has asked may rest");
 }
 
 /// Guards usual clients against crowds: those that have never asked go first.
 #[test]
 fn a_silent_crowd_pushes_out_nobody_else() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 100.into();
     let program = Program::start(&config);
     let mut caller = program.connect();
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
-    let crowd: Vec<Caller> = (0..150).map(|_| program.connect()).collect();
-    assert_eq!(program.call("post").status(), 200, "a new caller finds a place");
-    assert_eq!(caller.call("pay", LONG, "b").unwrap().status(), 200);
+    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
+    let crowd: Vec<Client> = (0..150).map(|_| program.connect()).collect();
+    assert_eq!(program.request("post").status(), 200, "a new caller finds a place");
+    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     drop(crowd);
 }
 
 /// Guards against answers that cannot be told apart.
 #[test]
 fn refuses_a_second_request_of_the_same_name() {
-    let upstream = Upstream::start(|_| Act::Silence);
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = served_by(&upstream);
-    let same = named_request("9b1f03aa5c7e2d41", "post", LONG, "b");
+    let same = request_text_with_id("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
     let asking = || {
         let mut caller = program.connect();
         caller.write(&same);
         caller
     };
     let first = asking();
-    upstream.request();
-    assert_eq!(asking().answer().unwrap().status(), 409);
+    upstream.next_request();
+    assert_eq!(asking().read_response().unwrap().status(), 409);
     drop(first);
-    upstream.closed();
+    upstream.wait_for_close();
     let _third = asking();
-    upstream.request(); // the name is free again
+    upstream.next_request(); // the name is free again
     let mut caller = program.connect();
     caller.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
-    assert_eq!(caller.answer().unwrap().status(), 400);
+    assert_eq!(caller.read_response().unwrap().status(), 400);
 }
 
 /// Guards against a request whose time begins only once the one in front of it is answered, and against a
@@ -267,63 +269,64 @@
 #[test]
 fn a_request_behind_another_has_its_time_and_its_caller() {
     let upstream = Upstream::start(|message| match message.body == b"quick" {
-        true => Act::Answer(ok("quick")),
-        false => Act::Silence,
+        true => UpstreamAction::Respond(ok_response("quick")),
+        false => UpstreamAction::NeverRespond,
     });
     let program = served_by(&upstream);
     let mut caller = program.connect();
-    let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG, "quick")];
-    caller.write(&requests.map(|(budget, body)| request("post", budget, body)).concat());
-    assert_eq!(caller.answer().unwrap().status(), 502);
-    assert_ne!(caller.answer().unwrap().status(), 200, "its time is over");
-    assert_eq!(caller.answer().unwrap().body, b"quick");
-    assert_eq!(upstream.requests(), 2);
-    upstream.seen.try_iter().for_each(drop);
+    let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG_BUDGET, "quick")];
+    caller.write(&requests.map(|(budget, body)| request_text("post", budget, body)).concat());
+    assert_eq!(caller.read_response().unwrap().status(), 502);
+    assert_ne!(caller.read_response().unwrap().status(), 200, "its time is over");
+    assert_eq!(caller.read_response().unwrap().body, b"quick");
+    assert_eq!(upstream.take_request_count(), 2);
+    upstream.events.try_iter().for_each(drop);
 
     let mut caller = program.connect();
-    caller.write(&(request("post", LONG, "slow") + &request("post", LONG, "quick")));
-    upstream.request();
+    caller.write(&(request_text("post", LONG_BUDGET, "slow") + &request_text("post", LONG_BUDGET, "quick")));
+    upstream.next_request();
     drop(caller);
-    upstream.closed();
+    upstream.wait_for_close();
 }
 
 #[test]
 fn takes_a_body_of_the_largest_size() {
-    let upstream = Upstream::start(|message| Act::Answer(ok(&"a".repeat(message.body.len()))));
+    let upstream =
+        Upstream::start(|message| UpstreamAction::Respond(ok_response(&"a".repeat(message.body.len()))));
     let program = served_by(&upstream);
-    let answer = program.connect().call("post", LONG, &"b".repeat(64 << 10)).unwrap();
+    let answer = program.connect().request("post", LONG_BUDGET, &"b".repeat(64 << 10)).unwrap();
     assert_eq!((answer.status(), answer.body.len()), (200, 64 << 10));
 }
 
 #[test]
 fn is_ready_once_there_is_an_upstream() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &[]));
     let ready = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-        caller.answer().unwrap().status()
+        caller.read_response().unwrap().status()
     };
     assert_eq!(ready(), 503);
     discovery.publish(&in_service(&[&upstream]));
     assert_eq!(ready(), 200);
-    assert_eq!(program.call("post").status(), 200);
+    assert_eq!(program.request("post").status(), 200);
 }
 
 #[test]
 fn asks_discovery_again_after_a_failure() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let failure = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     let nonsense = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"rev\":";
     for (mode, first) in [("push", failure), ("push", nonsense), ("ask", failure)] {
-        let discovery = Discovery::start_failing(first);
-        let mut config = config(discovery.address, &[target("s-old", refusing(), "in_service")]);
+        let discovery = Discovery::start_with_first_response(first);
+        let mut config = config(discovery.address, &[target("s-old", refusing_address(), "in_service")]);
         config["settings"]["Discovery"] = mode.into();
         config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
         let program = Program::start(&config);
         discovery.publish(&in_service(&[&upstream]));
-        assert_eq!(program.call("post").status(), 200, "{mode} after {first:?}");
+        assert_eq!(program.request("post").status(), 200, "{mode} after {first:?}");
     }
 }
 
@@ -334,24 +337,24 @@
     let gate = held.clone();
     let old = Upstream::start(move |_| {
         gate.wait();
-        Act::Answer(ok("old"))
+        UpstreamAction::Respond(ok_response("old"))
     });
-    let new = Upstream::start(|_| Act::Answer(ok("new")));
+    let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
     let mut caller = program.connect();
-    caller.send("post", LONG, "b");
-    old.request();
+    caller.send("post", LONG_BUDGET, "b");
+    old.next_request();
     discovery.publish(&in_service(&[&new]));
     held.wait();
-    assert_eq!(caller.answer().unwrap().body, b"old");
-    assert_eq!(program.call("post").body, b"new");
+    assert_eq!(caller.read_response().unwrap().body, b"old");
+    assert_eq!(program.request("post").body, b"new");
 }
 
 /// Guards the memory where upstreams are ever new: what is gone is forgotten.
 #[test]
 fn forgets_upstreams_that_are_gone() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&upstream])));
     let publish = |round: usize| {
@@ -359,30 +362,32 @@
         let fleet: Vec<String> =
             (0..300).map(|at| target(&uid(at), upstream.address, "in_service")).collect();
         discovery.publish(&fleet);
-        assert_eq!(program.call("post").status(), 200);
+        assert_eq!(program.request("post").status(), 200);
     };
     (0..20).for_each(publish);
-    let before = program.memory();
+    let before = program.resident_kib();
     (20..120).for_each(publish);
-    let grown = program.memory().saturating_sub(before);
+    let grown = program.resident_kib().saturating_sub(before);
     assert!(grown < 8 << 10, "{grown} KiB more after 30,000 upstreams");
 }
 
 /// Guards against answers that belong to nobody: the next request must not be given one.
 #[test]
 fn takes_no_answer_for_another_request() {
-    for more in [ok("stale"), "noise".into()] {
-        let together = ok("first") + &more;
-        for first in [Act::Answer(together), Act::AnswerAndMore(ok("first"), more)] {
-            let apart = matches!(first, Act::AnswerAndMore(..));
+    for more in [ok_response("stale"), "noise".into()] {
+        let together = ok_response("first") + &more;
+        for first in
+            [UpstreamAction::Respond(together), UpstreamAction::RespondWithExtra(ok_response("first"), more)]
+        {
+            let apart = matches!(first, UpstreamAction::RespondWithExtra(..));
             let upstream = Upstream::start(once(first));
             let program = served_by(&upstream);
             let mut caller = program.connect();
-            assert_eq!(caller.call("post", LONG, "b").unwrap().body, b"first");
+            assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().body, b"first");
             if apart {
-                upstream.wrote();
+                upstream.wait_for_extra();
             }
-            assert_eq!(caller.call("post", LONG, "b").unwrap().body, b"second");
+            assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().body, b"second");
         }
     }
 }
@@ -395,121 +400,129 @@
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun".to_owned();
     let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
     for spoilt in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
-        let upstream = Upstream::start(once(Act::Answer(spoilt.clone())));
+        let upstream = Upstream::start(once(UpstreamAction::Respond(spoilt.clone())));
         let program = served_by(&upstream);
-        assert_eq!(program.call("post").status(), 502, "{}", &spoilt[..20]);
-        upstream.closed();
-        assert_eq!(upstream.requests(), 0, "it may have run");
-        assert_eq!(program.call("post").body, b"second");
+        assert_eq!(program.request("post").status(), 502, "{}", &spoilt[..20]);
+        upstream.wait_for_close();
+        assert_eq!(upstream.take_request_count(), 0, "it may have run");
+        assert_eq!(program.request("post").body, b"second");
     }
     let sound =
         "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
-    let upstream = Upstream::start(move |_| Act::Answer(sound.into()));
-    assert_eq!(served_by(&upstream).call("post").body, b"ok");
+    let upstream = Upstream::start(move |_| UpstreamAction::Respond(sound.into()));
+    assert_eq!(served_by(&upstream).request("post").body, b"ok");
 }
 
 /// Guards upstreams against being held at fault for a caller's request, and against getting it again.
 #[test]
 fn passes_on_that_a_request_is_at_fault() {
     let upstream = Upstream::start(|message| match message.body == b"bad" {
-        true => Act::Answer("HTTP/1.1 422 Unprocessable\r\nContent-Length: 3\r\n\r\nwhy".into()),
-        false => Act::Answer(ok("")),
+        true => UpstreamAction::Respond("HTTP/1.1 422 Unprocessable\r\nContent-Length: 3\r\n\r\nwhy".into()),
+        false => UpstreamAction::Respond(ok_response("")),
     });
     let program = served_by(&upstream);
     for _ in 0..12 {
-        let answer = program.connect().call("pay", LONG, "bad").unwrap();
+        let answer = program.connect().request("pay", LONG_BUDGET, "bad").unwrap();
         assert_eq!((answer.status(), &answer.body[..]), (422, &b"why"[..]));
     }
-    assert_eq!(upstream.requests(), 12);
-    assert_eq!(program.call("post").status(), 200);
+    assert_eq!(upstream.take_request_count(), 12);
+    assert_eq!(program.request("post").status(), 200);
 }
 
 /// Guards against a signal that ends the program, and against a list that two services share by chance: the
 /// new one's versions say nothing of the old one's.
 #[test]
 fn follows_another_discovery_after_a_hangup() {
-    let (old, new) =
-        (Upstream::start(|_| Act::Answer(ok("old"))), Upstream::start(|_| Act::Answer(ok("new"))));
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
+    );
     let (first, second) = (Discovery::start(), Discovery::start());
     let mut config = config(second.address, &in_service(&[&old]));
     let mut program = Program::start_with(&config, &[("LB_DISCOVERY", first.address.to_string())]);
     first.publish(&[target("s-old", old.address, "in_service")]);
-    assert_eq!(program.call("post").body, b"old");
+    assert_eq!(program.request("post").body, b"old");
     program.reload("{");
-    assert!(program.logged("configuration kept").contains("not sound"));
+    assert!(program.wait_for_log("configuration kept").contains("not sound"));
     first.publish(&[target("s-old", old.address, "in_service")]);
-    assert_eq!(program.call("post").body, b"old", "the former configuration stays");
+    assert_eq!(program.request("post").body, b"old", "the former configuration stays");
 
     config["discovery"] = second.address.to_string().into();
-    second.set(&[target("s-new", new.address, "in_service")]);
+    second.set_targets(&[target("s-new", new.address, "in_service")]);
     program.reload(&config.to_string());
-    second.watched();
+    second.wait_until_watched();
     for _ in 0..4 {
-        assert_eq!(program.call("post").body, b"new");
+        assert_eq!(program.request("post").body, b"new");
     }
 }
 
 #[test]
 fn sends_nothing_new_to_an_upstream_that_drains_or_is_gone() {
-    let (old, new) = (Upstream::start(|_| Act::Answer(ok(""))), Upstream::start(|_| Act::Answer(ok(""))));
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response(""))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response(""))),
+    );
     for listed in [vec![target("s-0", old.address, "terminating")], vec![]] {
         let discovery = Discovery::start();
         let program = Program::start(&config(discovery.address, &in_service(&[&old])));
-        assert_eq!(program.call("post").status(), 200);
-        old.request();
+        assert_eq!(program.request("post").status(), 200);
+        old.next_request();
         let mut list = vec![target("s-1", new.address, "in_service")];
         list.extend(listed);
         discovery.publish(&list);
-        old.closed(); // what is idle is of no use any more
+        old.wait_for_close(); // what is idle is of no use any more
         for _ in 0..10 {
-            assert_eq!(program.call("post").status(), 200);
+            assert_eq!(program.request("post").status(), 200);
         }
-        assert_eq!((old.requests(), new.requests()), (0, 10));
+        assert_eq!((old.take_request_count(), new.take_request_count()), (0, 10));
     }
 }
 
 #[test]
 fn follows_an_upstream_to_its_new_address() {
-    let (old, new) = (Upstream::start(|_| Act::Answer(ok(""))), Upstream::start(|_| Act::Answer(ok(""))));
+    let (old, new) = (
+        Upstream::start(|_| UpstreamAction::Respond(ok_response(""))),
+        Upstream::start(|_| UpstreamAction::Respond(ok_response(""))),
+    );
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
-    assert_eq!(program.call("post").status(), 200);
+    assert_eq!(program.request("post").status(), 200);
     discovery.publish(&in_service(&[&new]));
-    old.closed();
-    assert_eq!(program.call("post").status(), 200);
-    new.request();
+    old.wait_for_close();
+    assert_eq!(program.request("post").status(), 200);
+    new.next_request();
 }
 
 #[test]
 fn gives_up_an_idle_caller_for_a_new_one_and_refuses_when_all_are_busy() {
     let upstream = Upstream::start(|message| match message.first_line.starts_with("GET") {
-        true => Act::Answer(ok("")),
-        false => Act::Silence,
+        true => UpstreamAction::Respond(ok_response("")),
+        false => UpstreamAction::NeverRespond,
     });
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 96.into(); // room for 32 callers
     let program = Program::start(&config);
-    let mut callers: Vec<Caller> = (0..60).map(|_| program.connect()).collect();
+    let mut callers: Vec<Client> = (0..60).map(|_| program.connect()).collect();
     for caller in &mut callers[28..] {
-        assert_eq!(caller.call("look", LONG, "").expect("served").status(), 200);
+        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
     for caller in &mut callers[..28] {
-        assert!(caller.answer().is_none(), "the connections idle for longest are closed");
+        assert!(caller.read_response().is_none(), "the connections idle for longest are closed");
     }
     for caller in &mut callers[28..] {
-        caller.send("post", LONG, "b");
-        upstream.request();
+        caller.send("post", LONG_BUDGET, "b");
+        upstream.next_request();
     }
     for _ in 0..40 {
-        let answer = program.call("look");
+        let answer = program.request("look");
         assert_eq!(answer.status(), 503, "told at once, not left in the backlog");
         assert!(answer.headers.contains_key("retry-after"));
     }
     callers.clear();
     for _ in 0..32 {
-        upstream.closed();
+        upstream.wait_for_close();
     }
-    assert_eq!(program.call("look").status(), 200);
+    assert_eq!(program.request("look").status(), 200);
 }
 
 #[test]
@@ -526,28 +539,29 @@
         if message.first_line.starts_with("POST") {
             gate.wait();
         }
-        Act::Answer(ok(""))
+        UpstreamAction::Respond(ok_response(""))
     });
     let program = served_by(&upstream);
     let (mut busy, mut open) = (program.connect(), program.connect());
-    assert_eq!(open.call("look", LONG, "").unwrap().status(), 200);
-    busy.send("post", LONG, "b");
-    while !upstream.request().first_line.starts_with("POST") {}
+    assert_eq!(open.request("look", LONG_BUDGET, "").unwrap().status(), 200);
+    busy.send("post", LONG_BUDGET, "b");
+    while !upstream.next_request().first_line.starts_with("POST") {}
     let signal = Instant::now();
     program.terminate();
     let served = |answer: Option<Message>| answer.is_some_and(|answer| answer.status() == 200);
     let (mut on_new, mut on_open) = (true, true);
     while signal.elapsed() < Duration::from_millis(300) {
-        on_new &= program.try_connect().is_some_and(|mut caller| served(caller.call("look", LONG, "")));
-        on_open &= served(open.call("look", LONG, ""));
+        on_new &=
+            program.try_connect().is_some_and(|mut caller| served(caller.request("look", LONG_BUDGET, "")));
+        on_open &= served(open.request("look", LONG_BUDGET, ""));
     }
     let judged = signal.elapsed() < Duration::from_millis(400);
     assert!(!judged || on_new, "new connections are still taken");
     assert!(!judged || on_open, "open ones are still served");
-    assert!(open.answer().is_none(), "then idle ones are closed");
+    assert!(open.read_response().is_none(), "then idle ones are closed");
     held.wait();
-    assert_eq!(busy.answer().expect("the answer held").status(), 200);
-    let (status, log) = program.end();
+    assert_eq!(busy.read_response().expect("the answer held").status(), 200);
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
     judged
 }
@@ -555,8 +569,8 @@
 /// Where all balancers restart one after the other, a caller whose connection was closed at once had none to go to.
 #[test]
 fn serves_on_open_connections_until_answers_might_come_too_late() {
-    let upstream = Upstream::start(|_| Act::Answer(ok("")));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["LateWorth"] = 0.0.into();
         class["AimNs"] = 500_000_000_u64.into();
@@ -564,21 +578,21 @@
     }
     let program = Program::start(&config);
     let mut caller = program.connect();
-    assert_eq!(caller.call("look", "2.0", "").unwrap().status(), 200);
+    assert_eq!(caller.request("look", "2.0", "").unwrap().status(), 200);
     let signal = Instant::now();
     program.terminate();
-    while let Some(answer) = caller.call("look", "2.0", "") {
+    while let Some(answer) = caller.request("look", "2.0", "") {
         assert_eq!(answer.status(), 200);
     }
     // The kill comes after 2.5 s and 0.7 s at the soonest, and an answer takes 0.5 s at most.
     assert!(signal.elapsed() > Duration::from_secs(2), "closed after {:?}", signal.elapsed());
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success() && signal.elapsed() < Duration::from_millis(3200), "{log}");
 }
 
 #[test]
 fn names_the_field_that_is_wrong_in_its_configuration() {
-    let good = config(refusing(), &[]);
+    let good = config(refusing_address(), &[]);
     let break_at = |path: &str, value: serde_json::Value| {
         let mut config = good.clone();
         *config.pointer_mut(path).unwrap() = value;
@@ -598,7 +612,7 @@
         ("{".into(), "configuration"),
     ];
     for (text, field) in cases {
-        let (status, log) = run_to_end(&text);
+        let (status, log) = run_until_exit(&text);
         assert!(!status.success(), "{field}");
         assert!(log.contains(field) && log.lines().count() == 1, "{field}: {log:?}");
     }
