--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -21,25 +21,25 @@
 /// An upstream that takes one request on each connection.
 fn closing_upstream() -> Upstream {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nserved";
-    Upstream::start(|_| Act::AnswerAndClose(answer.to_owned()))
+    Upstream::start(|_| UpstreamAction::RespondAndClose(answer.to_owned()))
 }
 
 /// Starts the program before upstreams, with faults.
 fn start(faults: &Faults, upstreams: &[&Upstream]) -> Program {
-    Program::start_with(&config(refusing(), &in_service(upstreams)), &faults.environment())
+    Program::start_with(&config(refusing_address(), &in_service(upstreams)), &faults.environment())
 }
 
 /// Requests of a class that an upstream has seen.
 fn requests_of(class: &str, upstream: &Upstream) -> usize {
     let path = format!(" /{class}?");
-    let is_one = |seen: &Seen| matches!(seen, Seen::Request(request) if request.first_line.contains(&path));
-    upstream.seen.try_iter().filter(is_one).count()
+    let is_one = |seen: &UpstreamEvent| matches!(seen, UpstreamEvent::Request(request) if request.first_line.contains(&path));
+    upstream.events.try_iter().filter(is_one).count()
 }
 
 /// Ends the program, and tells whether it held anything against an upstream.
 fn blamed_an_upstream(program: Program) -> bool {
     program.terminate();
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
     log.contains("breaker")
 }
@@ -49,12 +49,12 @@
 fn connections_of_callers_fail_for_a_moment() {
     for error in ["ECONNABORTED", "EPROTO", "ENETDOWN", "EPERM"] {
         let faults = Faults::new(format!("accept:{error}:{ONE_IN_THREE}"));
-        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("served")));
         let program = start(&faults, &[&upstream]);
         for _ in 0..CALLS {
-            assert_eq!(program.call("look").status(), 200, "{error}");
+            assert_eq!(program.request("look").status(), 200, "{error}");
         }
-        assert!(faults.injected("accept", error) > CALLS / 6, "{error} was hardly injected");
+        assert!(faults.injected_count("accept", error) > CALLS / 6, "{error} was hardly injected");
     }
 }
 
@@ -63,13 +63,13 @@
 fn a_new_caller_outlasts_a_lack_of_descriptors() {
     for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
         let faults = Faults::new(format!("accept:{error}:from=2:count=4"));
-        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("served")));
         let program = start(&faults, &[&upstream]);
         let mut caller = program.connect();
-        eventually("no connection can be taken", || faults.injected("accept", error) == 4);
-        caller.send("look", LONG, "");
-        assert_eq!(caller.answer().expect("an answer").status(), 200, "{error}");
-        assert_eq!(program.call("look").status(), 200, "{error}");
+        eventually("no connection can be taken", || faults.injected_count("accept", error) == 4);
+        caller.send("look", LONG_BUDGET, "");
+        assert_eq!(caller.read_response().expect("an answer").status(), 200, "{error}");
+        assert_eq!(program.request("look").status(), 200, "{error}");
     }
 }
 
@@ -78,23 +78,23 @@
 fn the_backlog_is_taken_at_the_end_whatever_fails_in_it() {
     const WAITING: usize = 8;
     for _ in 0..4 {
-        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("served")));
         let faults = Faults::new(format!("accept:ECONNABORTED:from=3:{ONE_IN_THREE}"));
         let program = start(&faults, &[&upstream]);
-        assert_eq!(program.call("look").status(), 200);
+        assert_eq!(program.request("look").status(), 200);
         program.terminate();
-        program.has_taken_signals();
+        program.wait_until_signals_delivered();
         program.pause();
         // Longer than new connections are waited for: what comes now is in the backlog when that is over.
-        let mut callers: Vec<Caller> = (0..WAITING).map(|_| program.connect()).collect();
-        callers.iter_mut().for_each(|caller| caller.send("look", LONG, ""));
+        let mut callers: Vec<Client> = (0..WAITING).map(|_| program.connect()).collect();
+        callers.iter_mut().for_each(|caller| caller.send("look", LONG_BUDGET, ""));
         std::thread::sleep(AT_THE_END);
-        program.go_on();
+        program.resume();
         for caller in &mut callers {
             // One that is taken very late is refused.
-            assert!(matches!(caller.answer().expect("an answer").status(), 200 | 503));
+            assert!(matches!(caller.read_response().expect("an answer").status(), 200 | 503));
         }
-        let (status, log) = program.end();
+        let (status, log) = program.wait_for_exit();
         assert!(status.success(), "{log}");
     }
 }
@@ -103,15 +103,19 @@
 #[test]
 fn reads_and_writes_are_short() {
     let faults = Faults::new("read:short=1:on=inet;write:short=1:on=inet");
-    let upstream = Upstream::start(|request| Act::Answer(ok(std::str::from_utf8(&request.body).unwrap())));
+    let upstream = Upstream::start(|request| {
+        UpstreamAction::Respond(ok_response(std::str::from_utf8(&request.body).unwrap()))
+    });
     let program = start(&faults, &[&upstream]);
     let mut caller = program.connect();
     for class in ["look", "pay", "post"] {
         let body = if class == "look" { String::new() } else { "0123456789".repeat(300) };
-        let answer = caller.call(class, LONG, &body).expect("an answer");
+        let answer = caller.request(class, LONG_BUDGET, &body).expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, body.into_bytes()), "{class}");
     }
-    assert!(faults.injected("read", "short=1") > 3000 && faults.injected("write", "short=1") > 3000);
+    assert!(
+        faults.injected_count("read", "short=1") > 3000 && faults.injected_count("write", "short=1") > 3000
+    );
 }
 
 /// Guards requests that are under way: reads, writes and waits that are broken off are made again. (EAGAIN with
@@ -129,15 +133,16 @@
     ];
     for (call, error, only) in plans {
         let faults = Faults::new(format!("{call}:{error}{only}:{ONE_IN_THREE}"));
-        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("served")));
         let program = start(&faults, &[&upstream]);
         let mut caller = program.connect();
         for at in 0..CALLS {
             let class = ["look", "pay", "post"][at % 3];
-            let answer = caller.call(class, LONG, "body").unwrap_or_else(|| panic!("{call} {error}: none"));
+            let answer =
+                caller.request(class, LONG_BUDGET, "body").unwrap_or_else(|| panic!("{call} {error}: none"));
             assert_eq!(answer.status(), 200, "{call} {error}");
         }
-        assert!(faults.injected(call, error) > CALLS / 6, "{call} {error} was hardly injected");
+        assert!(faults.injected_count(call, error) > CALLS / 6, "{call} {error} was hardly injected");
         assert_eq!(requests_of("post", &upstream), CALLS / 3, "{call} {error}: each ran once");
         assert!(!blamed_an_upstream(program), "{call} {error}");
     }
@@ -149,18 +154,18 @@
     for (call, error) in
         [("read", "ETIMEDOUT"), ("read", "EHOSTUNREACH"), ("write", "ETIMEDOUT"), ("write", "EHOSTUNREACH")]
     {
-        let upstream = Upstream::start(|_| Act::Answer(ok("served")));
+        let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("served")));
         let port = upstream.address.port();
         let faults = Faults::new(format!("{call}:{error}:share=0.1:seed=3:port={port}"));
         let program = start(&faults, &[&upstream]);
         let mut served = 0;
         for at in 0..CALLS {
-            let answer = program.call(["look", "post"][at % 2]).status();
+            let answer = program.request(["look", "post"][at % 2]).status();
             assert!(matches!(answer, 200 | 502 | 503), "{call} {error}: {answer}");
             served += usize::from(answer == 200);
         }
         assert!(served > CALLS / 2, "{call} {error}: {served} served");
-        assert!(faults.injected(call, error) > 0, "{call} {error} was not injected");
+        assert!(faults.injected_count(call, error) > 0, "{call} {error} was not injected");
         assert!(requests_of("post", &upstream) <= CALLS / 2, "{call} {error}: none ran twice");
     }
 }
@@ -189,9 +194,9 @@
         let program = start(&faults, &[&one, &two]);
         for at in 0..CALLS {
             let class = ["look", "pay", "post"][at % 3];
-            assert_eq!(program.call(class).status(), 200, "{call} {error}");
+            assert_eq!(program.request(class).status(), 200, "{call} {error}");
         }
-        assert!(faults.injected(call, error) > CALLS / 6, "{call} {error} was hardly injected");
+        assert!(faults.injected_count(call, error) > CALLS / 6, "{call} {error} was hardly injected");
         let posts = [&one, &two].map(|upstream| requests_of("post", upstream));
         assert_eq!(posts.iter().sum::<usize>(), CALLS / 3, "{call} {error}: each ran once");
         assert!(!blamed_an_upstream(program), "{call} {error}");
@@ -207,7 +212,7 @@
         let faults = Faults::new(format!("connect:{error}:count=12:port={port}"));
         let program = start(&faults, &[&upstream]);
         let asked = Instant::now();
-        assert_eq!(program.call("post").status(), 200, "{error}");
+        assert_eq!(program.request("post").status(), 200, "{error}");
         // Without pauses it would have been over within a millisecond, and with it all attempts.
         assert!(asked.elapsed() > Duration::from_millis(500), "{error} after {:?}", asked.elapsed());
         assert!(!blamed_an_upstream(program), "{error}");
@@ -223,9 +228,9 @@
         let (port, from) = (upstream.address.port(), BEFORE + 1);
         let faults = Faults::new(format!("connect:ENFILE:from={from}:count=12:port={port}"));
         let program = start(&faults, &[&upstream]);
-        (0..BEFORE).for_each(|_| assert_eq!(program.call(class).status(), 200));
-        assert_eq!(program.call(class).status(), 200, "{class}");
-        assert_eq!(faults.injected("connect", "ENFILE"), 12);
+        (0..BEFORE).for_each(|_| assert_eq!(program.request(class).status(), 200));
+        assert_eq!(program.request(class).status(), 200, "{class}");
+        assert_eq!(faults.injected_count("connect", "ENFILE"), 12);
         assert!(!blamed_an_upstream(program));
     }
 }
@@ -237,12 +242,12 @@
     let faults = Faults::new(format!("connect:ENOBUFS:port={}", upstream.address.port()));
     let program = start(&faults, &[&upstream]);
     let asked = Instant::now();
-    let answer = program.connect().call("look", "1", "").expect("an answer");
+    let answer = program.connect().request("look", "1", "").expect("an answer");
     assert!(matches!(answer.status(), 502 | 503), "{answer:?}");
     // Not as long as a connection may take to come up, and no request waits for longer than its time.
     assert!(asked.elapsed() < Duration::from_secs(3), "it took {:?}", asked.elapsed());
-    assert!(faults.injected("connect", "ENOBUFS") < 40, "the tries had no pause");
-    assert_eq!(upstream.requests(), 0);
+    assert!(faults.injected_count("connect", "ENOBUFS") < 40, "the tries had no pause");
+    assert_eq!(upstream.take_request_count(), 0);
     assert!(!blamed_an_upstream(program));
 }
 
@@ -256,7 +261,7 @@
         // Beside a call that waits for the one, others are answered by the other. Before that is known, some may be
         // refused, as where an upstream is down.
         let served = AtomicUsize::new(0);
-        let call = || match program.call("look").status() {
+        let call = || match program.request("look").status() {
             200 => drop(served.fetch_add(1, Ordering::Relaxed)),
             status => assert_eq!(status, 503, "{error}"),
         };
@@ -265,7 +270,7 @@
         });
         let served = served.into_inner();
         assert!(served > 4 * CALLS * 9 / 10, "{error}: {served} served");
-        assert_eq!(lost.requests(), 0);
+        assert_eq!(lost.take_request_count(), 0);
         assert!(blamed_an_upstream(program), "{error}");
     }
 }
@@ -276,34 +281,34 @@
     let upstream = closing_upstream();
     let faults = Faults::new(format!("connect:ENFILE:count=10:port={}", upstream.address.port()));
     let program = start(&faults, &[&upstream]);
-    for way in WAYS {
+    for way in DISCONNECT_MODES {
         let mut caller = program.connect();
-        let before = faults.injected("connect", "ENFILE");
-        caller.send("post", LONG, "body");
-        eventually("a try", || faults.injected("connect", "ENFILE") > before);
-        caller.leave(way);
-        program.all_callers_left();
-        eventually("its end is taken in", || program.connections() == 0);
+        let before = faults.injected_count("connect", "ENFILE");
+        caller.send("post", LONG_BUDGET, "body");
+        eventually("a try", || faults.injected_count("connect", "ENFILE") > before);
+        caller.disconnect(way);
+        program.wait_until_clients_disconnected();
+        eventually("its end is taken in", || program.client_connections() == 0);
     }
     // One that stays finds what is left of the failures, and is the only one to be served.
-    assert_eq!(program.call("post").status(), 200);
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(program.request("post").status(), 200);
+    assert_eq!(upstream.take_request_count(), 1);
 }
 
 /// Guards keyed work: once the window of a repeat is over, no connection that comes up late takes it.
 #[test]
 fn no_repeat_begins_behind_its_window_after_failures() {
-    let upstream = Upstream::start(|_| Act::Do(std::sync::Arc::new(|_| {})));
+    let upstream = Upstream::start(|_| UpstreamAction::Run(std::sync::Arc::new(|_| {})));
     let port = upstream.address.port();
     // Connections come up again when the window is long over.
     let faults = Faults::new(format!("connect:ENFILE:from=2:count=40:port={port}"));
-    let mut config = config(refusing(), &in_service(&[&upstream]));
+    let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["settings"]["Classes"][1]["WindowNs"] = 300_000_000_u64.into();
     let program = Program::start_with(&config, &faults.environment());
-    assert_eq!(program.call("pay").status(), 502);
-    assert!(faults.injected("connect", "ENFILE") > 0, "it was tried again");
-    assert!(faults.injected("connect", "ENFILE") < 40, "it was given up before");
-    assert_eq!(upstream.requests(), 1);
+    assert_eq!(program.request("pay").status(), 502);
+    assert!(faults.injected_count("connect", "ENFILE") > 0, "it was tried again");
+    assert!(faults.injected_count("connect", "ENFILE") < 40, "it was given up before");
+    assert_eq!(upstream.take_request_count(), 1);
 }
 
 /// Guards the list of upstreams: discovery is not down because no connection to it could be made here.
@@ -314,10 +319,10 @@
         let faults = Faults::new(format!("connect:{error}:count=2:port={}", discovery.address.port()));
         let program = Program::start_with(&config(discovery.address, &[]), &faults.environment());
         discovery.publish(&in_service(&[&upstream]));
-        eventually("the upstream is listed", || program.call("look").status() == 200);
-        assert_eq!(faults.injected("connect", error), 2);
+        eventually("the upstream is listed", || program.request("look").status() == 200);
+        assert_eq!(faults.injected_count("connect", error), 2);
         program.terminate();
-        let (_, log) = program.end();
+        let (_, log) = program.wait_for_exit();
         assert!(!log.contains("discovery failed"), "{error}: {log}");
     }
 }
@@ -342,12 +347,12 @@
     let upstream = closing_upstream();
     for (call, rule) in plans {
         let faults = Faults::new(format!("{call}:{rule}:count=3"));
-        let config = with_door(refusing(), &in_service(&[&upstream]));
+        let config = config_with_admin(refusing_address(), &in_service(&[&upstream]));
         let mut program = Program::start_with(&config, &faults.environment());
-        let door = door(&mut program);
-        assert_eq!(program.call("look").status(), 200, "{call}");
-        assert_eq!(common::operator::call(door, "GET", "/control/ready").status(), 200, "{call}");
-        assert_eq!(faults.injected(call, rule.split(':').next().unwrap()), 3, "{call}");
+        let door = admin_address(&mut program);
+        assert_eq!(program.request("look").status(), 200, "{call}");
+        assert_eq!(common::operator::admin_request(door, "GET", "/control/ready").status(), 200, "{call}");
+        assert_eq!(faults.injected_count(call, rule.split(':').next().unwrap()), 3, "{call}");
     }
 }
 
@@ -359,7 +364,8 @@
     {
         let faults = Faults::new(rule);
         let asked = Instant::now();
-        let (status, log) = run_to_end_with(&config(refusing(), &[]).to_string(), &faults.environment());
+        let (status, log) =
+            run_until_exit_with(&config(refusing_address(), &[]).to_string(), &faults.environment());
         assert!(!status.success() && log.contains(named), "{rule}: {log}");
         assert_eq!(log.lines().count(), 1, "{rule}: {log}");
         assert!(asked.elapsed() < Duration::from_secs(6), "{rule} after {:?}", asked.elapsed());
@@ -378,10 +384,10 @@
     let faults = Faults::new(format!("epoll_ctl:ENOSPC:count=3:port={}", address.port()));
     let mut environment = faults.environment();
     environment.push(("LB_LISTEN_FD", socket.as_raw_fd().to_string()));
-    let program = Program::start_with(&config(refusing(), &in_service(&[&upstream])), &environment);
+    let program = Program::start_with(&config(refusing_address(), &in_service(&[&upstream])), &environment);
     assert_eq!(program.address, address);
-    assert_eq!(program.call("look").status(), 200);
-    assert_eq!(faults.injected("epoll_ctl", "ENOSPC"), 3);
+    assert_eq!(program.request("look").status(), 200);
+    assert_eq!(faults.injected_count("epoll_ctl", "ENOSPC"), 3);
 }
 
 /// Guards a reload: a signal is not given twice, so the file is read again until it can be.
@@ -399,8 +405,8 @@
         settings["discovery"] = new.address.to_string().into();
         program.reload(&settings.to_string());
         new.publish(&in_service(&[&upstream]));
-        assert_eq!(program.call("look").status(), 200, "{call} {error}");
-        assert_eq!(faults.injected(call, error), 3, "{call} {error}");
+        assert_eq!(program.request("look").status(), 200, "{call} {error}");
+        assert_eq!(faults.injected_count(call, error), 3, "{call} {error}");
     }
 }
 
@@ -448,10 +454,10 @@
 fn figures(door: SocketAddr) -> serde_json::Value {
     let asked = Instant::now();
     loop {
-        if let Some(answer) = say(door, "GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n") {
+        if let Some(answer) = send_raw(door, "GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n") {
             return serde_json::from_slice(&answer.body).expect("figures");
         }
-        assert!(asked.elapsed() < PATIENCE, "no figures");
+        assert!(asked.elapsed() < TEST_TIMEOUT, "no figures");
     }
 }
 
@@ -460,14 +466,14 @@
 #[test]
 fn all_failures_together_break_no_rule() {
     for seed in 1..=3 {
-        let upstreams = [(); 3].map(|()| Upstream::start(|_| Act::Answer(ok("served"))));
+        let upstreams = [(); 3].map(|()| Upstream::start(|_| UpstreamAction::Respond(ok_response("served"))));
         let faults = Faults::new(soak_plan(seed, &upstreams.each_ref()));
-        let mut config = with_door(refusing(), &in_service(&upstreams.each_ref()));
+        let mut config = config_with_admin(refusing_address(), &in_service(&upstreams.each_ref()));
         config["settings"]["Limits"]["ConnIdleNs"] = 1_000_000_000_u64.into();
         let mut program = Program::start_with(&config, &faults.environment());
-        let door = door(&mut program);
+        let door = admin_address(&mut program);
         figures(door);
-        let before = program.descriptors();
+        let before = program.descriptor_count();
         let statuses: Vec<u16> = std::thread::scope(|scope| {
             let program = &program;
             let soak = |_| scope.spawn(move || (0..SOAKED).map(|at| soaked(program, at)).collect::<Vec<_>>());
@@ -485,15 +491,15 @@
         assert_eq!((sum("success"), sum("busy"), sum("failure")), (count(200), count(503), count(502)));
 
         let mut posts = std::collections::HashSet::new();
-        for seen in upstreams.iter().flat_map(|upstream| upstream.seen.try_iter()) {
-            let Seen::Request(request) = seen else { continue };
+        for seen in upstreams.iter().flat_map(|upstream| upstream.events.try_iter()) {
+            let UpstreamEvent::Request(request) = seen else { continue };
             // A head that broke off looks whole here, but has no body.
             let is_post = request.first_line.contains(" /post?") && !request.body.is_empty();
             assert!(!is_post || posts.insert(request.headers["x-call-id"].clone()), "{request:?} ran twice");
         }
-        eventually("descriptors come back", || program.descriptors() <= before);
+        eventually("descriptors come back", || program.descriptor_count() <= before);
         program.terminate();
-        let (status, log) = program.end();
+        let (status, log) = program.wait_for_exit();
         assert!(status.success(), "{log}");
         assert!(!log.contains("panicked") && !log.contains("left open past its time"), "{log}");
     }
@@ -504,7 +510,7 @@
     let class = ["look", "pay", "post"][at % 3];
     let mut caller = program.connect();
     let asked = Instant::now();
-    let answer = caller.call(class, SOAK_BUDGET, &"m".repeat(40 * (at % 5) + 1)).expect("an answer");
+    let answer = caller.request(class, SOAK_BUDGET, &"m".repeat(40 * (at % 5) + 1)).expect("an answer");
     assert!(asked.elapsed() < SOAK_OWED, "{class} took {:?}", asked.elapsed());
     assert!(matches!(answer.status(), 200 | 502 | 503), "{class}: {answer:?}");
     answer.status()
