--- a/tests/common/fault_injector.rs
+++ b/tests/common/fault_injector.rs
@@ -1,11 +1,11 @@
-//! Starts programs with the fault injector in front of the C library. Its plan is described in `fault-injector/`.
+//! Runs programs with the fault injector preloaded before the C library. `fault-injector/` describes the plan.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
 const LIBRARY: &str = "libfault_injector.so";
 
-/// A plan of faults, and the log of those that were injected.
+/// A plan of faults and the log of the faults injected so far.
 pub struct Faults {
     plan: String,
     log: PathBuf,
@@ -22,17 +22,18 @@
         Self { plan: plan.into(), log }
     }
 
-    /// What a program needs in its environment to be struck.
+    /// The environment variables that preload the injector with this plan.
     pub fn environment(&self) -> Vec<(&'static str, String)> {
-        let log = self.log.to_str().expect("a path in UTF-8");
+        let log = self.log.to_str().expect("path is UTF-8");
         vec![
-            ("LD_PRELOAD", library().to_str().expect("a path in UTF-8").to_owned()),
+            ("LD_PRELOAD", library().to_str().expect("path is UTF-8").to_owned()),
             ("FAULT_PLAN", self.plan.clone()),
             ("FAULT_LOG", log.to_owned()),
         ]
     }
 
-    /// How often a call was struck so far. `fault` is an error's name, or as in the plan.
+    /// How often a fault was injected into a system call so far. `fault` is an errno name or another fault as the plan
+    /// writes it, such as `short=1`.
     pub fn injected_count(&self, call: &str, fault: &str) -> usize {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         log.lines().filter(|line| *line == format!("{call} {fault}")).count()
@@ -45,10 +46,10 @@
     }
 }
 
-/// The injector's shared library: cargo builds it beside the test executables, as it is a dev-dependency.
+/// Path of the injector's shared library. Cargo builds it next to the test executables, as it is a dev-dependency.
 fn library() -> PathBuf {
-    let executable = std::env::current_exe().expect("the test's own path");
-    let library = executable.parent().expect("a folder").join(LIBRARY);
-    assert!(library.exists(), "{} is not built", library.display());
+    let executable = std::env::current_exe().expect("path of the test executable");
+    let library = executable.parent().expect("folder of the test executable").join(LIBRARY);
+    assert!(library.exists(), "fault injector library {} is not built", library.display());
     library
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The built program over loopback sockets, with small stand-ins for upstreams, discovery and callers.
+//! Starts the real program on loopback sockets, with stand-ins for upstreams, discovery and clients.
 
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Far more than anything takes here; reached only where something hangs.
+/// Limit for every wait in a test; reached only when something hangs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// A caller's time where the test does not wait for its end.
+/// An `X-Budget` in seconds for requests that should not run out of time.
 pub const LONG_BUDGET: &str = "60";
 
-/// A request or an answer as it was on the socket.
+/// A request or response as read from the socket.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub first_line: String,
@@ -25,24 +25,24 @@
 }
 
 impl Message {
-    /// Reads the next message; `None` where the peer closes or breaks the connection first.
+    /// Reads the next message; `None` if the peer closes or resets the connection first.
     pub fn read(input: &mut impl BufRead) -> Option<Self> {
-        let mut line = || {
+        let mut read_line = || {
             let mut line = String::new();
-            input.read_line(&mut line).ok().filter(|&got| got > 0)?;
+            input.read_line(&mut line).ok().filter(|&bytes_read| bytes_read > 0)?;
             Some(line.trim_end().to_owned())
         };
-        let first_line = line()?;
+        let first_line = read_line()?;
         let mut headers = HashMap::new();
         loop {
-            let header = line()?;
+            let header = read_line()?;
             match header.split_once(':') {
                 Some((name, value)) => headers.insert(name.to_lowercase(), value.trim().to_owned()),
                 None => break,
             };
         }
         let body = match headers.get("transfer-encoding") {
-            Some(_) => chunks(input)?,
+            Some(_) => read_chunked_body(input)?,
             None => {
                 let length = headers.get("content-length").map_or(0, |length| length.parse().unwrap());
                 let mut body = vec![0; length];
@@ -59,18 +59,18 @@
 }
 
 /// A body in chunks, to its end; `None` where it breaks off.
-fn chunks(input: &mut impl BufRead) -> Option<Vec<u8>> {
+fn read_chunked_body(input: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut line = String::new();
-        input.read_line(&mut line).ok().filter(|&got| got > 0)?;
+        input.read_line(&mut line).ok().filter(|&bytes_read| bytes_read > 0)?;
         let size = usize::from_str_radix(line.trim_end().split(';').next()?, 16).ok()?;
-        let from = body.len();
-        body.resize(from + size, 0);
-        input.read_exact(&mut body[from..]).ok()?;
+        let start = body.len();
+        body.resize(start + size, 0);
+        input.read_exact(&mut body[start..]).ok()?;
         line.clear();
-        while input.read_line(&mut line).ok().filter(|&got| got > 0)? > 2 {
-            assert_eq!(size, 0, "only trailers stand between a chunk and the next");
+        while input.read_line(&mut line).ok().filter(|&bytes_read| bytes_read > 0)? > 2 {
+            assert_eq!(size, 0, "only the last chunk may be followed by trailers");
             line.clear();
         }
         if size == 0 {
@@ -82,93 +82,96 @@
 /// What a stand-in for an upstream does with a request.
 #[derive(Clone)]
 pub enum UpstreamAction {
-    /// Does this with the connection, and closes it.
+    /// Runs this on the connection, then closes it.
     Run(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
-    /// Writes this and keeps the connection.
+    /// Writes this response and keeps the connection.
     Respond(String),
-    /// Writes this and closes the connection.
+    /// Writes this response and closes the connection.
     RespondAndClose(String),
-    /// Writes the one, and then the other, which belongs to no request.
+    /// Writes the first string as the response, then the second as extra bytes that belong to no request.
     RespondWithExtra(String, String),
-    /// Says nothing until the peer closes.
+    /// Writes nothing and waits until the peer closes.
     NeverRespond,
 }
 
+/// A 200 response with this body.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// The 503 by which an upstream rejects a request without having run it.
 pub fn rejected_response() -> String {
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".into()
 }
 
-/// What happens at an upstream.
+/// What a stand-in upstream observes on its connections.
 #[derive(Debug)]
 pub enum UpstreamEvent {
     Connected,
     Request(Message),
-    /// What belongs to no request is written.
+    /// The extra bytes of `RespondWithExtra` were written.
     ExtraWritten,
-    /// A connection has ended.
+    /// A connection was closed.
     Closed,
 }
 
-/// A stand-in for an upstream; it tells what it sees in order.
+/// A stand-in upstream that records its events in order.
 pub struct Upstream {
     pub address: SocketAddr,
     pub events: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
+    /// Listens on a free port and handles each request by the action that `act` returns for it.
     pub fn start(act: impl Fn(&Message) -> UpstreamAction + Send + Sync + 'static) -> Self {
         let (event_sender, events) = channel();
         let address = listen(move |stream| upstream_connection(stream, &act, &event_sender));
         Self { address, events }
     }
 
-    /// The next request, whatever else is seen before.
+    /// Waits for the next request, skipping other events.
     pub fn next_request(&self) -> Message {
         loop {
             if let UpstreamEvent::Request(message) =
-                self.events.recv_timeout(TEST_TIMEOUT).expect("a request")
+                self.events.recv_timeout(TEST_TIMEOUT).expect("the upstream received no request in time")
             {
                 return message;
             }
         }
     }
 
-    /// Waits until a connection has ended.
+    /// Waits until a connection is closed.
     pub fn wait_for_close(&self) {
         while !matches!(
-            self.events.recv_timeout(TEST_TIMEOUT).expect("the end of a connection"),
+            self.events.recv_timeout(TEST_TIMEOUT).expect("no upstream connection was closed in time"),
             UpstreamEvent::Closed
         ) {}
     }
 
-    /// Waits until something is written that belongs to no request.
+    /// Waits until the extra bytes of `RespondWithExtra` are written.
     pub fn wait_for_extra(&self) {
         while !matches!(
-            self.events.recv_timeout(TEST_TIMEOUT).expect("more than an answer"),
+            self.events.recv_timeout(TEST_TIMEOUT).expect("no extra bytes were written in time"),
             UpstreamEvent::ExtraWritten
         ) {}
     }
 
-    /// The requests seen since the last look.
+    /// Drains the pending events and returns the number of requests among them.
     pub fn take_request_count(&self) -> usize {
-        self.events.try_iter().filter(|seen| matches!(seen, UpstreamEvent::Request(_))).count()
+        self.events.try_iter().filter(|event| matches!(event, UpstreamEvent::Request(_))).count()
     }
 }
 
 fn upstream_connection(
     stream: TcpStream,
     act: &impl Fn(&Message) -> UpstreamAction,
-    tell: &Sender<UpstreamEvent>,
+    event_sender: &Sender<UpstreamEvent>,
 ) {
-    tell.send(UpstreamEvent::Connected).ok();
+    event_sender.send(UpstreamEvent::Connected).ok();
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(message) = Message::read(&mut input) {
-        tell.send(UpstreamEvent::Request(message.clone())).ok();
+        event_sender.send(UpstreamEvent::Request(message.clone())).ok();
         match act(&message) {
             UpstreamAction::Run(act) => {
                 act(&mut output);
@@ -182,17 +185,18 @@
             UpstreamAction::RespondWithExtra(text, more) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
                 output.write_all(more.as_bytes()).unwrap_or(());
-                tell.send(UpstreamEvent::ExtraWritten).ok();
+                event_sender.send(UpstreamEvent::ExtraWritten).ok();
             }
             UpstreamAction::NeverRespond => {}
         }
     }
-    // Not by dropping it: a test that starts its program just now holds a copy until that runs.
+    // Dropping the stream is not enough: a program that another test is just spawning may hold a copy of the
+    // descriptor until it calls exec.
     output.shutdown(Shutdown::Both).ok();
-    tell.send(UpstreamEvent::Closed).ok();
+    event_sender.send(UpstreamEvent::Closed).ok();
 }
 
-/// Serves each connection to a free port on a thread of its own, until the test ends.
+/// Handles each connection to a free port on its own thread, until the test ends.
 fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     listen_on(TcpListener::bind("127.0.0.1:0").unwrap(), serve)
 }
@@ -209,37 +213,38 @@
     address
 }
 
-/// An address at which nothing listens, and nothing will: the port stays taken.
+/// A loopback address that refuses connections: its port stays bound but nothing listens on it.
 pub fn refusing_address() -> SocketAddr {
-    let (socket, address) = bound();
+    let (socket, address) = bound_socket();
     std::mem::forget(socket);
     address
 }
 
-/// A socket at which nothing listens yet.
-fn bound() -> (Socket, SocketAddr) {
+/// A socket bound to a free port that does not listen yet.
+fn bound_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, address)
 }
 
-/// Discovery while it is down: connections to it are refused.
+/// Discovery that is down: connections to its address are refused until it is restored.
 pub struct UnavailableDiscovery {
     pub address: SocketAddr,
     socket: Socket,
 }
 
 impl UnavailableDiscovery {
+    /// Reserves an address for discovery.
     pub fn open() -> Self {
-        let (socket, address) = bound();
+        let (socket, address) = bound_socket();
         Self { address, socket }
     }
 
-    /// It is back, and has this list.
+    /// Starts discovery at the address, with this endpoint list.
     pub fn restore(self, targets: &[String]) -> Discovery {
         self.socket.listen(128).unwrap();
-        let discovery = Discovery::on(self.socket.into(), "");
+        let discovery = Discovery::start_on(self.socket.into(), "");
         discovery.set_targets(targets);
         discovery
     }
@@ -249,35 +254,36 @@
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
-    asked: Receiver<u64>,
+    requested_revisions: Receiver<u64>,
 }
 
 impl Discovery {
+    /// Starts with an empty endpoint list.
     pub fn start() -> Self {
         Self::start_with_first_response("")
     }
 
-    /// The first call gets this for an answer and the end of its connection, if it is not empty.
-    pub fn start_with_first_response(first: &'static str) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), first)
+    /// Writes `first_response` to the first request and closes its connection, unless the string is empty.
+    pub fn start_with_first_response(first_response: &'static str) -> Self {
+        Self::start_on(TcpListener::bind("127.0.0.1:0").unwrap(), first_response)
     }
 
-    fn on(listener: TcpListener, first: &'static str) -> Self {
-        let failed = AtomicBool::new(first.is_empty());
+    fn start_on(listener: TcpListener, first_response: &'static str) -> Self {
+        let first_response_sent = AtomicBool::new(first_response.is_empty());
         let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
-        let (shared, (tell, asked)) = (state.clone(), channel());
+        let (shared, (sender, requested_revisions)) = (state.clone(), channel());
         let address = listen_on(listener, move |stream| {
             let mut output = stream.try_clone().unwrap();
             let mut input = BufReader::new(stream);
             while let Some(message) = Message::read(&mut input) {
-                if !failed.swap(true, Ordering::Relaxed) {
-                    output.write_all(first.as_bytes()).unwrap();
+                if !first_response_sent.swap(true, Ordering::Relaxed) {
+                    output.write_all(first_response.as_bytes()).unwrap();
                     return;
                 }
-                // A call for the whole list names no version.
+                // A request for the whole list carries no revision.
                 let after = message.first_line.split("after=").nth(1);
                 let after: u64 = after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
-                tell.send(after).ok();
+                sender.send(after).ok();
                 let (lock, changed) = &*shared;
                 let state = changed.wait_while(lock.lock().unwrap(), |(rev, _)| *rev <= after).unwrap();
                 let body = format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, state.0, state.1);
@@ -287,16 +293,16 @@
                 }
             }
         });
-        Self { address, state, asked }
+        Self { address, state, requested_revisions }
     }
 
-    /// Tells of a new list, and waits until the balancer has taken it and watches for the next.
+    /// Publishes a new list and waits until the balancer has applied it and watches for the next one.
     pub fn publish(&self, targets: &[String]) {
         self.set_targets(targets);
         self.wait_until_watched();
     }
 
-    /// Has a new list from now on.
+    /// Replaces the list without waiting for the balancer.
     pub fn set_targets(&self, targets: &[String]) {
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
@@ -305,27 +311,32 @@
         changed.notify_all();
     }
 
-    /// Waits until the balancer has taken the present list and watches for the next.
+    /// Waits until the balancer has applied the current list and watches for the next one.
     pub fn wait_until_watched(&self) {
         let rev = self.state.0.lock().unwrap().0;
-        while self.asked.recv_timeout(TEST_TIMEOUT).expect("the next watch") < rev {}
+        while self.requested_revisions.recv_timeout(TEST_TIMEOUT).expect("no watch for the next list in time")
+            < rev
+        {}
     }
 }
 
-/// An entry of a list: a warm upstream in the balancer's zone.
+/// A JSON list entry for a warm upstream in the balancer's zone.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
+/// List entries `s-0`, `s-1`, ... for these upstreams, all in service.
 pub fn in_service(upstreams: &[&Upstream]) -> Vec<String> {
-    let entry =
-        |(at, upstream): (usize, &&Upstream)| target(&format!("s-{at}"), upstream.address, "in_service");
-    upstreams.iter().enumerate().map(entry).collect()
+    let in_service_target = |(index, upstream): (usize, &&Upstream)| {
+        target(&format!("s-{index}"), upstream.address, "in_service")
+    };
+    upstreams.iter().enumerate().map(in_service_target).collect()
 }
 
-/// A configuration with a class that is safe (`look`), keyed (`pay`) and unsafe (`post`).
+/// A configuration with one idempotent class (`look`), one with idempotency keys (`pay`) and one that is not
+/// idempotent (`post`).
 pub fn config(discovery: SocketAddr, known: &[String]) -> serde_json::Value {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"Name": name, "Effect": effect, "Group": "all", "WindowNs": 60_000_000_000_u64,
@@ -351,7 +362,7 @@
     })
 }
 
-/// The program, running.
+/// A running balancer process.
 pub struct Program {
     child: Child,
     config: PathBuf,
@@ -360,23 +371,29 @@
 }
 
 impl Program {
+    /// Starts the program with this configuration and waits until it listens.
     pub fn start(config: &serde_json::Value) -> Self {
         Self::start_with(config, &[])
     }
 
-    /// Starts it with more in its environment.
+    /// Starts the program with additional environment variables.
     pub fn start_with(config: &serde_json::Value, environment: &[(&str, String)]) -> Self {
-        Self::start_as(config, &mut Command::new(env!("CARGO_BIN_EXE_balancer")), environment)
+        Self::start_command(config, &mut Command::new(env!("CARGO_BIN_EXE_balancer")), environment)
     }
 
-    /// Starts it where the kernel lets it open no more descriptors than its configuration allows.
+    /// Starts the program with its configured `sockets` limit as the kernel's limit on open descriptors.
     pub fn start_with_descriptor_limit(config: &serde_json::Value) -> Self {
-        let most = config["limits"]["sockets"].to_string();
-        let limited = ["-c", r#"ulimit -n "$0" && exec "$1""#, &most, env!("CARGO_BIN_EXE_balancer")];
-        Self::start_as(config, Command::new("sh").args(limited), &[])
+        let max_descriptors = config["limits"]["sockets"].to_string();
+        let limited =
+            ["-c", r#"ulimit -n "$0" && exec "$1""#, &max_descriptors, env!("CARGO_BIN_EXE_balancer")];
+        Self::start_command(config, Command::new("sh").args(limited), &[])
     }
 
-    fn start_as(config: &serde_json::Value, command: &mut Command, environment: &[(&str, String)]) -> Self {
+    fn start_command(
+        config: &serde_json::Value,
+        command: &mut Command,
+        environment: &[(&str, String)],
+    ) -> Self {
         let (mut child, mut log, config) = spawn(&config.to_string(), command, environment);
         let mut line = String::new();
         log.read_line(&mut line).unwrap();
@@ -393,33 +410,34 @@
         self.signal("-TERM");
     }
 
-    /// Puts this text in place of the configuration and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("-HUP");
     }
 
-    /// Stops the program where it is: what happens until it goes on, it finds all at once.
+    /// Stops the process by SIGSTOP. After `resume` it finds all events of the meantime at once.
     pub fn pause(&self) {
         self.signal("-STOP");
-        let state = || {
+        let is_stopped = || {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
             stat.rsplit(") ").next().unwrap().starts_with('T')
         };
-        eventually("the program stops", state);
+        eventually("the program stops", is_stopped);
     }
 
-    /// Waits until no signal is on its way to it.
+    /// Waits until the process has no pending signal.
     pub fn wait_until_signals_delivered(&self) {
-        let none = || {
+        let none_pending = || {
             let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
             let pending =
                 status.lines().filter(|line| line.starts_with("SigPnd") || line.starts_with("ShdPnd"));
             pending.into_iter().all(|line| line.trim_end().ends_with("\t0000000000000000"))
         };
-        eventually("signals are taken", none);
+        eventually("pending signals are delivered", none_pending);
     }
 
+    /// Continues a paused process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -429,73 +447,80 @@
         assert!(sent.success());
     }
 
-    /// Waits for a line of the log that holds this text.
+    /// Reads the log up to a line that contains this text and returns the line.
     pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
-            assert!(self.log.read_line(&mut line).unwrap() > 0, "the program has ended, not logged {text:?}");
+            assert!(
+                self.log.read_line(&mut line).unwrap() > 0,
+                "the program exited without logging {text:?}"
+            );
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Connections that callers have with it.
+    /// Number of client connections that the kernel still holds open for the program.
     pub fn client_connections(&self) -> usize {
-        self.sockets(&["01", "08"])
+        self.count_sockets(&["01", "08"])
     }
 
-    /// Waits until the kernel has the end of each caller, by FIN or by RST. A test that starts its program just now may
-    /// hold a copy of a socket that was closed.
+    /// Waits until the kernel has received the FIN or RST of every client. The end may be late: a program that another
+    /// test is just spawning may hold a copy of a closed socket until it calls exec.
     pub fn wait_until_clients_disconnected(&self) {
-        eventually("the end of each caller", || self.sockets(&["01"]) == 0);
+        eventually("every client has disconnected", || self.count_sockets(&["01"]) == 0);
     }
 
-    /// Its sockets for callers in these states: 01 is established, 08 left by the caller.
-    fn sockets(&self, states: &[&str]) -> usize {
+    /// Counts the client sockets in these states of /proc/net/tcp: 01 is ESTABLISHED, 08 is CLOSE_WAIT.
+    fn count_sockets(&self, states: &[&str]) -> usize {
         let SocketAddr::V4(address) = self.address else { unreachable!("bound to IPv4") };
         let address = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
         let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let own = sockets.lines().map(|socket| socket.split_whitespace().skip(1));
-        own.filter(|fields| {
-            let mut fields = fields.clone();
-            fields.next() == Some(&address) && fields.nth(1).is_some_and(|state| states.contains(&state))
-        })
-        .count()
+        let local_sockets = sockets.lines().map(|socket| socket.split_whitespace().skip(1));
+        local_sockets
+            .filter(|fields| {
+                let mut fields = fields.clone();
+                fields.next() == Some(&address) && fields.nth(1).is_some_and(|state| states.contains(&state))
+            })
+            .count()
     }
 
-    /// Descriptors that it holds.
+    /// Number of open descriptors of the process.
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Resident memory, in KiB.
+    /// Resident memory of the process, in KiB.
     pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
+        let line =
+            status.lines().find(|line| line.starts_with("VmRSS")).expect("no VmRSS in /proc/PID/status");
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Waits for the end; the rest of the log comes with it.
+    /// Waits until the process exits; returns its status and the rest of its log.
     pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).unwrap();
         (self.child.wait().unwrap(), log)
     }
 
+    /// Opens a client connection.
     pub fn connect(&self) -> Client {
-        self.try_connect().expect("a connection")
+        self.try_connect().expect("the program accepts no connection")
     }
 
+    /// Opens a client connection; `None` if it is refused.
     pub fn try_connect(&self) -> Option<Client> {
         let stream = TcpStream::connect(self.address).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Some(Client { input: BufReader::new(stream) })
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and returns its response.
     pub fn request(&self, class: &str) -> Message {
-        self.connect().request(class, LONG_BUDGET, "body").expect("an answer")
+        self.connect().request(class, LONG_BUDGET, "body").expect("the connection ended without a response")
     }
 }
 
@@ -506,11 +531,12 @@
     }
 }
 
-/// Runs the program with this text as its configuration until it ends by itself.
+/// Runs the program with this configuration text until it exits by itself; returns its status and log.
 pub fn run_until_exit(config: &str) -> (ExitStatus, String) {
     run_until_exit_with(config, &[])
 }
 
+/// Like `run_until_exit`, with additional environment variables.
 pub fn run_until_exit_with(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
     let command = &mut Command::new(env!("CARGO_BIN_EXE_balancer"));
     let (mut child, mut log, _) = spawn(config, command, environment);
@@ -543,23 +569,25 @@
     (child, log, path)
 }
 
-/// A caller's connection.
+/// A client connection.
 pub struct Client {
     pub input: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Writes this text.
     pub fn write(&mut self, text: &str) {
         self.input.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
+    /// Writes a request without waiting for the response.
     pub fn send(&mut self, class: &str, budget: &str, body: &str) {
         self.write(&request_text(class, budget, body));
     }
 
-    /// Leaves: by FIN, by RST, or by FIN behind so many further bytes.
-    pub fn disconnect(mut self, way: DisconnectMode) {
-        match way {
+    /// Closes the connection by FIN, by RST, or by FIN after this many further bytes.
+    pub fn disconnect(mut self, mode: DisconnectMode) {
+        match mode {
             DisconnectMode::Fin => {}
             DisconnectMode::Rst => {
                 socket2::SockRef::from(self.input.get_ref()).set_linger(Some(Duration::ZERO)).unwrap()
@@ -568,40 +596,40 @@
         }
     }
 
-    /// The next answer; `None` where the connection ends without one.
+    /// Reads the next response; `None` if the connection ends first.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
-    /// One request and its answer; `None` where the connection has ended.
+    /// Sends a request and reads its response; `None` if the connection ends first.
     pub fn request(&mut self, class: &str, budget: &str, body: &str) -> Option<Message> {
         self.input.get_mut().write_all(request_text(class, budget, body).as_bytes()).ok()?;
         self.read_response()
     }
 }
 
-/// Idle callers, so many at a time: one that is closed comes again.
+/// A fixed number of idle client connections; one that the program closes is opened again.
 pub struct IdleClients(Arc<AtomicBool>);
 
 impl IdleClients {
-    /// Each says this, and nothing more.
-    pub fn connect(address: SocketAddr, size: usize, says: fn() -> String) -> Self {
-        const AT_ONCE: usize = 20; // more than are taken beyond the places
-        let (dispersed, mut held) = (Arc::new(AtomicBool::new(false)), Vec::new());
-        let is_over = dispersed.clone();
+    /// Opens the connections and writes this text, and nothing more, on each.
+    pub fn connect(address: SocketAddr, size: usize, initial_text: fn() -> String) -> Self {
+        const CONNECTS_PER_ROUND: usize = 20; // more than the program accepts beyond its connection limit
+        let (stopped, mut connections) = (Arc::new(AtomicBool::new(false)), Vec::new());
+        let is_stopped = stopped.clone();
         std::thread::spawn(move || {
-            while !is_over.load(Ordering::Relaxed) {
-                held.retain_mut(is_open);
-                for _ in held.len()..size.min(held.len() + AT_ONCE) {
-                    let Ok(mut caller) = TcpStream::connect_timeout(&address, TEST_TIMEOUT) else { break };
-                    caller.write_all(says().as_bytes()).ok();
-                    caller.set_nonblocking(true).unwrap();
-                    held.push(caller);
+            while !is_stopped.load(Ordering::Relaxed) {
+                connections.retain_mut(is_open);
+                for _ in connections.len()..size.min(connections.len() + CONNECTS_PER_ROUND) {
+                    let Ok(mut client) = TcpStream::connect_timeout(&address, TEST_TIMEOUT) else { break };
+                    client.write_all(initial_text().as_bytes()).ok();
+                    client.set_nonblocking(true).unwrap();
+                    connections.push(client);
                 }
                 std::thread::sleep(Duration::from_millis(10));
             }
         });
-        Self(dispersed)
+        Self(stopped)
     }
 }
 
@@ -611,23 +639,26 @@
     }
 }
 
-/// Whether a connection that does not block goes on; what has come on it is dropped.
+/// Whether a non-blocking connection is still open; discards the bytes received on it.
 fn is_open(stream: &mut TcpStream) -> bool {
     match stream.read(&mut [0; 512]) {
-        Ok(got) => got > 0,
+        Ok(bytes_read) => bytes_read > 0,
         Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
     }
 }
 
-/// How a caller leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum DisconnectMode {
+    /// By FIN.
     Fin,
+    /// By RST.
     Rst,
+    /// By FIN after this many further bytes.
     FinAfterBytes(usize),
 }
 
-/// All ways to leave: with few bytes, and with more than are kept of what follows a request.
+/// All modes; the two byte counts are below and above what the program buffers behind a request.
 pub const DISCONNECT_MODES: [DisconnectMode; 4] = [
     DisconnectMode::Fin,
     DisconnectMode::Rst,
@@ -635,7 +666,7 @@
     DisconnectMode::FinAfterBytes(40 << 10),
 ];
 
-/// A request as a caller writes it, with an id of its own.
+/// The text of a request with a unique id.
 pub fn request_text(class: &str, budget: &str, body: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     request_text_with_id(
@@ -646,6 +677,7 @@
     )
 }
 
+/// The text of a request with this id.
 pub fn request_text_with_id(id: &str, class: &str, budget: &str, body: &str) -> String {
     let (method, extra, body) = match class {
         "look" => ("GET", "", ""),
@@ -659,65 +691,68 @@
     )
 }
 
-/// A peer that does nothing by itself: the test takes each connection, reads and writes on it.
+/// A listening peer whose connections the test itself accepts, reads and writes.
 pub struct ManualPeer {
     pub address: SocketAddr,
-    taken: Receiver<TcpStream>,
+    accepted: Receiver<TcpStream>,
 }
 
 impl ManualPeer {
+    /// Listens on a free port.
     pub fn open() -> Self {
-        let (tell, taken) = channel();
-        let tell = Mutex::new(tell);
-        let address = listen(move |stream| drop(tell.lock().unwrap().send(stream)));
-        Self { address, taken }
+        let (sender, accepted) = channel();
+        let sender = Mutex::new(sender);
+        let address = listen(move |stream| drop(sender.lock().unwrap().send(stream)));
+        Self { address, accepted }
     }
 
-    /// The next connection.
+    /// Waits for the next connection.
     pub fn accept(&self) -> PeerConnection {
-        let stream = self.taken.recv_timeout(TEST_TIMEOUT).expect("a connection");
+        let stream = self.accepted.recv_timeout(TEST_TIMEOUT).expect("no connection in time");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         PeerConnection { input: BufReader::new(stream) }
     }
 }
 
-/// A connection that was taken at a `ManualPeer`.
+/// A connection accepted by a `ManualPeer`.
 pub struct PeerConnection {
     pub input: BufReader<TcpStream>,
 }
 
 impl PeerConnection {
+    /// Reads the next message.
     pub fn read(&mut self) -> Message {
-        Message::read(&mut self.input).expect("a message")
+        Message::read(&mut self.input).expect("the connection ended without a message")
     }
 
-    /// The next message; `None` where the peer closes or breaks the connection first.
+    /// Reads the next message; `None` if the peer closes or resets the connection first.
     pub fn try_read(&mut self) -> Option<Message> {
         Message::read(&mut self.input)
     }
 
+    /// Writes this text.
     pub fn write(&mut self, text: &str) {
         self.input.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes as far as the peer still listens.
+    /// Writes this text, ignoring errors of a connection that the peer has closed.
     pub fn try_write(&mut self, text: &str) {
         self.input.get_mut().write_all(text.as_bytes()).ok();
     }
 
-    /// Closes it, whoever else holds a copy.
+    /// Shuts the connection down, even if a spawning program holds a copy of the descriptor.
     pub fn close(&self) {
         self.input.get_ref().shutdown(Shutdown::Both).ok();
     }
 
-    /// Whether the peer ends the connection without another byte.
+    /// Whether the peer closes the connection without sending another byte.
     pub fn is_closed_by_peer(&mut self) -> bool {
         reads_eof(&mut self.input)
     }
 }
 
-/// Whether a reader ends without another byte. A read with a timeout is not restarted by the kernel after a signal:
-/// the end of a child of this process may interrupt it in any thread.
+/// Whether a reader is at its end. A read with a timeout is not restarted by the kernel after a signal, such as the
+/// SIGCHLD of a child process of another test, so an interrupted read is repeated.
 pub fn reads_eof(input: &mut impl Read) -> bool {
     loop {
         match input.read(&mut [0]) {
@@ -727,7 +762,7 @@
     }
 }
 
-/// A list as discovery writes it, indented.
+/// A discovery response with this list, indented as the real discovery writes it.
 pub fn list_response(rev: u64, all: bool, targets: &[String]) -> String {
     let body = format!(
         "{{\n  \"rev\": {rev},\n  \"all\": {all},\n  \"targets\": [\n    {}\n  ]\n}}\n",
@@ -736,38 +771,41 @@
     ok_response(&body)
 }
 
-/// An address whose connections do not come up until the test lets them in: those before fill the backlog.
+/// A listener with a full backlog: connections to it stay pending until the test accepts them.
 pub struct BlockedListener {
     pub address: SocketAddr,
     listener: TcpListener,
-    before: Vec<TcpStream>,
+    backlog_connections: Vec<TcpStream>,
 }
 
 impl BlockedListener {
+    /// Opens the listener and fills its backlog.
     pub fn open() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let another = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        let before = std::iter::from_fn(another).collect();
-        let crowded = Self { address, listener, before };
-        crowded.wait_until_none_pending(); // the last try of our own is over
-        crowded
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
+        let backlog_connections = std::iter::from_fn(connect).collect();
+        let blocked = Self { address, listener, backlog_connections };
+        blocked.wait_until_none_pending(); // the connect that timed out is abandoned
+        blocked
     }
 
-    /// Waits until so many connections wait to come up.
-    pub fn wait_for_pending(&self, waiting: usize) {
-        eventually("connections that wait", || pending_connections(self.address) == waiting);
+    /// Waits until this many connections are pending.
+    pub fn wait_for_pending(&self, pending: usize) {
+        eventually("the expected number of connections is pending", || {
+            pending_connections(self.address) == pending
+        });
     }
 
-    /// Waits until no connection waits to come up any more.
+    /// Waits until no connection is pending.
     pub fn wait_until_none_pending(&self) {
         self.wait_for_pending(0);
     }
 
-    /// Lets in what waits, which takes the kernel some seconds, and whatever comes later.
+    /// Accepts the pending connections, which takes the kernel some seconds, and all later ones.
     pub fn accept_connections(
         self,
         act: impl Fn(&Message) -> UpstreamAction + Send + Sync + 'static,
@@ -776,7 +814,7 @@
         let address = self.address;
         let act = Arc::new(act);
         std::thread::spawn(move || {
-            drop(self.before);
+            drop(self.backlog_connections);
             for stream in self.listener.incoming().map_while(Result::ok) {
                 let (act, event_sender) = (act.clone(), event_sender.clone());
                 std::thread::spawn(move || upstream_connection(stream, &*act, &event_sender));
@@ -786,25 +824,25 @@
     }
 }
 
-/// Connections to an address that have not come up.
+/// Number of connections to an address that are not established yet.
 pub fn pending_connections(address: SocketAddr) -> usize {
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(address) = address else { unreachable!("bound to IPv4") };
     let address = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let mut waiting = 0;
+    let mut pending = 0;
     for socket in sockets.lines() {
         let mut fields = socket.split_whitespace().skip(2);
-        waiting += usize::from(fields.next() == Some(&address) && fields.next() == Some(SYN_SENT));
+        pending += usize::from(fields.next() == Some(&address) && fields.next() == Some(SYN_SENT));
     }
-    waiting
+    pending
 }
 
-/// Waits until something holds.
-pub fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let asked = std::time::Instant::now();
-    while !holds() {
-        assert!(asked.elapsed() < TEST_TIMEOUT, "never: {what}");
+/// Waits until a condition holds; fails after `TEST_TIMEOUT`.
+pub fn eventually(description: &str, condition: impl Fn() -> bool) {
+    let started = std::time::Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TEST_TIMEOUT, "condition not met in time: {description}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
