--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Events that cross on sockets, each forced: the test holds a peer at a step and lets it go on at the other event.
-//! docs/design.md lists them.
+//! Races between events on different sockets. Each is forced: the test holds one peer at a step and releases it at the
+//! other event. docs/design.md lists them.
 
 mod common;
 
@@ -9,43 +9,51 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A configuration in which lists are asked for, or pushed.
-fn configured(mode: &str, discovery: &ManualPeer, known: &[String]) -> serde_json::Value {
+/// A configuration with discovery in this mode, polled (`ask`) or pushed (`push`).
+fn config_with_discovery(mode: &str, discovery: &ManualPeer, known: &[String]) -> serde_json::Value {
     let mut config = config(discovery.address, known);
     config["settings"]["Discovery"] = mode.into();
     config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
     config
 }
 
-/// Guards the rule on drains: what a silent watch misses counts as told 6 s after it fell silent, or 2 s after its
-/// wait if that is later. Only asking again tells it.
+/// Guards the drain rule: a change that a silent watch misses counts as notified 6 s after the watch fell silent, or
+/// 2 s after its `wait_ms` if that is later. The balancer has to open another watch before then.
 #[test]
-fn a_watch_that_falls_silent_is_asked_again_in_time() {
-    let whole = list_response(2, true, &[]);
+fn a_silent_watch_is_replaced_in_time() {
+    let response = list_response(2, true, &[]);
     for mode in ["push", "ask"] {
-        for until in [0, "HTTP/1.1 200".len(), whole.len() / 2] {
+        for written_bytes in [0, "HTTP/1.1 200".len(), response.len() / 2] {
             let (old, new) = (
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
             );
             let discovery = ManualPeer::open();
-            let program = Program::start(&configured(mode, &discovery, &in_service(&[&old])));
+            let program = Program::start(&config_with_discovery(mode, &discovery, &in_service(&[&old])));
             let mut watch = discovery.accept();
-            let mut call = watch.read().first_line;
-            if call.contains("wait_ms=0 ") {
-                watch.write(&list_response(1, false, &[])); // nothing was missed before
-                call = watch.read().first_line;
+            let mut request = watch.read().first_line;
+            if request.contains("wait_ms=0 ") {
+                watch.write(&list_response(1, false, &[])); // no change was missed before
+                request = watch.read().first_line;
             }
-            let wait = call.split("wait_ms=").nth(1).and_then(|wait| wait.split(' ').next()).unwrap();
-            let silent = Instant::now();
-            watch.write(&whole[..until]);
-            let mut again = discovery.accept();
-            assert!(again.read().first_line.contains("after=1&"), "what has changed since");
-            let told = Duration::from_secs(6).max(Duration::from_millis(wait.parse().unwrap()) + 2 * SECOND);
-            assert!(silent.elapsed() + SECOND < told, "{mode}, {until} bytes: after {:?}", silent.elapsed());
-            again.write(&list_response(2, true, &[target("s-new", new.address, "in_service")]));
-            again.read(); // it has taken that
-            assert_eq!(program.request("post").body, b"new", "{mode}, {until} bytes");
+            let wait = request.split("wait_ms=").nth(1).and_then(|wait| wait.split(' ').next()).unwrap();
+            let silent_since = Instant::now();
+            watch.write(&response[..written_bytes]);
+            let mut next_watch = discovery.accept();
+            assert!(
+                next_watch.read().first_line.contains("after=1&"),
+                "asks for the changes after revision 1"
+            );
+            let notification_limit =
+                Duration::from_secs(6).max(Duration::from_millis(wait.parse().unwrap()) + 2 * SECOND);
+            assert!(
+                silent_since.elapsed() + SECOND < notification_limit,
+                "{mode}, {written_bytes} bytes: after {:?}",
+                silent_since.elapsed()
+            );
+            next_watch.write(&list_response(2, true, &[target("s-new", new.address, "in_service")]));
+            next_watch.read(); // the list has been applied
+            assert_eq!(program.request("post").body, b"new", "{mode}, {written_bytes} bytes");
             assert_eq!(old.take_request_count(), 0);
         }
     }
@@ -53,42 +61,42 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Guards the rule on drains at a start: what the agent has counts as told from the first moment.
+/// Guards the drain rule at a start: whatever the discovery agent has counts as notified from the first moment.
 #[test]
-fn the_first_request_waits_for_the_list_of_the_agent() {
+fn the_first_request_waits_for_the_first_list() {
     let (old, new) = (
         Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
         Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
     );
     let discovery = ManualPeer::open();
-    let program = Program::start(&configured("push", &discovery, &in_service(&[&old])));
+    let program = Program::start(&config_with_discovery("push", &discovery, &in_service(&[&old])));
     let mut agent = discovery.accept();
     agent.read();
-    let mut caller = program.connect();
-    caller.send("post", LONG_BUDGET, "b"); // while the answer of the agent is held
+    let mut client = program.connect();
+    client.send("post", LONG_BUDGET, "b"); // while the agent's response is still held back
     agent.write(&list_response(
         2,
         false,
         &[target("s-0", old.address, "terminating"), target("s-1", new.address, "in_service")],
     ));
-    assert_eq!(caller.read_response().expect("an answer").body, b"new");
+    assert_eq!(client.read_response().expect("no response").body, b"new");
     assert_eq!(old.take_request_count(), 0);
 }
 
-/// An agent that is down says nothing, and nobody learns anything from it: what was known serves.
+/// A discovery agent that is down sends no response; the balancer then serves with the known list.
 #[test]
 fn a_silent_agent_does_not_keep_a_balancer_from_serving() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("known")));
     let discovery = ManualPeer::open();
-    let program = Program::start(&configured("push", &discovery, &in_service(&[&upstream])));
+    let program = Program::start(&config_with_discovery("push", &discovery, &in_service(&[&upstream])));
     discovery.accept().read();
     assert_eq!(program.request("post").body, b"known");
 }
 
-// ---- A connection that does not come up ----
+// ---- A connection that is not established in time ----
 
-/// A configuration whose only upstream is at an address, and where attempts may be cancelled or not.
-fn alone_at(
+/// A configuration with a single upstream at this address, where attempts may or may not be cancelled.
+fn config_with_upstream_at(
     address: std::net::SocketAddr,
     discovery: std::net::SocketAddr,
     may_cancel: bool,
@@ -98,299 +106,337 @@
     config
 }
 
-/// Guards the rule on drains: a request must not be written to an upstream that was told to drain while the
-/// connection to it was coming up.
+/// Guards the drain rule: a request must not be written to an upstream that began to drain while the connection to it
+/// was being established.
 #[test]
-fn a_request_that_waits_for_a_connection_leaves_an_upstream_that_drains() {
-    for gone in [false, true] {
-        let (crowded, new) =
+fn a_request_that_waits_for_a_connection_is_moved_off_a_draining_upstream() {
+    for is_removed in [false, true] {
+        let (blocked, new) =
             (BlockedListener::open(), Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))));
         let discovery = Discovery::start();
-        let program = Program::start(&alone_at(crowded.address, discovery.address, true));
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
-        crowded.wait_for_pending(1);
+        let program = Program::start(&config_with_upstream_at(blocked.address, discovery.address, true));
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
+        blocked.wait_for_pending(1);
         let mut list = vec![target("s-1", new.address, "in_service")];
-        list.extend((!gone).then(|| target("s-0", crowded.address, "terminating")));
+        list.extend((!is_removed).then(|| target("s-0", blocked.address, "terminating")));
         discovery.publish(&list);
-        let old = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("old")));
-        assert_eq!(caller.read_response().expect("an answer").body, b"new", "gone: {gone}");
+        let old = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("old")));
+        assert_eq!(
+            client.read_response().expect("no response").body,
+            b"new",
+            "removed from the list: {is_removed}"
+        );
         assert_eq!(old.take_request_count(), 0);
     }
 }
 
-/// Guards the rule on duplicates: a repeat that waits for its connection must not be written once its servers have
-/// forgotten the key.
+/// Guards the rule on duplicates: a retry that waits for its connection must not be written after the upstreams have
+/// forgotten its idempotency key.
 #[test]
-fn a_repeat_that_waits_for_a_connection_past_its_window_is_not_sent() {
+fn a_retry_that_waits_for_a_connection_past_its_deduplication_window_is_not_sent() {
     let window = 3 * SECOND;
-    let (release, held) = channel::<()>();
-    let held = Mutex::new(held);
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
     let failing = Upstream::start(move |_| {
-        held.lock().unwrap().recv().ok();
+        released.lock().unwrap().recv().ok();
         UpstreamAction::Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into())
     });
-    let (crowded, discovery) = (BlockedListener::open(), Discovery::start());
-    let mut config = alone_at(failing.address, discovery.address, true);
+    let (blocked, discovery) = (BlockedListener::open(), Discovery::start());
+    let mut config = config_with_upstream_at(failing.address, discovery.address, true);
     config["settings"]["Classes"][1]["WindowNs"] = (window.as_nanos() as u64).into();
     let program = Program::start(&config);
-    let mut caller = program.connect();
-    caller.send("pay", LONG_BUDGET, "b");
-    let begun = Instant::now();
+    let mut client = program.connect();
+    client.send("pay", LONG_BUDGET, "b");
+    let sent_at = Instant::now();
     failing.next_request();
     discovery.publish(&[
         target("s-0", failing.address, "in_service"),
-        target("s-1", crowded.address, "in_service"),
+        target("s-1", blocked.address, "in_service"),
     ]);
     release.send(()).unwrap();
-    crowded.wait_for_pending(1); // the repeat has no connection yet
-    eventually("the end of the window", || begun.elapsed() > window);
-    let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-    assert_eq!(caller.read_response().expect("an answer").status(), 502);
+    blocked.wait_for_pending(1); // the retry has no connection yet
+    eventually("the deduplication window is over", || sent_at.elapsed() > window);
+    let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+    assert_eq!(client.read_response().expect("no response").status(), 502);
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Guards upstreams against work that nobody waits for, also where attempts that are out must not be cancelled.
+/// Guards upstreams against work whose client is gone, also where attempts in flight must not be cancelled.
 #[test]
-fn a_request_whose_caller_leaves_during_a_connect_is_not_sent_on() {
+fn a_request_whose_client_disconnects_during_a_connect_is_not_sent_on() {
     for may_cancel in [true, false] {
-        for way in DISCONNECT_MODES {
-            let crowded = BlockedListener::open();
-            let program = Program::start(&alone_at(crowded.address, refusing_address(), may_cancel));
-            let mut caller = program.connect();
-            caller.send("post", LONG_BUDGET, "b");
-            crowded.wait_for_pending(1);
-            caller.disconnect(way);
-            crowded.wait_until_none_pending();
-            // What comes later finds the upstream free of the first.
-            let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        for disconnect_mode in DISCONNECT_MODES {
+            let blocked = BlockedListener::open();
+            let program =
+                Program::start(&config_with_upstream_at(blocked.address, refusing_address(), may_cancel));
+            let mut client = program.connect();
+            client.send("post", LONG_BUDGET, "b");
+            blocked.wait_for_pending(1);
+            client.disconnect(disconnect_mode);
+            blocked.wait_until_none_pending();
+            // The upstream must receive the later request only.
+            let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
             assert_eq!(
                 program.connect().request("post", LONG_BUDGET, "later").unwrap().status(),
                 200,
-                "{way:?}"
+                "{disconnect_mode:?}"
+            );
+            assert_eq!(
+                upstream.next_request().body,
+                b"later",
+                "{disconnect_mode:?}, may cancel: {may_cancel}"
             );
-            assert_eq!(upstream.next_request().body, b"later", "{way:?}, may cancel: {may_cancel}");
         }
     }
 }
 
-/// Guards upstreams against work that nobody waits for where a body is too long to be kept: nobody reads its rest
-/// during the connect, and the end of its caller stands behind that.
+/// Guards upstreams against work whose client is gone, for a body too long to be buffered: nobody reads its rest during
+/// the connect, so the end of the client's connection lies unread behind it.
 #[test]
-fn a_request_whose_caller_leaves_within_a_long_body_during_a_connect_is_not_sent_on() {
+fn a_request_whose_client_disconnects_within_a_long_body_during_a_connect_is_not_sent_on() {
     let body = "b".repeat(100_000);
-    let leaves = |cut: usize, way: DisconnectMode, may_cancel: bool| {
-        let crowded = BlockedListener::open();
-        let mut config = alone_at(crowded.address, refusing_address(), may_cancel);
-        config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into(); // not by its end
+    let check_disconnect = |missing_bytes: usize, disconnect_mode: DisconnectMode, may_cancel: bool| {
+        let blocked = BlockedListener::open();
+        let mut config = config_with_upstream_at(blocked.address, refusing_address(), may_cancel);
+        // Long enough that the connect does not end by its timeout.
+        config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
         let program = Program::start(&config);
-        let mut caller = program.connect();
+        let mut client = program.connect();
         let whole = request_text("post", LONG_BUDGET, &body);
-        caller.write(&whole[..whole.len() - cut]);
-        crowded.wait_for_pending(1);
-        caller.disconnect(way);
-        crowded.wait_until_none_pending();
-        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-        assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{way:?}");
+        client.write(&whole[..whole.len() - missing_bytes]);
+        blocked.wait_for_pending(1);
+        client.disconnect(disconnect_mode);
+        blocked.wait_until_none_pending();
+        let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        assert_eq!(
+            program.connect().request("post", LONG_BUDGET, "later").unwrap().status(),
+            200,
+            "{disconnect_mode:?}"
+        );
         let first = upstream.next_request().body;
-        assert_eq!(first, b"later", "{way:?}, {cut} bytes short, may cancel: {may_cancel}");
+        assert_eq!(
+            first, b"later",
+            "{disconnect_mode:?}, {missing_bytes} bytes short, may cancel: {may_cancel}"
+        );
     };
-    let leaves = &leaves;
+    let check_disconnect = &check_disconnect;
     std::thread::scope(|scope| {
         for may_cancel in [true, false] {
-            let cut_off = [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
-                .map(|way| (5, way));
-            for (cut, way) in cut_off.into_iter().chain(DISCONNECT_MODES.map(|way| (0, way))) {
-                scope.spawn(move || leaves(cut, way, may_cancel));
+            let with_missing_bytes =
+                [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
+                    .map(|disconnect_mode| (5, disconnect_mode));
+            for (missing_bytes, disconnect_mode) in with_missing_bytes
+                .into_iter()
+                .chain(DISCONNECT_MODES.map(|disconnect_mode| (0, disconnect_mode)))
+            {
+                scope.spawn(move || check_disconnect(missing_bytes, disconnect_mode, may_cancel));
             }
         }
     });
 }
 
-/// A client that closed has gone: no attempt begins more than this much later.
-const GONE: Duration = Duration::from_millis(100);
+/// No attempt may begin later than this after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 
-/// Guards upstreams against work that nobody waits for where the balancer, held up, finds the connection and the end of
-/// the caller in one look at its sockets, the connection first.
+/// Guards upstreams against work whose client is gone where the balancer, after a pause, finds the established
+/// connection and the client's disconnect in the same poll of its sockets, the connection first.
 #[test]
-fn a_request_whose_caller_leaves_as_its_connection_comes_up_is_not_sent_on() {
-    let leaves = |body: &str, cut: usize, way: DisconnectMode, may_cancel: bool| {
-        let crowded = BlockedListener::open();
-        let mut config = alone_at(crowded.address, refusing_address(), may_cancel);
-        config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into(); // not by its end
-        let program = Program::start(&config);
-        let mut caller = program.connect();
-        let whole = request_text("post", LONG_BUDGET, body);
-        caller.write(&whole[..whole.len() - cut]);
-        crowded.wait_for_pending(1);
-        program.pause();
-        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-        eventually("the connection is up", || pending_connections(upstream.address) == 0);
-        caller.disconnect(way);
-        program.wait_until_clients_disconnected();
-        std::thread::sleep(2 * GONE);
-        program.resume();
-        assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{way:?}");
-        let first = upstream.next_request().body;
-        let case = format!("{way:?}, {cut} bytes short of {}, may cancel: {may_cancel}", body.len());
-        assert!(first == b"later", "{case}: {} bytes came", first.len());
-        assert_eq!(upstream.take_request_count(), 0, "{case}");
-    };
-    let (leaves, short, long) = (&leaves, "b", &"b".repeat(100_000));
+fn a_request_whose_client_disconnects_as_its_connection_comes_up_is_not_sent_on() {
+    let check_disconnect =
+        |body: &str, missing_bytes: usize, disconnect_mode: DisconnectMode, may_cancel: bool| {
+            let blocked = BlockedListener::open();
+            let mut config = config_with_upstream_at(blocked.address, refusing_address(), may_cancel);
+            // Long enough that the connect does not end by its timeout.
+            config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
+            let program = Program::start(&config);
+            let mut client = program.connect();
+            let whole = request_text("post", LONG_BUDGET, body);
+            client.write(&whole[..whole.len() - missing_bytes]);
+            blocked.wait_for_pending(1);
+            program.pause();
+            let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+            eventually("the connection is established", || pending_connections(upstream.address) == 0);
+            client.disconnect(disconnect_mode);
+            program.wait_until_clients_disconnected();
+            std::thread::sleep(2 * DISCONNECT_GRACE);
+            program.resume();
+            assert_eq!(
+                program.connect().request("post", LONG_BUDGET, "later").unwrap().status(),
+                200,
+                "{disconnect_mode:?}"
+            );
+            let first = upstream.next_request().body;
+            let case = format!(
+                "{disconnect_mode:?}, {missing_bytes} bytes short of {}, may cancel: {may_cancel}",
+                body.len()
+            );
+            assert!(first == b"later", "{case}: received {} bytes", first.len());
+            assert_eq!(upstream.take_request_count(), 0, "{case}");
+        };
+    let (check_disconnect, short, long) = (&check_disconnect, "b", &"b".repeat(100_000));
     std::thread::scope(|scope| {
         for may_cancel in [true, false] {
-            for way in DISCONNECT_MODES {
-                scope.spawn(move || leaves(short, 0, way, may_cancel));
-                scope.spawn(move || leaves(long, 0, way, may_cancel));
+            for disconnect_mode in DISCONNECT_MODES {
+                scope.spawn(move || check_disconnect(short, 0, disconnect_mode, may_cancel));
+                scope.spawn(move || check_disconnect(long, 0, disconnect_mode, may_cancel));
             }
-            for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
-                scope.spawn(move || leaves(long, 5, way, may_cancel));
+            for disconnect_mode in
+                [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
+            {
+                scope.spawn(move || check_disconnect(long, 5, disconnect_mode, may_cancel));
             }
         }
     });
 }
 
-/// Guards what may be repeated: an attempt whose connection never came up was never sent, and its caller may come
-/// again.
+/// Guards the client's right to retry: an attempt whose connection was never established was never sent, so the
+/// response must say that the request may be repeated.
 #[test]
-fn a_request_whose_time_ends_during_a_connect_is_refused_not_failed() {
-    let crowded = BlockedListener::open();
-    let program = Program::start(&alone_at(crowded.address, refusing_address(), true));
-    let answer = program.connect().request("post", "0.3", "b").expect("an answer");
-    assert_eq!(answer.status(), 503);
+fn a_request_that_times_out_during_a_connect_is_refused_not_failed() {
+    let blocked = BlockedListener::open();
+    let program = Program::start(&config_with_upstream_at(blocked.address, refusing_address(), true));
+    let response = program.connect().request("post", "0.3", "b").expect("no response");
+    assert_eq!(response.status(), 503);
 }
 
-// ---- Callers that leave while their request waits elsewhere ----
+// ---- Clients that disconnect while their request waits elsewhere ----
 
-/// Where a request is turned away, the next attempt follows at once; with its caller gone it must not.
+/// A rejected request is retried at once, but not after its client has disconnected.
 #[test]
-fn a_request_whose_caller_leaves_before_a_retry_is_not_sent_again() {
-    for way in DISCONNECT_MODES {
+fn a_request_whose_client_disconnects_before_a_retry_is_not_sent_again() {
+    for disconnect_mode in DISCONNECT_MODES {
         let upstream = ManualPeer::open();
-        let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "first");
-        let mut line = upstream.accept();
-        assert_eq!(line.read().body, b"first");
-        gone_after(&program, caller, way);
-        line.write(&rejected_response());
-        let mut later = program.connect();
-        later.send("post", LONG_BUDGET, "later");
-        assert_eq!(line.read().body, b"later", "{way:?}");
-        line.write(&ok_response(""));
-        assert_eq!(later.read_response().expect("an answer").status(), 200);
+        let program = Program::start(&config_with_upstream_at(upstream.address, refusing_address(), false));
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "first");
+        let mut connection = upstream.accept();
+        assert_eq!(connection.read().body, b"first");
+        disconnect_and_wait(&program, client, disconnect_mode);
+        connection.write(&rejected_response());
+        let mut later_client = program.connect();
+        later_client.send("post", LONG_BUDGET, "later");
+        assert_eq!(connection.read().body, b"later", "{disconnect_mode:?}");
+        connection.write(&ok_response(""));
+        assert_eq!(later_client.read_response().expect("no response").status(), 200);
     }
 }
 
-/// The same where the balancer, held up, finds the refusal and the end of the caller in one look at its sockets.
+/// The same where the balancer, after a pause, finds the rejection and the client's disconnect in the same poll.
 #[test]
-fn a_request_whose_caller_leaves_as_it_is_turned_away_is_not_sent_again() {
+fn a_request_whose_client_disconnects_as_it_is_rejected_is_not_sent_again() {
     for may_cancel in [true, false] {
-        for way in DISCONNECT_MODES {
+        for disconnect_mode in DISCONNECT_MODES {
             let upstream = ManualPeer::open();
-            let program = Program::start(&alone_at(upstream.address, refusing_address(), may_cancel));
-            let mut caller = program.connect();
-            caller.send("post", LONG_BUDGET, "first");
-            let mut line = upstream.accept();
-            assert_eq!(line.read().body, b"first");
+            let program =
+                Program::start(&config_with_upstream_at(upstream.address, refusing_address(), may_cancel));
+            let mut client = program.connect();
+            client.send("post", LONG_BUDGET, "first");
+            let mut connection = upstream.accept();
+            assert_eq!(connection.read().body, b"first");
             program.pause();
-            line.write(&rejected_response());
-            caller.disconnect(way);
+            connection.write(&rejected_response());
+            client.disconnect(disconnect_mode);
             program.wait_until_clients_disconnected();
-            std::thread::sleep(2 * GONE);
+            std::thread::sleep(2 * DISCONNECT_GRACE);
             program.resume();
-            let mut later = program.connect();
-            later.send("post", LONG_BUDGET, "later");
-            let first = line.try_read().unwrap_or_else(|| {
-                line = upstream.accept();
-                line.read()
+            let mut later_client = program.connect();
+            later_client.send("post", LONG_BUDGET, "later");
+            let first = connection.try_read().unwrap_or_else(|| {
+                connection = upstream.accept();
+                connection.read()
             });
-            assert_eq!(first.body, b"later", "{way:?}, may cancel: {may_cancel}");
-            line.write(&ok_response(""));
-            assert_eq!(later.read_response().expect("an answer").status(), 200);
+            assert_eq!(first.body, b"later", "{disconnect_mode:?}, may cancel: {may_cancel}");
+            connection.write(&ok_response(""));
+            assert_eq!(later_client.read_response().expect("no response").status(), 200);
         }
     }
 }
 
-/// Guards an upstream's breaker: that a body broke off is its caller's fault.
+/// Guards the upstream's circuit breaker: a request body that breaks off is the client's fault.
 #[test]
-fn callers_that_break_off_within_a_long_body_are_no_failures_of_its_upstream() {
+fn clients_that_break_off_within_a_long_body_do_not_count_as_upstream_failures() {
     for may_cancel in [true, false] {
         let upstream = ManualPeer::open();
-        let program = Program::start(&alone_at(upstream.address, refusing_address(), may_cancel));
+        let program =
+            Program::start(&config_with_upstream_at(upstream.address, refusing_address(), may_cancel));
         for _ in 0..10 {
-            for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
-                let mut caller = program.connect();
+            for disconnect_mode in
+                [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
+            {
+                let mut client = program.connect();
                 let whole = request_text("post", LONG_BUDGET, &"b".repeat(200_000));
-                caller.write(&whole[..whole.len() - 5]);
-                let mut line = upstream.accept();
-                line.input.read_exact(&mut vec![0; 190_000]).unwrap(); // well beyond what is kept
-                caller.disconnect(way);
-                assert!(line.try_read().is_none(), "it breaks off there as well");
+                client.write(&whole[..whole.len() - 5]);
+                let mut connection = upstream.accept();
+                connection.input.read_exact(&mut vec![0; 190_000]).unwrap(); // well beyond what is buffered
+                client.disconnect(disconnect_mode);
+                assert!(connection.try_read().is_none(), "the upstream's request breaks off as well");
             }
         }
-        let mut later = program.connect();
-        later.send("post", LONG_BUDGET, "later");
-        let mut line = upstream.accept();
-        assert_eq!(line.read().body, b"later");
-        line.write(&ok_response(""));
-        assert_eq!(later.read_response().expect("an answer").status(), 200);
+        let mut later_client = program.connect();
+        later_client.send("post", LONG_BUDGET, "later");
+        let mut connection = upstream.accept();
+        assert_eq!(connection.read().body, b"later");
+        connection.write(&ok_response(""));
+        assert_eq!(later_client.read_response().expect("no response").status(), 200);
         program.terminate();
         let (_, log) = program.wait_for_exit();
         assert!(!log.contains("breaker"), "may cancel: {may_cancel}: {log}");
     }
 }
 
-/// Has a caller leave, and waits until the program has seen that: it closes its side then.
-fn gone_after(program: &Program, caller: Client, way: DisconnectMode) {
-    let open = program.client_connections();
-    caller.disconnect(way);
-    eventually("the end of the caller's connection", || program.client_connections() < open);
+/// Disconnects a client and waits until the program has closed its side in response.
+fn disconnect_and_wait(program: &Program, client: Client, disconnect_mode: DisconnectMode) {
+    let connections_before = program.client_connections();
+    client.disconnect(disconnect_mode);
+    eventually("the program has closed the client's connection", || {
+        program.client_connections() < connections_before
+    });
 }
 
-/// Guards against what a balancer finds all at once after it was held up: requests whose callers have left already.
+/// Guards against requests that a balancer finds after a pause although their clients have already disconnected.
 #[test]
-fn requests_whose_callers_left_in_the_backlog_are_not_sent_on() {
+fn requests_of_clients_that_disconnected_in_the_backlog_are_not_sent_on() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
+    let program = Program::start(&config_with_upstream_at(upstream.address, refusing_address(), false));
     assert_eq!(program.request("post").status(), 200);
     upstream.next_request();
     program.pause();
-    for way in DISCONNECT_MODES {
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "left");
-        caller.disconnect(way);
+    for disconnect_mode in DISCONNECT_MODES {
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "left");
+        client.disconnect(disconnect_mode);
     }
-    let mut later = program.connect();
-    later.send("post", LONG_BUDGET, "later");
+    let mut later_client = program.connect();
+    later_client.send("post", LONG_BUDGET, "later");
     program.resume();
-    assert_eq!(later.read_response().expect("an answer").status(), 200);
+    assert_eq!(later_client.read_response().expect("no response").status(), 200);
     assert_eq!(upstream.next_request().body, b"later");
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Guards against a request cut off in its body, which is none.
+/// Guards against forwarding a request whose body was cut off.
 #[test]
-fn a_request_whose_caller_leaves_within_its_body_is_not_sent_on() {
+fn a_request_whose_client_disconnects_within_its_body_is_not_sent_on() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&alone_at(upstream.address, refusing_address(), false));
+    let program = Program::start(&config_with_upstream_at(upstream.address, refusing_address(), false));
     for size in [10, 60 << 10] {
-        for way in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
-            let mut caller = program.connect();
+        for disconnect_mode in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
+            let mut client = program.connect();
             let whole = request_text("post", LONG_BUDGET, &"b".repeat(size));
-            caller.write(&whole[..whole.len() - 5]);
-            gone_after(&program, caller, way);
+            client.write(&whole[..whole.len() - 5]);
+            disconnect_and_wait(&program, client, disconnect_mode);
         }
     }
     assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200);
     assert_eq!(upstream.next_request().body, b"later");
 }
 
-// ---- A signal to stop ----
+// ---- The signal to stop ----
 
-/// A balancer that takes no more than 0.7 s from the signal until it closes connections: its kill may come 1.1 s after.
+/// Connections are closed at most 0.7 s after the signal to stop; the process may be killed 1.1 s after it.
 fn short_lived(upstream: std::net::SocketAddr) -> serde_json::Value {
-    let mut config = alone_at(upstream, refusing_address(), true);
+    let mut config = config_with_upstream_at(upstream, refusing_address(), true);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["AimNs"] = 300_000_000_u64.into();
         class["DeadlineNs"] = 400_000_000_u64.into();
@@ -399,32 +445,34 @@
     config
 }
 
-/// Guards requests that have begun to come when connections are closed: each gets a final answer, and with it the
-/// end of its connection; what comes too late to be served before the kill is refused.
+/// Guards requests that are half read when connections are closed: each gets a final response with `Connection: close`.
+/// One that is completed too late to be served before the process is killed is refused.
 #[test]
 fn a_request_half_read_when_connections_are_closed_gets_its_answer() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    for (cut, part) in [(7, "its head"), (request_text("pay", "0.4", "a body").len() - 3, "its body")] {
+    for (split, part) in [(7, "its head"), (request_text("pay", "0.4", "a body").len() - 3, "its body")] {
         let program = Program::start(&short_lived(upstream.address));
-        let (mut idle, mut begun) = (program.connect(), program.connect());
+        let (mut idle, mut half_read) = (program.connect(), program.connect());
         assert_eq!(idle.request("look", "0.4", "").unwrap().status(), 200);
-        assert_eq!(begun.request("look", "0.4", "").unwrap().status(), 200);
+        assert_eq!(half_read.request("look", "0.4", "").unwrap().status(), 200);
         let whole = request_text("pay", "0.4", "a body");
-        begun.write(&whole[..cut]);
+        half_read.write(&whole[..split]);
         program.terminate();
-        assert!(idle.read_response().is_none(), "connections are closed between requests");
-        std::thread::sleep(SECOND); // beyond what is still served
+        assert!(idle.read_response().is_none(), "idle connections are closed");
+        std::thread::sleep(SECOND); // beyond the time in which requests are still served
         upstream.take_request_count();
-        begun.write(&whole[cut..]);
-        let answer = begun.read_response().unwrap_or_else(|| panic!("no answer to one half read in {part}"));
-        assert_eq!((answer.status(), &answer.headers["connection"][..]), (503, "close"));
-        assert!(begun.read_response().is_none());
+        half_read.write(&whole[split..]);
+        let response = half_read
+            .read_response()
+            .unwrap_or_else(|| panic!("no response to a request half read in {part}"));
+        assert_eq!((response.status(), &response.headers["connection"][..]), (503, "close"));
+        assert!(half_read.read_response().is_none());
         assert_eq!(upstream.take_request_count(), 0);
         assert!(program.wait_for_exit().0.success());
     }
 }
 
-/// Guards against a request that a balancer closes its connection on, as the runtime had not heard of it yet.
+/// Guards against closing a connection whose request the runtime has not reported yet.
 #[test]
 fn requests_in_the_backlog_at_the_signal_are_answered() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
@@ -433,21 +481,21 @@
     assert_eq!(open.request("look", "0.4", "").unwrap().status(), 200);
     program.pause();
     program.terminate();
-    let mut waiting: Vec<Client> = (0..50).map(|_| program.connect()).collect();
-    waiting.push(open);
-    waiting.iter_mut().for_each(|caller| caller.send("look", "60", ""));
-    std::thread::sleep(SECOND); // all of the time for which callers are served
+    let mut waiting_clients: Vec<Client> = (0..50).map(|_| program.connect()).collect();
+    waiting_clients.push(open);
+    waiting_clients.iter_mut().for_each(|client| client.send("look", "60", ""));
+    std::thread::sleep(SECOND); // longer than clients are served after the signal
     program.resume();
-    for caller in &mut waiting {
-        assert!([200, 503].contains(&caller.read_response().expect("a final answer").status()));
+    for client in &mut waiting_clients {
+        assert!([200, 503].contains(&client.read_response().expect("no final response").status()));
     }
     assert!(program.wait_for_exit().0.success());
 }
 
-/// Guards the list during the last requests: discovery may move while they are served, and a second signal to stop
-/// changes nothing.
+/// Guards the endpoint list during the last requests: discovery may move while they are served, and a second signal to
+/// stop changes nothing.
 #[test]
-fn follows_a_hangup_after_the_signal_to_stop() {
+fn applies_sighup_after_the_signal_to_stop() {
     let (old, new) = (
         Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
         Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
@@ -461,85 +509,89 @@
     }
     let program = Program::start(&settings);
     first.publish(&in_service(&[&old]));
-    let mut caller = program.connect();
-    assert_eq!(caller.request("look", LONG_BUDGET, "").unwrap().body, b"old");
+    let mut client = program.connect();
+    assert_eq!(client.request("look", LONG_BUDGET, "").unwrap().body, b"old");
     program.terminate();
     settings["discovery"] = second.address.to_string().into();
     second.set_targets(&[target("s-new", new.address, "in_service")]);
     program.reload(&settings.to_string());
     program.terminate();
     second.wait_until_watched();
-    assert_eq!(caller.request("look", LONG_BUDGET, "").unwrap().body, b"new");
-    assert!(caller.read_response().is_none());
+    assert_eq!(client.request("look", LONG_BUDGET, "").unwrap().body, b"new");
+    assert!(client.read_response().is_none());
     assert!(program.wait_for_exit().0.success());
 }
 
 // ---- Connections to upstreams ----
 
-/// Guards the limit of descriptors: a connection that is coming up holds one like any other.
+/// Guards the descriptor limit: a connection that is being established uses a descriptor like any other.
 #[test]
-fn connections_that_come_up_count_as_open() {
-    let crowded = BlockedListener::open();
-    let mut config = alone_at(crowded.address, refusing_address(), true);
-    config["limits"]["sockets"] = 150.into(); // room for 50 connections to upstreams and 68 callers
+fn connections_being_established_count_as_open() {
+    let blocked = BlockedListener::open();
+    let mut config = config_with_upstream_at(blocked.address, refusing_address(), true);
+    config["limits"]["sockets"] = 150.into(); // 50 upstream connections and 68 client connections
     let program = Program::start(&config);
-    let mut callers: Vec<Client> = (0..60).map(|_| program.connect()).collect();
-    callers[..50].iter_mut().for_each(|caller| caller.send("post", LONG_BUDGET, "b"));
-    crowded.wait_for_pending(50);
-    for caller in &mut callers[50..] {
-        let answer = caller.request("post", LONG_BUDGET, "b").expect("an answer");
-        assert_eq!(answer.status(), 503, "there is no room");
+    let mut clients: Vec<Client> = (0..60).map(|_| program.connect()).collect();
+    clients[..50].iter_mut().for_each(|client| client.send("post", LONG_BUDGET, "b"));
+    blocked.wait_for_pending(50);
+    for client in &mut clients[50..] {
+        let response = client.request("post", LONG_BUDGET, "b").expect("no response");
+        assert_eq!(response.status(), 503, "no upstream connection is available");
     }
-    callers.drain(..10).for_each(|caller| caller.disconnect(DisconnectMode::Rst));
-    crowded.wait_for_pending(40);
-    let mut later: Vec<Client> = (0..10).map(|_| program.connect()).collect();
-    later.iter_mut().for_each(|caller| caller.send("post", LONG_BUDGET, "b"));
-    crowded.wait_for_pending(50); // their room was given back
+    clients.drain(..10).for_each(|client| client.disconnect(DisconnectMode::Rst));
+    blocked.wait_for_pending(40);
+    let mut later_clients: Vec<Client> = (0..10).map(|_| program.connect()).collect();
+    later_clients.iter_mut().for_each(|client| client.send("post", LONG_BUDGET, "b"));
+    blocked.wait_for_pending(50); // the connections of the disconnected clients are available again
 }
 
-// ---- Discovery that fails, moves or says nothing ----
+// ---- Discovery that fails, moves or does not respond ----
 
-/// Seeds that draw different waits.
+/// Seeds that lead to different backoff times.
 const SEEDS: [&str; 4] = ["8c1f30d27a5be964", "1", "2", "3"];
-/// A change counts as told so long after discovery had it and could be reached, and after a hangup.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_HANGUP: Duration = Duration::from_secs(4);
+/// A change counts as notified this long after discovery had it and could be reached.
+const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
+/// The same after a SIGHUP.
+const NOTIFICATION_LIMIT_AFTER_SIGHUP: Duration = Duration::from_secs(4);
 
-/// What discovery does to a call, other than answer it.
+/// How discovery fails a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fails {
-    /// Closes the connection, at once.
-    Closes,
-    /// Answers that it cannot.
-    Errors,
-    /// Says nothing until the call is given up.
-    Silent,
-}
-
-impl Fails {
-    const ALL: [Self; 3] = [Self::Closes, Self::Errors, Self::Silent];
-
-    /// Takes the next call and fails it.
-    fn next(self, discovery: &ManualPeer) {
-        let mut line = discovery.accept();
-        line.try_read();
+enum DiscoveryFailure {
+    /// Closes the connection at once.
+    Close,
+    /// Responds with a 503.
+    ErrorResponse,
+    /// Sends nothing until the balancer gives the request up.
+    NoResponse,
+    NoResponse,
+}
+
+impl DiscoveryFailure {
+    const ALL: [Self; 3] = [Self::Close, Self::ErrorResponse, Self::NoResponse];
+
+    /// Accepts the next request and fails it.
+    fn fail_next(self, discovery: &ManualPeer) {
+        let mut connection = discovery.accept();
+        connection.try_read();
         match self {
-            // Not by dropping it: a test that starts its program just now holds a copy until that runs.
-            Self::Closes => line.close(),
-            Self::Errors => line.try_write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-            Self::Silent => assert!(line.is_closed_by_peer(), "given up"),
+            // Dropping the connection is not enough: a program that another test is just spawning may hold a copy.
+            Self::Close => connection.close(),
+            Self::ErrorResponse => {
+                connection.try_write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+            }
+            Self::NoResponse => assert!(connection.is_closed_by_peer(), "the request is given up"),
         }
     }
 }
 
-/// Guards the waits above: a signal that meets one in the kernel, such as the end of a child of another test, tells
-/// nothing of the peer.
+/// Guards the waits of this file: a signal that interrupts a read, such as the SIGCHLD of a child process of another
+/// test, says nothing about the peer.
 #[test]
 fn a_wait_for_the_end_of_a_connection_goes_on_after_a_signal() {
-    /// Is interrupted once, then reads what a connection holds.
+    /// Is interrupted once, then reads the remaining bytes.
     struct InterruptedOnce<'a> {
         was_interrupted: bool,
-        rest: &'a [u8],
+        remaining: &'a [u8],
     }
 
     impl Read for InterruptedOnce<'_> {
@@ -547,401 +599,461 @@
             if !std::mem::replace(&mut self.was_interrupted, true) {
                 return Err(std::io::ErrorKind::Interrupted.into());
             }
-            self.rest.read(buffer)
+            self.remaining.read(buffer)
         }
     }
 
-    assert!(reads_eof(&mut InterruptedOnce { was_interrupted: false, rest: b"" }), "closed after a signal");
-    assert!(!reads_eof(&mut InterruptedOnce { was_interrupted: false, rest: b"a byte" }), "still open");
+    assert!(
+        reads_eof(&mut InterruptedOnce { was_interrupted: false, remaining: b"" }),
+        "closed after a signal"
+    );
+    assert!(!reads_eof(&mut InterruptedOnce { was_interrupted: false, remaining: b"a byte" }), "still open");
 }
 
-/// Answers each call with this upstream alone, until the balancer has taken that and watches on; the call that was
-/// answered. Where the machine is so busy that an answer comes after the balancer gave it up, there is another call.
-fn answers_next(discovery: &ManualPeer, version: u64, upstream: &Upstream) -> Message {
+/// Serves a list of this upstream alone until the balancer has applied it and watches for the next one; returns the
+/// request that was served. On a busy machine a response may come after the balancer gave its request up: then the next
+/// request is served.
+fn serve_list(discovery: &ManualPeer, revision: u64, upstream: &Upstream) -> Message {
     loop {
-        let mut line = discovery.accept();
-        let Some(call) = line.try_read() else { continue };
-        let asked = Instant::now();
-        line.try_write(&list_response(version, true, &[target("s-new", upstream.address, "in_service")]));
-        let written = asked.elapsed();
-        if line.try_read().is_some() {
-            return call;
+        let mut connection = discovery.accept();
+        let Some(request) = connection.try_read() else { continue };
+        let received_at = Instant::now();
+        connection.try_write(&list_response(
+            revision,
+            true,
+            &[target("s-new", upstream.address, "in_service")],
+        ));
+        let written = received_at.elapsed();
+        if connection.try_read().is_some() {
+            return request;
         }
         eprintln!(
-            "not taken: {}, written after {written:?}, over after {:?}",
-            call.first_line,
-            asked.elapsed()
+            "list not applied: {}, written after {written:?}, connection ended after {:?}",
+            request.first_line,
+            received_at.elapsed()
         );
     }
 }
 
-/// Guards the rule on drains: whatever failed, and however often, a call that is answered must come in time. The
-/// worst moment for discovery to come back is just after a call that it will not answer, with another that fails.
+/// Guards the drain rule: whatever failed before, and however often, a list must be applied in time once discovery
+/// responds. The worst moment for its recovery is just after a request that it leaves unanswered, followed by a failure.
 #[test]
-fn a_list_is_told_in_time_after_discovery_failed() {
+fn a_list_is_applied_in_time_after_discovery_failed() {
     for mode in ["push", "ask"] {
-        for failing in Fails::ALL {
+        for failure in DiscoveryFailure::ALL {
             let (old, new) = (
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
             );
             let discovery = ManualPeer::open();
-            let program = Program::start(&configured(mode, &discovery, &in_service(&[&old])));
-            (0..5).for_each(|_| failing.next(&discovery));
-            let mut hangs = discovery.accept();
-            hangs.read();
-            let back = Instant::now(); // now it has the change, and answers all but the call that it took before
-            assert!(hangs.is_closed_by_peer(), "given up");
-            Fails::Errors.next(&discovery);
-            answers_next(&discovery, 2, &new);
-            assert!(back.elapsed() < TOLD, "{mode}, {failing:?}: told after {:?}", back.elapsed());
-            assert_eq!(program.request("post").body, b"new", "{mode}, {failing:?}");
+            let program = Program::start(&config_with_discovery(mode, &discovery, &in_service(&[&old])));
+            (0..5).for_each(|_| failure.fail_next(&discovery));
+            let mut unanswered = discovery.accept();
+            unanswered.read();
+            let restored = Instant::now(); // discovery has the change and responds from the next request on
+            assert!(unanswered.is_closed_by_peer(), "the request is given up");
+            DiscoveryFailure::ErrorResponse.fail_next(&discovery);
+            serve_list(&discovery, 2, &new);
+            assert!(
+                restored.elapsed() < NOTIFICATION_LIMIT,
+                "{mode}, {failure:?}: applied after {:?}",
+                restored.elapsed()
+            );
+            assert_eq!(program.request("post").body, b"new", "{mode}, {failure:?}");
             assert_eq!(old.take_request_count(), 0);
         }
     }
 }
 
-/// The same where discovery vanishes with its machine: connections to it hang, and come up once it is back.
+/// The same where discovery's machine is lost: connections to it stay pending until it is back.
 #[test]
-fn a_list_is_told_in_time_after_connections_to_discovery_hung() {
+fn a_list_is_applied_in_time_after_connections_to_discovery_hung() {
     for (mode, seed) in [("push", SEEDS[0]), ("ask", SEEDS[0]), ("ask", SEEDS[1]), ("ask", SEEDS[2])] {
         let (old, new) = (
             Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
             Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
         );
-        let crowded = BlockedListener::open();
-        let mut settings = config(crowded.address, &in_service(&[&old]));
+        let blocked = BlockedListener::open();
+        let mut settings = config(blocked.address, &in_service(&[&old]));
         settings["seed"] = seed.into();
         settings["settings"]["Discovery"] = mode.into();
         settings["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
         let program = Program::start(&settings);
         for _ in 0..5 {
-            crowded.wait_for_pending(1);
-            crowded.wait_until_none_pending();
+            blocked.wait_for_pending(1);
+            blocked.wait_until_none_pending();
         }
-        crowded.wait_for_pending(1);
-        let back = Instant::now();
+        blocked.wait_for_pending(1);
+        let restored = Instant::now();
         let list = list_response(2, true, &[target("s-new", new.address, "in_service")]);
-        let discovery = crowded.accept_connections(move |call| match call.first_line.contains("after=2&") {
-            true => UpstreamAction::NeverRespond,
-            false => UpstreamAction::Respond(list.clone()),
-        });
+        let discovery =
+            blocked.accept_connections(move |request| match request.first_line.contains("after=2&") {
+                true => UpstreamAction::NeverRespond,
+                false => UpstreamAction::Respond(list.clone()),
+            });
         while !discovery.next_request().first_line.contains("after=2&") {}
-        assert!(back.elapsed() < TOLD, "{mode}, {seed}: told after {:?}", back.elapsed());
+        assert!(
+            restored.elapsed() < NOTIFICATION_LIMIT,
+            "{mode}, {seed}: applied after {:?}",
+            restored.elapsed()
+        );
         assert_eq!(program.request("post").body, b"new", "{mode}, {seed}");
         assert_eq!(old.take_request_count(), 0);
     }
 }
 
-/// Where the hangup finds the balancer.
+/// What the balancer does with the old discovery address when SIGHUP arrives.
 #[derive(Clone, Copy, Debug)]
-enum Busy {
-    /// A connection to the old address is coming up.
+enum StateAtSighup {
+    /// Its connection is being established.
     Connecting,
-    /// A call at the old address gets no answer.
-    Calling,
-    /// The old address has failed often, and the wait before the next call runs.
-    Waiting,
-    /// A watch at the old address goes on.
+    /// Its request has no response.
+    Requesting,
+    /// Requests failed several times, and the backoff before the next one runs.
+    BackingOff,
+    /// Its watch is open.
+    Watching,
     Watching,
 }
 
-/// Guards the rule on drains at a hangup, which leaves 4 s: nothing that was begun with the old address may hold up
-/// the new one, nor what failed there, also where the first call to the new one fails.
+/// Guards the drain rule at a SIGHUP, which leaves 4 s: neither an operation with the old address nor the failures there
+/// may delay the new one, also where the first request to the new address fails.
 #[test]
-fn a_hangup_is_followed_in_time_whatever_goes_on_with_the_old_address() {
+fn sighup_is_applied_in_time_whatever_the_state_of_the_old_discovery_connection() {
     for mode in ["push", "ask"] {
-        for busy in [Busy::Connecting, Busy::Calling, Busy::Waiting, Busy::Watching] {
-            for failing in Fails::ALL {
-                follows_a_hangup(mode, busy, failing, SEEDS[0]);
+        for state in [
+            StateAtSighup::Connecting,
+            StateAtSighup::Requesting,
+            StateAtSighup::BackingOff,
+            StateAtSighup::Watching,
+        ] {
+            for failure in DiscoveryFailure::ALL {
+                check_sighup(mode, state, failure, SEEDS[0]);
             }
         }
     }
-    // How long a wait is, the seed draws.
+    // The seed determines the length of the backoff.
     for seed in &SEEDS[1..] {
-        follows_a_hangup("ask", Busy::Waiting, Fails::Closes, seed);
+        check_sighup("ask", StateAtSighup::BackingOff, DiscoveryFailure::Close, seed);
     }
 }
 
-fn follows_a_hangup(mode: &str, busy: Busy, failing: Fails, seed: &str) {
+fn check_sighup(mode: &str, state: StateAtSighup, failure: DiscoveryFailure, seed: &str) {
     let (old, new) = (
         Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
         Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
     );
     let (first, second) = (ManualPeer::open(), ManualPeer::open());
-    let crowded = matches!(busy, Busy::Connecting).then(BlockedListener::open);
-    let mut settings = configured(mode, &first, &in_service(&[&old]));
+    let blocked = matches!(state, StateAtSighup::Connecting).then(BlockedListener::open);
+    let mut settings = config_with_discovery(mode, &first, &in_service(&[&old]));
     settings["seed"] = seed.into();
-    if let Some(crowded) = &crowded {
-        settings["discovery"] = crowded.address.to_string().into();
+    if let Some(blocked) = &blocked {
+        settings["discovery"] = blocked.address.to_string().into();
     }
     let program = Program::start(&settings);
-    let held = match (busy, &crowded) {
-        (Busy::Connecting, Some(crowded)) => {
-            crowded.wait_for_pending(1);
+    let old_connection = match (state, &blocked) {
+        (StateAtSighup::Connecting, Some(blocked)) => {
+            blocked.wait_for_pending(1);
             None
         }
-        (Busy::Waiting, _) => {
-            (0..5).for_each(|_| Fails::Closes.next(&first));
+        (StateAtSighup::BackingOff, _) => {
+            (0..5).for_each(|_| DiscoveryFailure::Close.fail_next(&first));
             None
         }
-        (Busy::Calling, _) => {
-            let mut line = first.accept();
-            line.read();
-            Some(line)
+        (StateAtSighup::Requesting, _) => {
+            let mut connection = first.accept();
+            connection.read();
+            Some(connection)
         }
         _ => {
-            let mut line = first.accept();
-            line.read();
-            line.write(&list_response(7, true, &[target("s-0", old.address, "in_service")]));
-            line.read(); // the watch that follows
-            Some(line)
+            let mut connection = first.accept();
+            connection.read();
+            connection.write(&list_response(7, true, &[target("s-0", old.address, "in_service")]));
+            connection.read(); // the watch that follows
+            Some(connection)
         }
     };
     settings["discovery"] = second.address.to_string().into();
     let signalled = Instant::now();
     program.reload(&settings.to_string());
-    failing.next(&second);
-    let call = answers_next(&second, 2, &new);
-    let case = format!("{mode}, {busy:?}, {failing:?}, {seed}");
-    assert!(signalled.elapsed() < TOLD_AFTER_HANGUP, "{case}: told after {:?}", signalled.elapsed());
+    failure.fail_next(&second);
+    let request = serve_list(&second, 2, &new);
+    let case = format!("{mode}, {state:?}, {failure:?}, {seed}");
     assert!(
-        call.first_line.starts_with("GET /v1/servers HTTP"),
-        "{case}: the whole list, not {}",
-        call.first_line
+        signalled.elapsed() < NOTIFICATION_LIMIT_AFTER_SIGHUP,
+        "{case}: applied after {:?}",
+        signalled.elapsed()
     );
-    if let Some(mut held) = held {
-        assert!(held.is_closed_by_peer(), "{case}: the old connection is closed");
+    assert!(
+        request.first_line.starts_with("GET /v1/servers HTTP"),
+        "{case}: expected a request for the whole list, not {}",
+        request.first_line
+    );
+    if let Some(mut old_connection) = old_connection {
+        assert!(old_connection.is_closed_by_peer(), "{case}: the old connection is closed");
     }
     assert_eq!(program.request("post").body, b"new", "{case}");
     assert_eq!(old.take_request_count(), 0);
 }
 
-/// Guards restarts: whether discovery refuses, hangs or says nothing, a new process serves with what it knew.
+/// Guards restarts: whether discovery refuses, hangs or stays silent, a new process serves with its configured list.
 #[test]
 fn a_new_process_is_ready_without_discovery() {
     for mode in ["push", "ask"] {
         let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("known")));
-        let (silent, crowded) = (ManualPeer::open(), BlockedListener::open());
-        for address in [refusing_address(), silent.address, crowded.address] {
-            let mut settings = configured(mode, &silent, &in_service(&[&upstream]));
+        let (silent, blocked) = (ManualPeer::open(), BlockedListener::open());
+        for address in [refusing_address(), silent.address, blocked.address] {
+            let mut settings = config_with_discovery(mode, &silent, &in_service(&[&upstream]));
             settings["discovery"] = address.to_string().into();
             settings["settings"]["Siblings"] = 870.into();
             let started = Instant::now();
             let program = Program::start(&settings);
-            let mut caller = program.connect();
-            caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-            assert_eq!(caller.read_response().expect("an answer").status(), 200, "{mode}");
+            let mut client = program.connect();
+            client.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
+            assert_eq!(client.read_response().expect("no response").status(), 200, "{mode}");
             assert!(started.elapsed() < Duration::from_secs(3), "{mode}: {:?}", started.elapsed());
             assert_eq!(program.request("post").body, b"known", "{mode}");
         }
     }
 }
 
-/// Guards the first list of a new process in a large fleet: what discovery had counts as told 6 s after the start,
-/// also where the first call gets no answer and the next fails. It knows no upstream before.
+/// Guards the first list of a new process in a large fleet: whatever discovery had counts as notified 6 s after the
+/// start, also where the first request gets no response and the next one fails. The process knows no upstream before.
 #[test]
-fn a_new_process_that_knows_nothing_is_told_in_time() {
+fn a_new_process_without_a_list_is_notified_in_time() {
     for mode in ["push", "ask"] {
         let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
         let discovery = ManualPeer::open();
-        let mut settings = configured(mode, &discovery, &[]);
+        let mut settings = config_with_discovery(mode, &discovery, &[]);
         settings["settings"]["Siblings"] = 870.into();
         let started = Instant::now();
         let program = Program::start(&settings);
-        Fails::Silent.next(&discovery);
-        Fails::Errors.next(&discovery);
-        answers_next(&discovery, 2, &new);
-        assert!(started.elapsed() < TOLD, "{mode}: told after {:?}", started.elapsed());
-        let mut caller = program.connect();
-        caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-        assert_eq!(caller.read_response().expect("an answer").status(), 200, "{mode}");
+        DiscoveryFailure::NoResponse.fail_next(&discovery);
+        DiscoveryFailure::ErrorResponse.fail_next(&discovery);
+        serve_list(&discovery, 2, &new);
+        assert!(started.elapsed() < NOTIFICATION_LIMIT, "{mode}: applied after {:?}", started.elapsed());
+        let mut client = program.connect();
+        client.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
+        assert_eq!(client.read_response().expect("no response").status(), 200, "{mode}");
         assert_eq!(program.request("post").body, b"new", "{mode}");
     }
 }
 
-// ---- Idle callers that fill the descriptors ----
+// ---- Idle clients that use up the descriptors ----
 
-/// Few descriptors, and what a balancer with so few leaves of them to connections to upstreams and to callers.
-const SOCKETS: usize = 96;
-const TO_UPSTREAMS: usize = 32;
-const TO_CALLERS: usize = 32;
-/// Standard streams, the listener, the runtime's.
-const OWN: usize = 10;
+/// A small descriptor limit, and the connections to upstreams and from clients that the balancer allows with it.
+const MAX_DESCRIPTORS: usize = 96;
+const MAX_UPSTREAM_CONNECTIONS: usize = 32;
+const MAX_CLIENT_CONNECTIONS: usize = 32;
+/// Descriptors of the standard streams, the listener and the runtime.
+const PROCESS_DESCRIPTORS: usize = 10;
 
-/// What each of a crowd says: nothing, one call, or a part of one.
-const SAYINGS: [fn() -> String; 3] = [
+/// What each idle client writes: nothing, a request, or a part of one.
+const INITIAL_TEXTS: [fn() -> String; 3] = [
     String::new,
     || request_text("look", LONG_BUDGET, ""),
     || request_text("look", LONG_BUDGET, "")[..20].into(),
 ];
-const PART_OF_A_CALL: usize = 2;
+const PARTIAL_REQUEST: usize = 2;
 
-fn crowded(mode: &str, discovery: std::net::SocketAddr, known: &[String]) -> serde_json::Value {
+/// A configuration with the small descriptor limit.
+fn config_with_few_descriptors(
+    mode: &str,
+    discovery: std::net::SocketAddr,
+    known: &[String],
+) -> serde_json::Value {
     let mut config = config(discovery, known);
     config["settings"]["Discovery"] = mode.into();
     config["settings"]["Safety"]["AskWithinNs"] = 10_000_000_000_u64.into();
-    config["limits"]["sockets"] = SOCKETS.into();
+    config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
     config
 }
 
-/// Waits until a caller that comes among a crowd is served by the upstream that answers so.
-fn serves(program: &Program, body: &str) {
+/// Waits until a new client among the idle ones is served by the upstream with this response body.
+fn wait_until_served_by(program: &Program, body: &str) {
     eventually(body, || {
         program
             .connect()
             .request("look", LONG_BUDGET, "")
-            .is_some_and(|answer| answer.body == body.as_bytes())
+            .is_some_and(|response| response.body == body.as_bytes())
     });
 }
 
-/// Ends a program that never lacked a descriptor.
-fn had_descriptors(program: Program, case: &str) {
+/// Terminates the program and asserts that it never ran out of descriptors.
+fn assert_never_out_of_descriptors(program: Program, case: &str) {
     program.terminate();
     let (status, log) = program.wait_for_exit();
     assert!(status.success() && !log.contains("os error 24"), "{case}: {log}");
 }
 
-/// Guards discovery and upstreams against idle callers, where calls hold all but two connections to upstreams: the
-/// return of discovery with its first list, the watch, SIGHUP and the connections to new upstreams find their
-/// descriptors, as if nobody were there.
+/// Guards discovery and upstreams against idle clients while requests use all but two of the upstream connections: the
+/// first list after discovery's return, the watch, SIGHUP and connections to new upstreams must find descriptors as if
+/// there were no idle clients.
 #[test]
-fn idle_callers_leave_descriptors_to_discovery_and_to_upstreams() {
+fn idle_clients_leave_descriptors_to_discovery_and_to_upstreams() {
     std::thread::scope(|scope| {
         for mode in ["push", "ask"] {
-            (0..SAYINGS.len()).for_each(|saying| drop(scope.spawn(move || follows_in_a_crowd(mode, saying))));
+            (0..INITIAL_TEXTS.len()).for_each(|text_index| {
+                drop(scope.spawn(move || check_discovery_with_idle_clients(mode, text_index)))
+            });
         }
     });
 }
 
-fn follows_in_a_crowd(mode: &str, saying: usize) {
-    let case = format!("{mode}, {saying}");
-    let holding = Arc::new(Mutex::new(()));
-    let held = holding.lock().unwrap();
-    let until = holding.clone();
+fn check_discovery_with_idle_clients(mode: &str, text_index: usize) {
+    let case = format!("{mode}, {text_index}");
+    let response_gate = Arc::new(Mutex::new(()));
+    let held_gate = response_gate.lock().unwrap();
+    let upstream_gate = response_gate.clone();
     let old = Upstream::start(move |message| {
         if message.first_line.starts_with("POST") {
-            drop(until.lock());
+            drop(upstream_gate.lock());
         }
         UpstreamAction::Respond(ok_response("old"))
     });
     let [new, newer, last] = ["new", "newer", "last"]
         .map(|body| Upstream::start(move |_| UpstreamAction::Respond(ok_response(body))));
-    let (down, second) = (UnavailableDiscovery::open(), Discovery::start());
-    let mut config = crowded(mode, down.address, &in_service(&[&old]));
+    let (unavailable, second) = (UnavailableDiscovery::open(), Discovery::start());
+    let mut config = config_with_few_descriptors(mode, unavailable.address, &in_service(&[&old]));
     let program = Program::start_with_descriptor_limit(&config);
-    let mut calling: Vec<Client> = (2..TO_UPSTREAMS).map(|_| program.connect()).collect();
-    for caller in &mut calling {
-        caller.send("post", LONG_BUDGET, "b");
+    let mut busy_clients: Vec<Client> = (2..MAX_UPSTREAM_CONNECTIONS).map(|_| program.connect()).collect();
+    for client in &mut busy_clients {
+        client.send("post", LONG_BUDGET, "b");
         old.next_request();
     }
-    let crowd = IdleClients::connect(program.address, 2 * TO_CALLERS, SAYINGS[saying]);
-    eventually("all places are taken", || program.descriptor_count() >= OWN + calling.len() + TO_CALLERS);
-    // One that says a part of a call keeps its place for some time, and others out: not discovery.
-    let is_served = |body| {
-        if saying != PART_OF_A_CALL {
-            serves(&program, body);
+    let idle_clients =
+        IdleClients::connect(program.address, 2 * MAX_CLIENT_CONNECTIONS, INITIAL_TEXTS[text_index]);
+    eventually("all client connections are in use", || {
+        program.descriptor_count() >= PROCESS_DESCRIPTORS + busy_clients.len() + MAX_CLIENT_CONNECTIONS
+    });
+    // A client that sent a part of a request keeps its connection for some time and keeps other clients out, but not
+    // discovery.
+    let wait_unless_partial_request = |body| {
+        if text_index != PARTIAL_REQUEST {
+            wait_until_served_by(&program, body);
         }
     };
-    // The whole crowd comes at once, and this beside it.
-    let rush_with = |event: &dyn Fn()| {
+    // All idle clients reconnect at the moment of the event.
+    let reconnect_during = |event: &dyn Fn()| {
         program.pause();
-        eventually("the crowd is back", || program.client_connections() >= calling.len() + 2 * TO_CALLERS);
+        eventually("the idle clients are connected", || {
+            program.client_connections() >= busy_clients.len() + 2 * MAX_CLIENT_CONNECTIONS
+        });
         event();
         program.resume();
         Instant::now()
     };
 
-    let first = down.restore(&[target("s-new", new.address, "in_service")]);
-    let told = Instant::now();
+    let first = unavailable.restore(&[target("s-new", new.address, "in_service")]);
+    let changed_at = Instant::now();
     first.wait_until_watched();
-    assert!(told.elapsed() < TOLD, "{case}: back, told after {:?}", told.elapsed());
-    is_served("new");
+    assert!(
+        changed_at.elapsed() < NOTIFICATION_LIMIT,
+        "{case}: discovery restored, applied after {:?}",
+        changed_at.elapsed()
+    );
+    wait_unless_partial_request("new");
 
-    let told = rush_with(&|| first.set_targets(&[target("s-newer", newer.address, "in_service")]));
+    let changed_at =
+        reconnect_during(&|| first.set_targets(&[target("s-newer", newer.address, "in_service")]));
     first.wait_until_watched();
-    assert!(told.elapsed() < TOLD, "{case}: watch, told after {:?}", told.elapsed());
-    is_served("newer");
+    assert!(
+        changed_at.elapsed() < NOTIFICATION_LIMIT,
+        "{case}: watch, applied after {:?}",
+        changed_at.elapsed()
+    );
+    wait_unless_partial_request("newer");
 
     second.set_targets(&[target("s-last", last.address, "in_service")]);
     config["discovery"] = second.address.to_string().into();
-    let told = rush_with(&|| program.reload(&config.to_string()));
+    let changed_at = reconnect_during(&|| program.reload(&config.to_string()));
     second.wait_until_watched();
-    assert!(told.elapsed() < TOLD_AFTER_HANGUP, "{case}: hangup, told after {:?}", told.elapsed());
-    is_served("last");
+    assert!(
+        changed_at.elapsed() < NOTIFICATION_LIMIT_AFTER_SIGHUP,
+        "{case}: SIGHUP, applied after {:?}",
+        changed_at.elapsed()
+    );
+    wait_unless_partial_request("last");
 
-    drop((held, crowd));
-    calling
+    drop((held_gate, idle_clients));
+    busy_clients
         .iter_mut()
-        .for_each(|caller| assert_eq!(caller.read_response().expect("an answer").body, b"old", "{case}"));
-    drop(calling);
-    had_descriptors(program, &case);
+        .for_each(|client| assert_eq!(client.read_response().expect("no response").body, b"old", "{case}"));
+    drop(busy_clients);
+    assert_never_out_of_descriptors(program, &case);
 }
 
-/// Guards the first list of a process that knows no upstream against callers who are there before it.
+/// Guards the first list of a process that knows no upstream against clients that are connected before it.
 #[test]
-fn idle_callers_leave_a_descriptor_to_the_first_list() {
+fn idle_clients_leave_a_descriptor_to_the_first_list() {
     for mode in ["push", "ask"] {
         let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
-        let down = UnavailableDiscovery::open();
-        let program = Program::start_with_descriptor_limit(&crowded(mode, down.address, &[]));
-        let crowd = IdleClients::connect(program.address, SOCKETS, SAYINGS[0]);
-        eventually("all places are taken", || program.descriptor_count() >= OWN + TO_CALLERS);
+        let unavailable = UnavailableDiscovery::open();
+        let program = Program::start_with_descriptor_limit(&config_with_few_descriptors(
+            mode,
+            unavailable.address,
+            &[],
+        ));
+        let idle_clients = IdleClients::connect(program.address, MAX_DESCRIPTORS, INITIAL_TEXTS[0]);
+        eventually("all client connections are in use", || {
+            program.descriptor_count() >= PROCESS_DESCRIPTORS + MAX_CLIENT_CONNECTIONS
+        });
         program.pause();
-        eventually("the crowd is back", || program.client_connections() >= SOCKETS);
-        let discovery = down.restore(&in_service(&[&new]));
+        eventually("the idle clients are connected", || program.client_connections() >= MAX_DESCRIPTORS);
+        let discovery = unavailable.restore(&in_service(&[&new]));
         program.resume();
-        let told = Instant::now();
+        let restored = Instant::now();
         discovery.wait_until_watched();
-        assert!(told.elapsed() < TOLD, "{mode}: told after {:?}", told.elapsed());
-        serves(&program, "new");
-        drop(crowd);
-        had_descriptors(program, mode);
+        assert!(restored.elapsed() < NOTIFICATION_LIMIT, "{mode}: applied after {:?}", restored.elapsed());
+        wait_until_served_by(&program, "new");
+        drop(idle_clients);
+        assert_never_out_of_descriptors(program, mode);
     }
 }
 
-/// Connections that a backlog surely holds: one more might not come up.
-const FULL_BACKLOG: usize = 120;
+/// Connections that the backlog holds for sure; the connect of one more might not complete.
+const BACKLOG_SIZE: usize = 120;
 
-/// A program that finds this many requests in its backlog, beyond the time for which callers are served.
-fn ends_with_backlog(upstream: &Upstream, size: usize) -> (Program, Vec<Client>) {
+/// Starts a program that finds this many requests in its backlog after the time in which clients are served.
+fn shut_down_with_backlog(upstream: &Upstream, size: usize) -> (Program, Vec<Client>) {
     let mut config = short_lived(upstream.address);
-    config["limits"]["sockets"] = SOCKETS.into();
+    config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
     let program = Program::start_with_descriptor_limit(&config);
     program.terminate();
     program.wait_until_signals_delivered();
     program.pause();
-    let mut waiting: Vec<Client> = (0..size).map(|_| program.connect()).collect();
-    waiting.iter_mut().for_each(|caller| caller.send("look", "60", ""));
-    std::thread::sleep(SECOND); // beyond what is still served
+    let mut waiting_clients: Vec<Client> = (0..size).map(|_| program.connect()).collect();
+    waiting_clients.iter_mut().for_each(|client| client.send("look", "60", ""));
+    std::thread::sleep(SECOND); // beyond the time in which requests are still served
     program.resume();
-    (program, waiting)
+    (program, waiting_clients)
 }
 
-fn all_answered(waiting: &mut [Client]) {
-    for caller in waiting {
-        assert!([200, 503].contains(&caller.read_response().expect("a final answer").status()));
+/// Asserts that each client gets a final response.
+fn assert_all_responses(waiting_clients: &mut [Client]) {
+    for client in waiting_clients {
+        assert!([200, 503].contains(&client.read_response().expect("no final response").status()));
     }
 }
 
-/// Guards the limit of descriptors at the end: what waits in the backlog is taken and answered within it.
+/// Guards the descriptor limit at the end of serving: requests in the backlog are accepted and answered within it.
 #[test]
 fn a_backlog_at_the_end_of_serving_is_answered_within_the_descriptors() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let (program, mut waiting) = ends_with_backlog(&upstream, SOCKETS);
-    all_answered(&mut waiting);
+    let (program, mut waiting_clients) = shut_down_with_backlog(&upstream, MAX_DESCRIPTORS);
+    assert_all_responses(&mut waiting_clients);
     assert!(program.wait_for_exit().0.success());
 }
 
-/// Guards the same where the process is held up, on a busy machine, when it has taken the first of them.
+/// The same where a busy machine delays the process just after it has accepted the first of them.
 #[test]
 fn a_backlog_at_the_end_of_serving_is_answered_by_a_process_that_is_held_up() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let (program, mut waiting) = ends_with_backlog(&upstream, FULL_BACKLOG);
-    all_answered(&mut waiting[..1]);
+    let (program, mut waiting_clients) = shut_down_with_backlog(&upstream, BACKLOG_SIZE);
+    assert_all_responses(&mut waiting_clients[..1]);
     program.pause();
-    std::thread::sleep(SECOND / 4); // more than the last look at the backlog takes
+    std::thread::sleep(SECOND / 4); // longer than the last check of the backlog takes
     program.resume();
-    all_answered(&mut waiting[1..]);
+    assert_all_responses(&mut waiting_clients[1..]);
     assert!(program.wait_for_exit().0.success());
 }
