--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -21,9 +21,9 @@
 /// 2 s after its `wait_ms` if that is later. The balancer has to open another watch before then.
 #[test]
 fn a_silent_watch_is_replaced_in_time() {
-    let response = list_response(2, true, &[]);
+    let list_text = list_response(2, true, &[]);
     for mode in ["push", "ask"] {
-        for written_bytes in [0, "HTTP/1.1 200".len(), response.len() / 2] {
+        for written_bytes in [0, "HTTP/1.1 200".len(), list_text.len() / 2] {
             let (old, new) = (
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
                 Upstream::start(|_| UpstreamAction::Respond(ok_response("new"))),
@@ -38,7 +38,7 @@
             }
             let wait = request.split("wait_ms=").nth(1).and_then(|wait| wait.split(' ').next()).unwrap();
             let silent_since = Instant::now();
-            watch.write(&response[..written_bytes]);
+            watch.write(&list_text[..written_bytes]);
             let mut next_watch = discovery.accept();
             assert!(
                 next_watch.read().first_line.contains("after=1&"),
@@ -563,7 +563,6 @@
     ErrorResponse,
     /// Sends nothing until the balancer gives the request up.
     NoResponse,
-    NoResponse,
 }
 
 impl DiscoveryFailure {
@@ -713,7 +712,6 @@
     BackingOff,
     /// Its watch is open.
     Watching,
-    Watching,
 }
 
 /// Guards the drain rule at a SIGHUP, which leaves 4 s: neither an operation with the old address nor the failures there
