--- a/tests/attempt_timing.rs
+++ b/tests/attempt_timing.rs
@@ -13,10 +13,10 @@
 const GONE: Duration = Duration::from_millis(100);
 /// What an upstream is told may be more than its client has left by this much.
 const SLACK: Duration = Duration::from_millis(150);
-/// Enough to fill the buffers between a caller and a program that does not read.
+/// Enough to fill the buffers between a client and a program that does not read.
 const FLOOD: usize = 64 << 20;
 
-/// How a caller leaves.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Fin,
@@ -25,17 +25,17 @@
     HalfClose,
     /// By FIN behind further bytes that the kernel takes in.
     BehindBytes,
-    /// By FIN behind more bytes than the kernel takes in: it gets no further than the caller's own buffer.
+    /// By FIN behind more bytes than the kernel takes in: it gets no further than the client's own buffer.
     BehindFlood,
 }
 
 const DEPARTURES: [Departure; 5] =
     [Departure::Fin, Departure::Reset, Departure::HalfClose, Departure::BehindBytes, Departure::BehindFlood];
 
-/// Has a caller leave a program that may be held up; what is left of its connection has to be kept. A test that starts its
+/// Has a client leave a program that may be held up; what is left of its connection has to be kept. A test that starts its
 /// program just now may hold a copy of the socket: so it is shut down, and a reset is waited for.
-fn depart(program: &Program, caller: Client, departure: Departure) -> Option<TcpStream> {
-    let mut stream = caller.input.into_inner();
+fn depart(program: &Program, client: Client, departure: Departure) -> Option<TcpStream> {
+    let mut stream = client.input.into_inner();
     match departure {
         Departure::Fin | Departure::HalfClose => {}
         Departure::Reset => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
@@ -85,7 +85,7 @@
     });
 }
 
-/// The next request that is whole is that of a caller who has come since.
+/// The next request that is whole is that of a client who has come since.
 fn only_a_later_request_comes(program: &Program, upstream: &Upstream, case: &str) {
     assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
     let first = upstream.next_request().body;
@@ -96,74 +96,74 @@
 
 // ---- Callers that leave before an attempt ----
 
-/// Guards upstreams against work that nobody waits for: a connect is given up with its caller, also where the end of that
+/// Guards upstreams against work that nobody waits for: a connect is given up with its client, also where the end of that
 /// shows only once what is in front of it is read.
 #[test]
-fn a_caller_that_leaves_in_a_connect_gets_no_attempt() {
+fn a_client_that_leaves_in_a_connect_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
         let crowded = BlockedListener::open();
         let program = Program::start(&alone_at(crowded.address, may_cancel));
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
         crowded.wait_for_pending(1);
-        let _rest = depart(&program, caller, departure);
+        let _rest = depart(&program, client, departure);
         crowded.wait_until_none_pending();
         let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
 
-/// The same where the process, held up, finds the connection and the end of the caller in one look at its sockets.
+/// The same where the process, held up, finds the connection and the end of the client in one look at its sockets.
 #[test]
-fn a_caller_that_leaves_as_a_connection_comes_up_gets_no_attempt() {
+fn a_client_that_leaves_as_a_connection_comes_up_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
         let crowded = BlockedListener::open();
         let program = Program::start(&alone_at(crowded.address, may_cancel));
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
         crowded.wait_for_pending(1);
         program.pause();
         let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
         eventually("the connection is up", || pending_connections(upstream.address) == 0);
-        let _rest = depart(&program, caller, departure);
+        let _rest = depart(&program, client, departure);
         std::thread::sleep(2 * GONE);
         program.resume();
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
 
-/// The same for a request and its caller's end that are both found after a hold-up.
+/// The same for a request and its client's end that are both found after a hold-up.
 #[test]
-fn a_caller_that_left_before_its_request_was_read_gets_no_attempt() {
+fn a_client_that_left_before_its_request_was_read_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
         let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
         let program = Program::start(&alone_at(upstream.address, may_cancel));
         assert_eq!(program.request("post").status(), 200);
         upstream.next_request();
         program.pause();
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
-        let _rest = depart(&program, caller, departure);
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
+        let _rest = depart(&program, client, departure);
         std::thread::sleep(2 * GONE);
         program.resume();
         only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
     });
 }
 
-/// The same for a retry, where the process finds a refusal and the end of the caller in one look.
+/// The same for a retry, where the process finds a refusal and the end of the client in one look.
 #[test]
-fn a_caller_that_leaves_as_its_attempt_is_turned_away_gets_no_other() {
+fn a_client_that_leaves_as_its_attempt_is_turned_away_gets_no_other() {
     each_departure(|departure, may_cancel| {
         let case = format!("{departure:?}, may cancel: {may_cancel}");
         let upstream = ManualPeer::open();
         let program = Program::start(&alone_at(upstream.address, may_cancel));
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "first");
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "first");
         let mut line = upstream.accept();
         assert_eq!(line.read().body, b"first");
         program.pause();
         line.write(&rejected_response());
-        let _rest = depart(&program, caller, departure);
+        let _rest = depart(&program, client, departure);
         std::thread::sleep(2 * GONE);
         program.resume();
         let mut later = program.connect();
@@ -180,7 +180,7 @@
 
 /// The same while upstreams are asked for their load, which they tell late.
 #[test]
-fn a_caller_that_leaves_while_upstreams_are_asked_for_their_load_gets_no_attempt() {
+fn a_client_that_leaves_while_upstreams_are_asked_for_their_load_gets_no_attempt() {
     each_departure(|departure, may_cancel| {
         let case = format!("{departure:?}, may cancel: {may_cancel}");
         let asked = |message: &Message| {
@@ -196,9 +196,9 @@
         config["settings"]["Telemetry"] = serde_json::json!({"Fields": ["inflight"], "Via": "probe"});
         let program = Program::start(&config);
         program.pause();
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
-        let _rest = depart(&program, caller, departure);
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
+        let _rest = depart(&program, client, departure);
         std::thread::sleep(2 * GONE);
         program.resume();
         assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
@@ -232,23 +232,23 @@
     std::iter::from_fn(|| stream.write(&piece).ok()).sum()
 }
 
-/// Guards the same where a body is too long to be kept: it is whole in the kernel, and the end of its caller waits behind
+/// Guards the same where a body is too long to be kept: it is whole in the kernel, and the end of its client waits behind
 /// it, or behind more, until the body is read on. An upstream begins with its last byte.
 #[test]
-fn a_caller_that_left_behind_a_long_body_gets_no_attempt() {
+fn a_client_that_left_behind_a_long_body_gets_no_attempt() {
     let long = capacity() * 3 / 4;
     assert!(long > 200_000, "more than is kept, and read ahead: {long}");
     each_departure(|departure, may_cancel| {
         for size in [100_000, long] {
             let crowded = BlockedListener::open();
             let program = Program::start(&alone_at(crowded.address, may_cancel));
-            let mut caller = program.connect();
-            caller.send("post", LONG_BUDGET, &"b".repeat(size));
+            let mut client = program.connect();
+            client.send("post", LONG_BUDGET, &"b".repeat(size));
             crowded.wait_for_pending(1);
             program.pause();
             let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
             eventually("the connection is up", || pending_connections(upstream.address) == 0);
-            let _rest = depart(&program, caller, departure);
+            let _rest = depart(&program, client, departure);
             std::thread::sleep(2 * GONE);
             program.resume();
             let case = format!("{departure:?} behind {size} bytes, may cancel: {may_cancel}");
@@ -264,7 +264,7 @@
     Duration::from_secs_f64(message.headers["x-budget"].parse().unwrap())
 }
 
-/// Asserts that an upstream is told no more than a caller had left at some time before the request came to it.
+/// Asserts that an upstream is told no more than a client had left at some time before the request came to it.
 fn in_time(message: &Message, budget: Duration, passed: Duration, case: &str) {
     let left = (budget + SLACK).saturating_sub(passed);
     assert!(told(message) <= left, "{case}: told {:?}, {left:?} with slack", told(message));
@@ -288,17 +288,17 @@
         let program = Program::start(&config);
         let mut agent = discovery.accept();
         agent.read();
-        let mut callers = bodies.map(|body| {
-            let mut caller = program.connect();
-            caller.send("post", BUDGET_TEXT, body);
-            caller
+        let mut clients = bodies.map(|body| {
+            let mut client = program.connect();
+            client.send("post", BUDGET_TEXT, body);
+            client
         });
         let sent = Instant::now();
         std::thread::sleep(HELD);
         let left = (BUDGET + SLACK).saturating_sub(sent.elapsed());
         agent.try_write(&list_response(2, true, &in_service(&[&upstream])));
-        let told = callers.each_mut().map(|caller| {
-            assert_eq!(caller.read_response().expect("an answer").status(), 200);
+        let told = clients.each_mut().map(|client| {
+            assert_eq!(client.read_response().expect("an answer").status(), 200);
             told(&upstream.next_request())
         });
         told.iter().all(|told| *told <= left)
@@ -311,18 +311,18 @@
     const MEASURED: usize = 5;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&alone_at(upstream.address, true));
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let mut measured = 0;
     eventually_trials(|| {
-        assert_eq!(caller.request("post", LONG_BUDGET, "b").expect("an answer").status(), 200);
+        assert_eq!(client.request("post", LONG_BUDGET, "b").expect("an answer").status(), 200);
         upstream.next_request();
         program.pause();
-        caller.send("post", BUDGET_TEXT, "b");
+        client.send("post", BUDGET_TEXT, "b");
         let sent = Instant::now();
         std::thread::sleep(SLACK);
         let passed = sent.elapsed();
         program.resume();
-        assert_eq!(caller.read_response().expect("an answer").status(), 200);
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
         let request = upstream.next_request();
         // The machine may have held it up for longer, which nobody answers for.
         if passed < SLACK + Duration::from_millis(8) {
@@ -347,8 +347,8 @@
     let mut config = config(discovery.address, &[target("s-0", first.address, "in_service")]);
     config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
     let program = Program::start(&config);
-    let mut caller = program.connect();
-    caller.send("post", BUDGET_TEXT, "b");
+    let mut client = program.connect();
+    client.send("post", BUDGET_TEXT, "b");
     let mut line = first.accept();
     in_time(&line.read(), BUDGET, Duration::ZERO, "first");
     let sent = Instant::now();
@@ -360,7 +360,7 @@
     std::thread::sleep(HELD);
     let passed = sent.elapsed();
     let second = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-    assert_eq!(caller.read_response().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
     in_time(&second.next_request(), BUDGET, passed, "second");
 }
 
@@ -372,8 +372,8 @@
         let program = Program::start(&alone_at(crowded.address, true));
         let whole = request_text("post", BUDGET_TEXT, &"b".repeat(100_000));
         let (start, end) = whole.split_at(whole.len() - if is_late { 5 } else { 0 });
-        let mut caller = program.connect();
-        caller.write(start);
+        let mut client = program.connect();
+        client.write(start);
         crowded.wait_for_pending(1); // it has been read
         let sent = Instant::now();
         std::thread::sleep(HELD);
@@ -382,9 +382,9 @@
         if is_late {
             upstream_connected(&upstream);
             passed = Duration::ZERO; // its time begins now
-            caller.write(end);
+            client.write(end);
         }
-        assert_eq!(caller.read_response().expect("an answer").status(), 200);
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
         in_time(&upstream.next_request(), BUDGET, passed, &format!("last byte late: {is_late}"));
     }
 }
@@ -419,16 +419,16 @@
         });
         programs.push(Program::start(&alone_at(tier.address, true)));
     }
-    let mut caller = programs.last().unwrap().connect();
+    let mut client = programs.last().unwrap().connect();
     let sent = Instant::now();
-    assert_eq!(caller.request("post", BUDGET_TEXT, "b").expect("an answer").status(), 200);
+    assert_eq!(client.request("post", BUDGET_TEXT, "b").expect("an answer").status(), 200);
     let passed = work * (TIERS as u32 - 1);
     assert!(sent.elapsed() >= passed);
     let request = last.next_request();
     in_time(&request, BUDGET, passed + SLACK, "after all tiers, with no slack");
 }
 
-/// Guards upstreams against requests that they could only drop: the caller has its refusal at once.
+/// Guards upstreams against requests that they could only drop: the client has its refusal at once.
 #[test]
 fn a_request_with_hardly_any_time_left_is_refused_without_an_attempt() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -75,7 +75,7 @@
     assert!(served_by(&upstream).request("post").body == noise(1000));
 }
 
-/// The first bytes of a long answer are what its caller waits for; its rest may take longer than the caller's time.
+/// The first bytes of a long answer are what its client waits for; its rest may take longer than the client's time.
 #[test]
 fn a_long_answer_is_passed_on_as_it_comes_and_not_cut_by_the_deadline() {
     let (go_on, wait) = channel::<()>();
@@ -91,24 +91,24 @@
         })
     });
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let asked = Instant::now();
-    caller.send("post", "0.5", "b");
+    client.send("post", "0.5", "b");
     let mut got = vec![0; 100_000];
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
-        caller.input.read_line(&mut line).unwrap();
+        client.input.read_line(&mut line).unwrap();
     }
-    caller.input.read_exact(&mut got).unwrap();
+    client.input.read_exact(&mut got).unwrap();
     std::thread::sleep(Duration::from_millis(700).saturating_sub(asked.elapsed())); // past its time
     go_on.send(()).unwrap();
     let mut rest = vec![0; LENGTH - got.len()];
-    caller.input.read_exact(&mut rest).unwrap();
+    client.input.read_exact(&mut rest).unwrap();
     assert!([got, rest].concat() == noise(LENGTH));
 }
 
-/// Guards a caller against half an answer that passes for a whole one.
+/// Guards a client against half an answer that passes for a whole one.
 #[test]
 fn a_long_answer_that_breaks_off_is_seen_to() {
     let heads = [format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"), CHUNKED_HEAD.to_owned()];
@@ -123,17 +123,17 @@
             })
         });
         let program = served_by(&upstream);
-        let mut caller = program.connect();
-        caller.send("post", LONG_BUDGET, "b");
-        assert!(caller.read_response().is_none(), "it ends before its end");
+        let mut client = program.connect();
+        client.send("post", LONG_BUDGET, "b");
+        assert!(client.read_response().is_none(), "it ends before its end");
         upstream.next_request();
         assert_eq!(upstream.take_request_count(), 0, "what has begun is not asked for again");
     }
 }
 
-/// A caller of HTTP/1.0 gets no chunks: only a reset tells it that an answer of unknown length broke off.
+/// A client of HTTP/1.0 gets no chunks: only a reset tells it that an answer of unknown length broke off.
 #[test]
-fn a_broken_answer_without_a_length_is_reset_for_an_old_caller() {
+fn a_broken_answer_without_a_length_is_reset_for_an_old_client() {
     for whole in [true, false] {
         let upstream = Upstream::start(move |_| {
             does(move |stream| {
@@ -142,39 +142,39 @@
             })
         });
         let program = served_by(&upstream);
-        let mut caller = program.connect();
-        caller.write(&request_text("post", LONG_BUDGET, "").replace("HTTP/1.1", "HTTP/1.0"));
+        let mut client = program.connect();
+        client.write(&request_text("post", LONG_BUDGET, "").replace("HTTP/1.1", "HTTP/1.0"));
         let mut got = Vec::new();
-        let end = caller.input.read_to_end(&mut got);
+        let end = client.input.read_to_end(&mut got);
         assert_eq!(end.is_ok(), whole, "{end:?}");
         assert!(!whole || got.ends_with(&noise(LENGTH)));
     }
 }
 
-/// Guards the memory: 100 callers that do not read hold up 800 MB, and the balancer holds hardly any of it.
+/// Guards the memory: 100 clients that do not read hold up 800 MB, and the balancer holds hardly any of it.
 #[test]
-fn answers_wait_at_their_upstreams_while_callers_do_not_read() {
+fn answers_wait_at_their_upstreams_while_clients_do_not_read() {
     let upstream = Upstream::start(|_| {
         does(|stream| {
             stream.write_all(CHUNKED_HEAD.as_bytes()).unwrap();
             let text = in_chunks(&vec![7; 8 << 20], 1 << 16, "");
-            stream.write_all(&text).ok(); // to a caller that leaves
+            stream.write_all(&text).ok(); // to a client that leaves
         })
     });
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["memory_mb"] = 32.into();
     let program = Program::start(&config);
-    let mut callers: Vec<Client> = (0..100).map(|_| program.connect()).collect();
-    for caller in &mut callers {
-        caller.send("post", LONG_BUDGET, "b");
+    let mut clients: Vec<Client> = (0..100).map(|_| program.connect()).collect();
+    for client in &mut clients {
+        client.send("post", LONG_BUDGET, "b");
     }
-    for caller in &mut callers {
+    for client in &mut clients {
         let mut line = String::new();
-        caller.input.read_line(&mut line).unwrap();
+        client.input.read_line(&mut line).unwrap();
         assert!(line.contains("200"), "{line}");
     }
     assert!(program.resident_kib() < 24 << 10, "{} KiB", program.resident_kib());
-    let last = callers.pop().unwrap().input;
+    let last = clients.pop().unwrap().input;
     let mut counted = 0;
     for byte in last.bytes().map_while(Result::ok).take(2 << 20) {
         counted += usize::from(byte == 7);
@@ -198,13 +198,13 @@
         (chunked, in_chunks(&body, 100_000, "X-Sum: 1\r\n")),
     ];
     for (headers, text) in forms {
-        let mut caller = program.connect();
-        caller.write(&head("post", headers));
-        let mut output = caller.input.get_ref().try_clone().unwrap();
+        let mut client = program.connect();
+        client.write(&head("post", headers));
+        let mut output = client.input.get_ref().try_clone().unwrap();
         text.chunks(777).for_each(|piece| output.write_all(piece).unwrap());
-        let answer = caller.read_response().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"true"[..]), "{headers}");
-        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("the next answer").status(), 200);
+        assert_eq!(client.request("look", LONG_BUDGET, "").expect("the next answer").status(), 200);
     }
 }
 
@@ -214,17 +214,17 @@
     let upstream =
         Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     // It comes for twice its time, and that is long enough for an answer from a machine with all cores busy.
     let text = request_text("post", "2", "").replace("Length: 0", &format!("Length: {LENGTH}"));
     let body = noise(LENGTH);
-    caller.write(&text);
-    let mut output = caller.input.get_ref().try_clone().unwrap();
+    client.write(&text);
+    let mut output = client.input.get_ref().try_clone().unwrap();
     for piece in body.chunks(LENGTH / 10) {
         std::thread::sleep(Duration::from_millis(400));
         output.write_all(piece).unwrap();
     }
-    let answer = caller.read_response().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.body), (200, LENGTH.to_string().into_bytes()));
 }
 
@@ -236,31 +236,31 @@
         [target("s-0", breaking.address, "in_service"), target("s-1", breaking.address, "in_service")];
     let program = Program::start(&config(refusing_address(), &targets));
     let body = noise(4 << 20);
-    let mut caller = program.connect();
-    caller.write(&head("pay", &format!("Content-Length: {}\r\n", body.len())));
-    let mut output = caller.input.get_ref().try_clone().unwrap();
+    let mut client = program.connect();
+    client.write(&head("pay", &format!("Content-Length: {}\r\n", body.len())));
+    let mut output = client.input.get_ref().try_clone().unwrap();
     let writing = std::thread::spawn(move || output.write_all(&body).is_ok());
-    let answer = caller.read_response().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert!([502, 503].contains(&answer.status()), "{}", answer.status());
     assert_eq!(breaking.connections.lock().unwrap().len(), 1, "one attempt");
-    drop(caller);
+    drop(client);
     writing.join().unwrap();
 }
 
-/// Guards a caller whose request nobody takes any further: no time of its own runs yet.
+/// Guards a client whose request nobody takes any further: no time of its own runs yet.
 #[test]
 fn an_upstream_that_stops_reading_a_long_request_is_given_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let targets = [target("s-0", listener.local_addr().unwrap(), "in_service")];
     let program = Program::start(&config(refusing_address(), &targets));
-    let body = noise(30 << 20); // made before the connection is, on which its caller is cut if it says nothing
-    let mut caller = program.connect();
-    caller.write(&head("post", &format!("Content-Length: {}\r\n", body.len())));
-    let mut output = caller.input.get_ref().try_clone().unwrap();
+    let body = noise(30 << 20); // made before the connection is, on which its client is cut if it says nothing
+    let mut client = program.connect();
+    client.write(&head("post", &format!("Content-Length: {}\r\n", body.len())));
+    let mut output = client.input.get_ref().try_clone().unwrap();
     let writing = std::thread::spawn(move || output.write_all(&body).is_ok());
     let _unread = listener.accept().unwrap();
-    assert_eq!(caller.read_response().expect("an answer").status(), 502);
-    drop(caller);
+    assert_eq!(client.read_response().expect("an answer").status(), 502);
+    drop(client);
     assert!(!writing.join().unwrap(), "the rest was not taken");
 }
 
@@ -286,19 +286,19 @@
 }
 
 #[test]
-fn a_caller_that_expects_a_go_ahead_gets_it() {
+fn a_client_that_expects_a_go_ahead_gets_it() {
     let upstream =
         Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
     for length in [5, LENGTH] {
-        let mut caller = program.connect();
-        caller.write(&head("post", &format!("Expect: 100-continue\r\nContent-Length: {length}\r\n")));
+        let mut client = program.connect();
+        client.write(&head("post", &format!("Expect: 100-continue\r\nContent-Length: {length}\r\n")));
         let mut line = String::new();
-        caller.input.read_line(&mut line).unwrap();
+        client.input.read_line(&mut line).unwrap();
         assert!(line.starts_with("HTTP/1.1 100"), "{line}");
-        caller.input.read_line(&mut line).unwrap();
-        caller.input.get_mut().write_all(&noise(length)).unwrap();
-        let answer = caller.read_response().expect("an answer");
+        client.input.read_line(&mut line).unwrap();
+        client.input.get_mut().write_all(&noise(length)).unwrap();
+        let answer = client.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, length.to_string().into_bytes()));
     }
 }
@@ -313,30 +313,30 @@
             UpstreamAction::Respond(text + &"a".repeat(kept))
         });
         let program = served_by(&upstream);
-        let mut caller = program.connect();
-        caller.write(&request_text("look", LONG_BUDGET, "").replace("GET", "HEAD"));
+        let mut client = program.connect();
+        client.write(&request_text("look", LONG_BUDGET, "").replace("GET", "HEAD"));
         let mut lines = Vec::new();
         while lines.last().is_none_or(|line| line != "\r\n") {
             let mut line = String::new();
-            assert!(caller.input.read_line(&mut line).unwrap() > 0, "{lines:?}");
+            assert!(client.input.read_line(&mut line).unwrap() > 0, "{lines:?}");
             lines.push(line);
         }
         assert!(lines[0].contains("200"), "{lines:?}");
         let told = format!("content-length: {length}\r\n");
         assert!(lines.iter().any(|line| line.to_lowercase() == told), "{lines:?}");
-        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("the next answer").body.len(), length);
+        assert_eq!(client.request("look", LONG_BUDGET, "").expect("the next answer").body.len(), length);
     }
 }
 
-/// A caller may take 2 s over a head, and be slow over a small body then.
+/// A client may take 2 s over a head, and be slow over a small body then.
 #[test]
 fn a_slow_head_and_a_slow_body_are_waited_for() {
     let upstream =
         Upstream::start(|message| UpstreamAction::Respond(ok_response(&message.body.len().to_string())));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let text = head("post", "Content-Length: 60000\r\n");
-    let mut output = caller.input.get_ref().try_clone().unwrap();
+    let mut output = client.input.get_ref().try_clone().unwrap();
     for piece in text.as_bytes().chunks(text.len().div_ceil(8)) {
         std::thread::sleep(Duration::from_millis(250));
         output.write_all(piece).unwrap();
@@ -345,20 +345,20 @@
         std::thread::sleep(Duration::from_millis(90));
         output.write_all(piece).unwrap();
     }
-    let answer = caller.read_response().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.body), (200, b"60000".to_vec()));
 }
 
-/// Guards a caller that is slow over its head against a crowd that connects, and never brings a call.
+/// Guards a client that is slow over its head against a crowd that connects, and never brings a call.
 #[test]
 fn a_slow_head_is_served_in_a_crowd() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 128.into(); // room for 54 callers, half of it for those without a whole request
+    config["limits"]["sockets"] = 128.into(); // room for 54 clients, half of it for those without a whole request
     let program = Program::start(&config);
     let mut resting: Vec<Client> = (0..24).map(|_| program.connect()).collect();
-    for caller in &mut resting {
-        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("served").status(), 200);
+    for client in &mut resting {
+        assert_eq!(client.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
     let mut slow = program.connect();
     let text = request_text("look", LONG_BUDGET, "");
@@ -374,6 +374,6 @@
         std::thread::sleep(Duration::from_millis(50)); // as slow as it takes for the pieces to come apart
     }
     assert_eq!(slow.read_response().expect("an answer").status(), 200);
-    let served = resting.iter_mut().filter_map(|caller| caller.request("look", LONG_BUDGET, "")).count();
+    let served = resting.iter_mut().filter_map(|client| client.request("look", LONG_BUDGET, "")).count();
     assert_eq!(served, 24, "the crowd stays within its part of the room");
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! Wherever a connection to a client is closed, a request that was read has its answer, and the close resets nothing
-//! that the client has yet to read.
+//! Wherever a client connection is closed, a request that was read gets its response, and the close resets no data that
+//! the client has yet to read.
 
 #[path = "../src/proxy/panic.rs"]
 mod panic;
@@ -14,29 +14,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A client that sends no whole request is owed an error or a close within this, from its connecting on.
-const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
-/// Connections of clients that the smallest configuration holds.
-const PLACES: usize = 32;
-/// On a machine too busy to act in time, a try tells nothing.
-const TRIES: u32 = 20;
-/// More than the program reads of a request that it refuses by its head.
+/// A client that sends no complete request gets an error or a close within this time of connecting.
+const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Client connections allowed by the smallest configuration.
+const MAX_CLIENTS: usize = 32;
+/// Repetitions of a timed check; one on a machine too busy to act in time proves nothing.
+const MAX_TRIES: u32 = 20;
+/// More than the program reads of a request that it refuses after its head.
 const LONG_BODY: usize = 60 << 10;
 
-fn serving(upstream: &Upstream) -> serde_json::Value {
+/// A configuration with this upstream alone.
+fn config_with_upstream(upstream: &Upstream) -> serde_json::Value {
     config(refusing_address(), &in_service(&[upstream]))
 }
 
-/// As few descriptors as may be configured.
-fn small(upstream: &Upstream) -> serde_json::Value {
-    let mut config = serving(upstream);
+/// The smallest descriptor limit that may be configured.
+fn config_with_few_sockets(upstream: &Upstream) -> serde_json::Value {
+    let mut config = config_with_upstream(upstream);
     config["limits"]["sockets"] = 96.into();
     config
 }
 
 /// Connections are closed 0.7 s after the signal to stop.
-fn short_lived(upstream: &Upstream) -> serde_json::Value {
-    let mut config = serving(upstream);
+fn config_with_short_deadlines(upstream: &Upstream) -> serde_json::Value {
+    let mut config = config_with_upstream(upstream);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["AimNs"] = 300_000_000_u64.into();
         class["DeadlineNs"] = 400_000_000_u64.into();
@@ -45,83 +46,93 @@
     config
 }
 
-/// Connections are closed 3.1 s after the signal to stop: time enough to stop the program before, on a busy machine too.
-fn long_served(upstream: &Upstream) -> serde_json::Value {
-    let mut config = short_lived(upstream);
+/// Connections are closed 3.1 s after the signal to stop, which leaves time to pause the program before on a busy machine.
+fn config_with_long_deadlines(upstream: &Upstream) -> serde_json::Value {
+    let mut config = config_with_short_deadlines(upstream);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["DeadlineNs"] = 3_000_000_000_u64.into();
     }
     config
 }
 
-/// Beyond what is still served then.
-const SERVED_NO_MORE: Duration = Duration::from_millis(3500);
+/// Longer than connections are served after the signal to stop with `config_with_long_deadlines`.
+const PAST_LAST_SERVED: Duration = Duration::from_millis(3500);
 
-/// Has a client's connection rest between requests. One may be refused on a busy machine.
-fn warm_up(client: &mut Client) {
+/// Serves a request on a connection and leaves it idle. Some requests may be refused on a busy machine.
+fn make_idle(client: &mut Client) {
     let served =
-        (0..TRIES).any(|_| client.request("look", LONG_BUDGET, "").expect("an answer").status() == 200);
-    assert!(served, "no call was served");
+        (0..MAX_TRIES).any(|_| client.request("look", LONG_BUDGET, "").expect("no response").status() == 200);
+    assert!(served, "no request was served");
 }
 
 /// How the program ends a connection.
 #[derive(Debug, PartialEq, Eq)]
-enum End {
+enum ConnectionEnd {
+    /// An orderly close.
     Fin,
+    /// A reset.
     Reset,
+    /// Not at all: it sent more bytes.
     MoreBytes,
 }
 
-fn end(client: &mut Client) -> End {
+/// Waits for the end of the connection or further bytes.
+fn read_end(client: &mut Client) -> ConnectionEnd {
     match client.input.read(&mut [0]) {
-        Ok(0) => End::Fin,
-        Ok(_) => End::MoreBytes,
-        Err(error) if error.kind() == ErrorKind::ConnectionReset => End::Reset,
-        Err(error) => panic!("neither an end nor a byte: {error}"),
+        Ok(0) => ConnectionEnd::Fin,
+        Ok(_) => ConnectionEnd::MoreBytes,
+        Err(error) if error.kind() == ErrorKind::ConnectionReset => ConnectionEnd::Reset,
+        Err(error) => panic!("expected the end of the connection or more bytes: {error}"),
     }
 }
 
-/// Asserts that this answer comes, that it says to be the last, and that the connection then ends in order.
-fn assert_last_answer(client: &mut Client, statuses: &[u16], case: &str) {
-    let answer = client.read_response().unwrap_or_else(|| panic!("{case}: no answer"));
-    let connection = answer.headers.get("connection").map(String::as_str);
-    assert!(statuses.contains(&answer.status()), "{case}: {}", answer.status());
+/// Asserts that the next response has `Connection: close` and that the connection then ends by FIN.
+fn assert_last_response(client: &mut Client, statuses: &[u16], case: &str) {
+    let response = client.read_response().unwrap_or_else(|| panic!("{case}: no response"));
+    let connection = response.headers.get("connection").map(String::as_str);
+    assert!(statuses.contains(&response.status()), "{case}: {}", response.status());
     assert_eq!(connection, Some("close"), "{case}");
-    assert_eq!(end(client), End::Fin, "{case}");
+    assert_eq!(read_end(client), ConnectionEnd::Fin, "{case}");
 }
 
-// ---- Answers that come before the request is read to its end ----
+// ---- Responses that precede the end of their request ----
 
-/// Within this, the rest of a request comes while its connection lingers.
-const IN_TIME: Duration = Duration::from_millis(400);
+/// A closed connection still reads and discards the rest of a request for this long.
+const LINGER_TIME: Duration = Duration::from_millis(400);
 
-/// Sends a request that is refused by its head, and the last part of it behind the answer. Whether that came early enough
-/// to judge by.
-fn is_answered_in_order(program: &Program, status: u16, soon: &str, later: &str, case: &str) -> bool {
+/// Sends a request that is refused after its head, and its last part behind the response. Returns whether the last part
+/// was sent early enough for the check to count.
+fn responds_without_reset(
+    program: &Program,
+    status: u16,
+    first_part: &str,
+    last_part: &str,
+    case: &str,
+) -> bool {
     let mut client = program.connect();
     program.pause();
-    client.write(soon);
-    let begun = Instant::now();
+    client.write(first_part);
+    let started = Instant::now();
     program.resume();
-    let answer = client.read_response().unwrap_or_else(|| panic!("{case}: no answer"));
-    assert_eq!(answer.status(), status, "{case}");
-    // A reset would come right behind the end of the connection.
-    std::thread::sleep(IN_TIME / 20);
-    let written = client.input.get_mut().write_all(later.as_bytes());
-    let in_time = begun.elapsed() < IN_TIME;
+    let response = client.read_response().unwrap_or_else(|| panic!("{case}: no response"));
+    assert_eq!(response.status(), status, "{case}");
+    // A reset would follow the end of the connection at once.
+    std::thread::sleep(LINGER_TIME / 20);
+    let written = client.input.get_mut().write_all(last_part.as_bytes());
+    let in_time = started.elapsed() < LINGER_TIME;
     if in_time {
         written.unwrap_or_else(|error| panic!("{case}: {error}"));
-        assert_eq!(end(&mut client), End::Fin, "{case}");
+        assert_eq!(read_end(&mut client), ConnectionEnd::Fin, "{case}");
     }
     in_time
 }
 
-/// Crossing: the answer is written and the connection closed while the rest of the request lies unread in the kernel, or
-/// comes a moment later.
+/// Race: the response is written and the connection closed while the rest of the request lies unread in the kernel or
+/// arrives a moment later.
 #[test]
-fn an_answer_to_a_request_half_read_is_not_reset() {
+fn the_response_to_a_request_half_read_is_not_reset() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&serving(&upstream));
+    let program = Program::start(&config_with_upstream(&upstream));
     let body = "b".repeat(LONG_BODY);
     let good = request_text("post", LONG_BUDGET, &body);
     let length = format!("Content-Length: {LONG_BODY}");
@@ -132,19 +143,20 @@
         (413, good.replace(&length, "Content-Length: 100000000")),
     ];
     for (status, request) in cases {
-        for late in [0, LONG_BODY / 2] {
-            let case = format!("{status}, {late} bytes come late");
-            let (soon, later) = request.split_at(request.len() - late);
-            let judged = (0..TRIES).any(|_| is_answered_in_order(&program, status, soon, later, &case));
-            assert!(judged, "{case}: no try was fast enough");
+        for late_bytes in [0, LONG_BODY / 2] {
+            let case = format!("{status}, the last {late_bytes} bytes come late");
+            let (first_part, last_part) = request.split_at(request.len() - late_bytes);
+            let was_fast_enough = (0..MAX_TRIES)
+                .any(|_| responds_without_reset(&program, status, first_part, last_part, &case));
+            assert!(was_fast_enough, "{case}: no try was fast enough");
         }
     }
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Fills all places with requests that their upstream holds; the clients.
-fn fill_with_calls(program: &Program, upstream: &Upstream) -> Vec<Client> {
-    (0..PLACES)
+/// Occupies all client connections with requests that the upstream does not answer; returns the clients.
+fn occupy_all_connections(program: &Program, upstream: &Upstream) -> Vec<Client> {
+    (0..MAX_CLIENTS)
         .map(|_| {
             let mut client = program.connect();
             client.send("post", LONG_BUDGET, "b");
@@ -154,27 +166,28 @@
         .collect()
 }
 
-/// Crossing: a surplus client is refused by the head of its request while its body lies unread in the kernel.
+/// Race: a client beyond the limit is refused after the head of its request while the body lies unread in the kernel.
 #[test]
 fn the_refusal_of_a_surplus_client_is_not_reset() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&small(&upstream));
-    let _busy = fill_with_calls(&program, &upstream);
+    let program = Program::start(&config_with_few_sockets(&upstream));
+    let _busy = occupy_all_connections(&program, &upstream);
     let request = request_text("post", LONG_BUDGET, &"b".repeat(LONG_BODY));
-    for late in [0, LONG_BODY / 2] {
-        let (soon, later) = request.split_at(request.len() - late);
-        let judged = (0..TRIES).any(|_| is_answered_in_order(&program, 503, soon, later, "surplus"));
-        assert!(judged, "no try was fast enough");
+    for late_bytes in [0, LONG_BODY / 2] {
+        let (first_part, last_part) = request.split_at(request.len() - late_bytes);
+        let was_fast_enough =
+            (0..MAX_TRIES).any(|_| responds_without_reset(&program, 503, first_part, last_part, "surplus"));
+        assert!(was_fast_enough, "no try was fast enough");
     }
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Crossing: a surplus client's next request is read behind the one that is refused.
+/// Race: a client beyond the limit has sent another request behind the one that is refused.
 #[test]
-fn a_request_read_behind_a_refused_one_has_its_answer() {
+fn a_request_read_behind_a_refused_one_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&small(&upstream));
-    let _busy = fill_with_calls(&program, &upstream);
+    let program = Program::start(&config_with_few_sockets(&upstream));
+    let _busy = occupy_all_connections(&program, &upstream);
     let mut client = program.connect();
     client.write(&format!(
         "{}{}",
@@ -182,274 +195,276 @@
         request_text("look", LONG_BUDGET, "")
     ));
     assert_eq!(client.read_response().expect("the first refusal").status(), 503);
-    assert_last_answer(&mut client, &[503], "the second refusal");
+    assert_last_response(&mut client, &[503], "the second refusal");
 }
 
-// ---- Overdue ----
+// ---- Clients that time out ----
 
-/// Crossing: a client stops within a request and stays.
+/// Race: a client stops within a request and keeps its connection open.
 #[test]
 fn a_client_that_stops_within_a_request_has_its_error_in_time() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&serving(&upstream));
+    let program = Program::start(&config_with_upstream(&upstream));
     let short = request_text("pay", LONG_BUDGET, "body");
     let long = request_text("post", LONG_BUDGET, &"b".repeat(100_000));
     let chunked =
         request_text("post", LONG_BUDGET, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    let parts = [
+    let partial_requests = [
         ("one byte", &short[..1]),
         ("half a head", &short[..60]),
         ("half a body", &short[..short.len() - 2]),
-        ("most of a long body", &long[..long.len() - 9]),
+        ("all but the end of a long body", &long[..long.len() - 9]),
         ("no chunk", &chunked[..]),
     ];
-    // A machine too busy to wake anybody in time may spoil a try, but not each.
-    let in_time = (0..TRIES).any(|_| {
+    // A busy machine may delay a response beyond the limit in one try, but not in every one.
+    let in_time = (0..MAX_TRIES).any(|_| {
         std::thread::scope(|scope| {
-            let clients = parts.map(|(case, part)| {
+            let clients = partial_requests.map(|(case, part)| {
                 let mut client = program.connect();
                 let connected = Instant::now();
                 client.write(part);
                 scope.spawn(move || {
-                    assert_last_answer(&mut client, &[408], case);
-                    connected.elapsed() < BAD_CLIENT_LIMIT
+                    assert_last_response(&mut client, &[408], case);
+                    connected.elapsed() < INCOMPLETE_REQUEST_TIMEOUT
                 })
             });
-            // Each is waited for, whatever the others took.
-            clients.map(|client| client.join().expect("an answer")).iter().all(|in_time| *in_time)
+            // Join all clients, whether or not the first ones were in time.
+            clients.map(|client| client.join().expect("no response")).iter().all(|in_time| *in_time)
         })
     });
     assert!(in_time, "some client waited for too long in each try");
 }
 
-/// Crossing: the last bytes of a request come around the moment in which its client is overdue.
+/// Race: the last bytes of a request arrive at about the moment when its client times out.
 #[test]
-fn a_request_that_comes_whole_as_its_client_is_overdue_has_an_answer() {
+fn a_request_completed_as_its_client_times_out_gets_a_response() {
     const CLIENTS: u32 = 100;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&serving(&upstream));
+    let program = Program::start(&config_with_upstream(&upstream));
     let whole = request_text("look", LONG_BUDGET, "");
-    let (soon, last) = whole.split_at(whole.len() - 2);
+    let (first_part, last) = whole.split_at(whole.len() - 2);
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let mut client = program.connect();
-            // All are overdue between 2.5 and 2.6 s after they have come.
-            let completes =
+            // All clients time out between 2.5 and 2.6 s after they connected.
+            let completes_at =
                 Instant::now() + Duration::from_millis(2480) + number * Duration::from_micros(1400);
-            client.write(&soon.replace("9b1f03aa", &format!("{number:08x}")));
+            client.write(&first_part.replace("9b1f03aa", &format!("{number:08x}")));
             scope.spawn(move || {
-                std::thread::sleep(completes.saturating_duration_since(Instant::now()));
-                client.input.get_mut().write_all(last.as_bytes()).ok(); // it may be answered already
-                let status = client.read_response().expect("a final answer").status();
+                std::thread::sleep(completes_at.saturating_duration_since(Instant::now()));
+                client.input.get_mut().write_all(last.as_bytes()).ok(); // the response may have been sent already
+                let status = client.read_response().expect("no final response").status();
                 assert!([200, 408, 503].contains(&status), "{status}");
-                // A client that a busy machine lets write later than the connection lingers has a reset behind it.
-                assert!(status != 408 || end(&mut client) != End::MoreBytes);
+                // On a busy machine a client may write after the connection has stopped lingering: that is a reset.
+                assert!(status != 408 || read_end(&mut client) != ConnectionEnd::MoreBytes);
             });
         }
     });
 }
 
-// ---- Places that are needed for others ----
+// ---- Connections closed to make room for other clients ----
 
-/// Crossing: a connection on which a request has begun is closed for a new one.
+/// Race: a connection on which a request has begun is closed to make room for a new one.
 #[test]
-fn a_request_begun_on_a_connection_whose_place_is_needed_is_refused() {
+fn a_request_begun_on_a_connection_closed_for_another_client_is_refused() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&small(&upstream));
+    let program = Program::start(&config_with_few_sockets(&upstream));
     let whole = request_text("look", LONG_BUDGET, "");
-    let mut begun: Vec<Client> = (0..PLACES).map(|_| program.connect()).collect();
-    for client in &mut begun {
+    let mut partial_clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| program.connect()).collect();
+    for client in &mut partial_clients {
         client.write(&whole[..30]);
     }
     assert_eq!(program.request("look").status(), 200);
-    // One of them is refused; the others are owed an error for their half requests.
-    let statuses: Vec<u16> =
-        begun.iter_mut().map(|client| client.read_response().expect("an answer").status()).collect();
+    // One of them is refused; the others get an error for their incomplete requests.
+    let statuses: Vec<u16> = partial_clients
+        .iter_mut()
+        .map(|client| client.read_response().expect("no response").status())
+        .collect();
     assert!(statuses.iter().all(|status| [408, 503].contains(status)), "{statuses:?}");
     assert!(statuses.contains(&503), "{statuses:?}");
-    assert!(begun.iter_mut().all(|client| end(client) == End::Fin));
+    assert!(partial_clients.iter_mut().all(|client| read_end(client) == ConnectionEnd::Fin));
 }
 
-/// Crossing: a client begins to write on a resting connection in the moment in which that is closed for a new one.
+/// Race: a client begins to write on an idle connection at the moment when that is closed to make room for a new one.
 #[test]
-fn a_request_begun_on_a_resting_connection_that_is_closed_has_an_answer() {
+fn a_request_begun_on_an_idle_connection_that_is_closed_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&small(&upstream));
-    let mut resting: Vec<Client> = (0..PLACES).map(|_| program.connect()).collect();
-    for client in &mut resting {
+    let program = Program::start(&config_with_few_sockets(&upstream));
+    let mut idle_clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| program.connect()).collect();
+    for client in &mut idle_clients {
         assert_eq!(client.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
     program.pause();
-    let requests: Vec<String> = (0..PLACES).map(|_| request_text("look", LONG_BUDGET, "")).collect();
-    for (client, request) in resting.iter_mut().zip(&requests) {
+    let requests: Vec<String> = (0..MAX_CLIENTS).map(|_| request_text("look", LONG_BUDGET, "")).collect();
+    for (client, request) in idle_clients.iter_mut().zip(&requests) {
         client.write(&request[..30]);
     }
     let mut new: Vec<Client> = (0..8).map(|_| program.connect()).collect();
     new.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
     program.resume();
     for client in &mut new {
-        assert!([200, 503].contains(&client.read_response().expect("an answer").status()));
+        assert!([200, 503].contains(&client.read_response().expect("no response").status()));
     }
-    for (client, request) in resting.iter_mut().zip(&requests) {
-        client.input.get_mut().write_all(&request.as_bytes()[30..]).ok(); // it may be answered already
-        let answer = client.read_response().expect("a final answer");
-        assert!([200, 503].contains(&answer.status()));
+    for (client, request) in idle_clients.iter_mut().zip(&requests) {
+        client.input.get_mut().write_all(&request.as_bytes()[30..]).ok(); // the response may have been sent already
+        let response = client.read_response().expect("no final response");
+        assert!([200, 503].contains(&response.status()));
     }
 }
 
-// ---- A signal to stop ----
+// ---- The signal to stop ----
 
-/// Crossing: the second of two requests is read while the answer to the first, that did not say to be the last, is still
-/// passed on when connections are closed.
+/// Race: when connections are closed, the response to the first of two requests is still being forwarded, without having
+/// said `Connection: close`, and the second request has been read.
 #[test]
-fn a_request_read_behind_an_answer_that_goes_on_has_its_answer() {
+fn a_request_read_behind_a_response_that_goes_on_gets_a_response() {
     const LENGTH: usize = 200_000;
-    let (go_on, held) = channel::<()>();
-    let held = Arc::new(Mutex::new(held));
+    let (release, released) = channel::<()>();
+    let released = Arc::new(Mutex::new(released));
     let upstream = Upstream::start(move |message| match message.first_line.starts_with("POST") {
         false => UpstreamAction::Respond(ok_response("")),
         true => {
-            let held = held.clone();
+            let released = released.clone();
             UpstreamAction::Run(Arc::new(move |stream| {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
                 stream.write_all(head.as_bytes()).unwrap();
                 stream.write_all(&[b'a'; LENGTH / 2]).unwrap();
-                held.lock().unwrap().recv().ok();
+                released.lock().unwrap().recv().ok();
                 stream.write_all(&[b'a'; LENGTH / 2]).unwrap();
             }))
         }
     });
-    let program = Program::start(&short_lived(&upstream));
+    let program = Program::start(&config_with_short_deadlines(&upstream));
     let mut idle = program.connect();
-    warm_up(&mut idle);
+    make_idle(&mut idle);
     let mut client = program.connect();
     client.send("post", LONG_BUDGET, "b");
-    client.input.get_mut().peek(&mut [0]).expect("the answer begins");
+    client.input.get_mut().peek(&mut [0]).expect("the response does not begin");
     client.send("look", LONG_BUDGET, "");
     program.terminate();
-    assert_eq!(end(&mut idle), End::Fin, "connections are closed between requests");
-    std::thread::sleep(Duration::from_millis(300)); // also those that go on are told of it
-    go_on.send(()).unwrap();
-    let first = client.read_response().expect("the first answer");
+    assert_eq!(read_end(&mut idle), ConnectionEnd::Fin, "idle connections are closed");
+    std::thread::sleep(Duration::from_millis(300)); // the busy connection is notified as well by then
+    release.send(()).unwrap();
+    let first = client.read_response().expect("no response to the first request");
     assert_eq!((first.status(), first.body.len()), (200, LENGTH));
-    assert_last_answer(&mut client, &[200, 503], "the second");
+    assert_last_response(&mut client, &[200, 503], "the second response");
     assert!(program.wait_for_exit().0.success());
 }
 
-/// Crossing: a request is still open when the process ends.
+/// Race: a request is still in flight when the process ends.
 #[test]
-fn a_request_that_is_open_when_the_process_ends_has_its_answer() {
+fn a_request_that_is_open_when_the_process_ends_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&short_lived(&upstream));
+    let program = Program::start(&config_with_short_deadlines(&upstream));
     let mut client = program.connect();
     client.send("post", LONG_BUDGET, "b");
     upstream.next_request();
     program.terminate();
-    let answer = client.read_response().expect("a final answer");
-    assert_eq!(answer.status(), 502);
-    assert_eq!(end(&mut client), End::Fin);
+    let response = client.read_response().expect("no final response");
+    assert_eq!(response.status(), 502);
+    assert_eq!(read_end(&mut client), ConnectionEnd::Fin);
     assert!(program.wait_for_exit().0.success());
 }
 
-/// Crossing: a request lies in the kernel as a whole, or in part, when its resting connection is closed at the end.
+/// Race: a complete or partial request lies unread in the kernel when its idle connection is closed at the end.
 #[test]
-fn a_request_in_the_kernel_as_connections_are_closed_has_its_answer() {
+fn a_request_in_the_kernel_as_connections_are_closed_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&long_served(&upstream));
-    let mut resting: Vec<Client> = (0..20).map(|_| program.connect()).collect();
-    for client in &mut resting {
-        warm_up(client);
+    let program = Program::start(&config_with_long_deadlines(&upstream));
+    let mut idle_clients: Vec<Client> = (0..20).map(|_| program.connect()).collect();
+    for client in &mut idle_clients {
+        make_idle(client);
     }
     program.terminate();
     program.wait_until_signals_delivered();
     program.pause();
     let requests: Vec<String> = (0..20).map(|_| request_text("look", LONG_BUDGET, "")).collect();
-    for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
+    for (number, (client, request)) in idle_clients.iter_mut().zip(&requests).enumerate() {
         client.write(&request[..if number % 2 == 0 { request.len() } else { 30 }]);
     }
-    std::thread::sleep(SERVED_NO_MORE);
+    std::thread::sleep(PAST_LAST_SERVED);
     program.resume();
-    for (number, (client, request)) in resting.iter_mut().zip(&requests).enumerate() {
+    for (number, (client, request)) in idle_clients.iter_mut().zip(&requests).enumerate() {
         if number % 2 == 1 {
             client.write(&request[30..]);
         }
-        let answer = client.read_response().expect("a final answer");
-        assert!([200, 503].contains(&answer.status()));
-        assert_eq!(end(client), End::Fin);
+        let response = client.read_response().expect("no final response");
+        assert!([200, 503].contains(&response.status()));
+        assert_eq!(read_end(client), ConnectionEnd::Fin);
     }
     assert!(program.wait_for_exit().0.success());
 }
 
 // ---- System calls that fail ----
 
-/// Crossing: `accept` fails for a moment while the backlog is taken at the end.
+/// Race: `accept` fails temporarily while the backlog is accepted at the end.
 #[test]
-fn a_backlog_at_the_end_is_answered_where_connections_fail() {
+fn a_backlog_at_the_end_is_answered_where_accept_fails() {
     std::thread::scope(|scope| {
         for error in ["ECONNABORTED", "EMFILE"] {
-            scope.spawn(move || takes_backlog_where_accept_fails(error));
+            scope.spawn(move || check_backlog_with_failing_accept(error));
         }
     });
 }
 
-fn takes_backlog_where_accept_fails(error: &str) {
-    const WAITING: usize = 50;
+fn check_backlog_with_failing_accept(error: &str) {
+    const WAITING_CLIENTS: usize = 50;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let faults = Faults::new(format!("accept:{error}:share=0.5:seed=3"));
-    let program = Program::start_with(&long_served(&upstream), &faults.environment());
+    let program = Program::start_with(&config_with_long_deadlines(&upstream), &faults.environment());
     program.terminate();
     program.wait_until_signals_delivered();
     program.pause();
-    let mut waiting: Vec<Client> = (0..WAITING).map(|_| program.connect()).collect();
-    waiting.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
-    std::thread::sleep(SERVED_NO_MORE);
+    let mut waiting_clients: Vec<Client> = (0..WAITING_CLIENTS).map(|_| program.connect()).collect();
+    waiting_clients.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
+    std::thread::sleep(PAST_LAST_SERVED);
     program.resume();
-    for client in &mut waiting {
-        let answer = client.read_response().unwrap_or_else(|| panic!("{error}: no answer"));
-        assert!([200, 503].contains(&answer.status()), "{error}");
+    for client in &mut waiting_clients {
+        let response = client.read_response().unwrap_or_else(|| panic!("{error}: no response"));
+        assert!([200, 503].contains(&response.status()), "{error}");
     }
     assert!(program.wait_for_exit().0.success());
-    assert!(faults.injected_count("accept", error) > WAITING / 4, "{error} was hardly injected");
+    assert!(faults.injected_count("accept", error) > WAITING_CLIENTS / 4, "{error} was hardly injected");
 }
 
-/// Crossing: an option of a connection just taken cannot be set.
+/// Race: a socket option of an accepted connection cannot be set.
 #[test]
 fn a_connection_whose_options_cannot_be_set_is_served() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response(&"a".repeat(LONG_BODY))));
-    // The first call is for the listener, the second for the client.
+    // The first setsockopt call is for the listener, the second for the client.
     let faults = Faults::new("setsockopt:EINVAL:on=inet:from=2:count=1");
-    let program = Program::start_with(&serving(&upstream), &faults.environment());
+    let program = Program::start_with(&config_with_upstream(&upstream), &faults.environment());
     let mut client = program.connect();
     for _ in 0..3 {
-        let answer = client.request("look", LONG_BUDGET, "").expect("an answer");
-        assert_eq!((answer.status(), answer.body.len()), (200, LONG_BODY));
+        let response = client.request("look", LONG_BUDGET, "").expect("no response");
+        assert_eq!((response.status(), response.body.len()), (200, LONG_BODY));
     }
     assert_eq!(faults.injected_count("setsockopt", "EINVAL"), 1);
 }
 
-/// Crossing: the answer to a client that is overdue is written in pieces.
+/// Race: the response to a client that timed out is written in pieces.
 #[test]
-fn an_answer_at_the_close_is_written_whole() {
+fn a_response_at_the_close_is_written_whole() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let faults = Faults::new("write:short=1:on=inet");
-    let program = Program::start_with(&serving(&upstream), &faults.environment());
+    let program = Program::start_with(&config_with_upstream(&upstream), &faults.environment());
     let mut client = program.connect();
     client.write("GET /look");
-    assert_last_answer(&mut client, &[408], "written in pieces");
+    assert_last_response(&mut client, &[408], "written in pieces");
 }
 
-// ---- Clients that end their sending, and panics ----
+// ---- Clients that shut their sending side down, and panics ----
 
-/// A client that ends its sending behind its request counts as gone, and its connection ends.
+/// A client that shuts its sending side down behind its request counts as disconnected, and its connection is closed.
 #[test]
-fn a_client_that_ends_its_sending_is_gone() {
+fn a_client_that_shuts_its_sending_side_down_counts_as_disconnected() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&serving(&upstream));
+    let program = Program::start(&config_with_upstream(&upstream));
     let mut client = program.connect();
     client.send("post", LONG_BUDGET, "b");
     upstream.next_request();
     client.input.get_ref().shutdown(Shutdown::Write).unwrap();
-    assert_eq!(end(&mut client), End::Fin);
+    assert_eq!(read_end(&mut client), ConnectionEnd::Fin);
     upstream.wait_for_close();
 }
 
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request's time where its end is waited for, as callers write it.
+/// A request's time where its end is waited for, as clients write it.
 const SHORT: &str = "0.8";
 const SHORT_TIME: Duration = Duration::from_millis(800);
 /// A final answer is owed so long after a request's time.
@@ -20,7 +20,7 @@
     Program::start(&config(refusing_address(), &in_service(&[upstream])))
 }
 
-/// What a caller got before its connection ended, or its answer was whole.
+/// What a client got before its connection ended, or its answer was whole.
 struct Ending {
     /// From the request on.
     took: Duration,
@@ -30,13 +30,13 @@
 
 /// One request with a short time on a connection of its own.
 fn ends(program: &Program) -> Ending {
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let sent = Instant::now();
-    let answer = caller.request("post", SHORT, "b");
+    let answer = client.request("post", SHORT, "b");
     Ending { took: sent.elapsed(), answer }
 }
 
-/// Guards a caller whose upstream stops for good within its answer. It is broken off in a way that the caller can tell,
+/// Guards a client whose upstream stops for good within its answer. It is broken off in a way that the client can tell,
 /// in time; hold-ups of the machine are not the program's.
 #[test]
 fn an_answer_that_stops_or_drips_ends_in_time() {
@@ -84,15 +84,15 @@
     assert!(times.len() < PLAYS && times.iter().all(|took| *took < MOST), "{case}: {times:?}");
 }
 
-/// A caller of HTTP/1.0 gets no chunks: only a reset tells it that the answer broke off.
+/// A client of HTTP/1.0 gets no chunks: only a reset tells it that the answer broke off.
 #[test]
-fn an_answer_that_stops_is_reset_for_an_old_caller() {
+fn an_answer_that_stops_is_reset_for_an_old_client() {
     let upstream = Upstream::start(|_| stall_after(format!("{HEAD_WITHOUT_LENGTH}some")));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
-    caller.write(&request_text("post", SHORT, "").replace("HTTP/1.1", "HTTP/1.0"));
+    let mut client = program.connect();
+    client.write(&request_text("post", SHORT, "").replace("HTTP/1.1", "HTTP/1.0"));
     let mut got = Vec::new();
-    assert!(caller.input.read_to_end(&mut got).is_err(), "{:?}", String::from_utf8_lossy(&got));
+    assert!(client.input.read_to_end(&mut got).is_err(), "{:?}", String::from_utf8_lossy(&got));
 }
 
 /// Pieces of an answer that takes 3 s: an eightieth each 40 ms.
@@ -210,10 +210,10 @@
     let before = program.descriptor_count();
     let mut failures = 0;
     while failures < STOPPED {
-        let mut callers: Vec<Client> = (0..AT_ONCE).map(|_| program.connect()).collect();
-        callers.iter_mut().for_each(|caller| caller.send("post", "0.2", "b"));
-        for caller in &mut callers {
-            let status = caller.read_response().map(|answer| answer.status());
+        let mut clients: Vec<Client> = (0..AT_ONCE).map(|_| program.connect()).collect();
+        clients.iter_mut().for_each(|client| client.send("post", "0.2", "b"));
+        for client in &mut clients {
+            let status = client.read_response().map(|answer| answer.status());
             assert!([None, Some(502), Some(503)].contains(&status), "{status:?}");
             failures += usize::from(status != Some(503)); // its breaker may refuse some
         }
@@ -227,7 +227,7 @@
     eventually("all is counted", || read_counters(door)["calls"]["post"]["failure"] == failures);
 }
 
-/// An upstream whose long answers to `post` stop, which holds their callers for as long as they have time.
+/// An upstream whose long answers to `post` stop, which holds their clients for as long as they have time.
 fn holds_posts() -> Upstream {
     Upstream::start(|message| match message.first_line.contains("/post") {
         true => stall_after([head_with_length(LENGTH).as_bytes(), &[b'a'; 100_000]].concat()),
@@ -235,18 +235,18 @@
     })
 }
 
-/// A caller that has asked for a long answer.
+/// A client that has asked for a long answer.
 fn asks_for_much(program: &Program) -> Client {
-    let mut caller = program.connect();
-    caller.send("post", LONG_BUDGET, "b");
-    caller
+    let mut client = program.connect();
+    client.send("post", LONG_BUDGET, "b");
+    client
 }
 
 /// How long a final answer takes, `None` where the connection is closed.
 fn answered(program: &Program, class: &str, body: &str) -> Option<Duration> {
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let sent = Instant::now();
-    let answer = caller.request(class, SHORT, body)?;
+    let answer = client.request(class, SHORT, body)?;
     assert!([200, 502, 503].contains(&answer.status()), "{}", answer.first_line);
     Some(sent.elapsed())
 }
@@ -260,7 +260,7 @@
     config["limits"]["memory_mb"] = 32.into();
     let program = Program::start(&config);
     let mut bulk: Vec<Client> = (0..BULK).map(|_| asks_for_much(&program)).collect();
-    bulk.iter_mut().for_each(|caller| drop(read_head(&mut caller.input)));
+    bulk.iter_mut().for_each(|client| drop(read_head(&mut client.input)));
     let body = "b".repeat(65_500); // the bodies of the others leave no room for all of it
     for class in ["look", "pay"].repeat(20) {
         in_time(class, || answered(&program, class, &body).expect("a final answer"));
@@ -274,7 +274,7 @@
     const CONNECTIONS: usize = 10;
     let upstream = holds_posts();
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 128.into(); // room for 54 callers
+    config["limits"]["sockets"] = 128.into(); // room for 54 clients
     let program = Program::start_with_descriptor_limit(&config);
     let held: Vec<Client> = (0..54).map(|_| asks_for_much(&program)).collect();
     eventually("all places are held", || program.client_connections() >= held.len());
@@ -283,11 +283,11 @@
             .map(|says: fn() -> String| IdleClients::connect(program.address, 60, says))
             .into();
     for _ in 0..50 {
-        // In a crowd a new connection may be closed before its request is read; its caller comes again.
+        // In a crowd a new connection may be closed before its request is read; its client comes again.
         let mut plays = (0..CONNECTIONS).filter_map(|_| answered(&program, "look", ""));
         in_time("look", || plays.next().expect("a final answer"));
     }
     drop(rush);
-    held.iter().for_each(|caller| drop(caller.input.get_ref().shutdown(Shutdown::Both)));
+    held.iter().for_each(|client| drop(client.input.get_ref().shutdown(Shutdown::Both)));
     eventually("the places are given back", || program.client_connections() < 20);
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -24,9 +24,9 @@
 fn forwards_a_request_and_its_answer_unchanged() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("the answer")));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
-    caller.write(&request_text_with_id("9b1f03aa5c7e2d41", "pay", "12.5", "the body"));
-    let answer = caller.read_response().unwrap();
+    let mut client = program.connect();
+    client.write(&request_text_with_id("9b1f03aa5c7e2d41", "pay", "12.5", "the body"));
+    let answer = client.read_response().unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"the answer"[..]));
     let got = upstream.next_request();
     assert_eq!(got.first_line, "POST /pay?x=1 HTTP/1.1");
@@ -48,7 +48,7 @@
     let budget: f64 = upstream.next_request().headers["x-budget"].parse().unwrap();
     assert!(
         budget <= 20.0,
-        "the caller waits for {LONG_BUDGET} s, the balancer for 20 s, the upstream hears {budget}"
+        "the client waits for {LONG_BUDGET} s, the balancer for 20 s, the upstream hears {budget}"
     );
 }
 
@@ -56,9 +56,9 @@
 fn uses_a_connection_again() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     for _ in 0..20 {
-        assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
+        assert_eq!(client.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
     }
     let connections =
         upstream.events.try_iter().filter(|seen| matches!(seen, UpstreamEvent::Connected)).count();
@@ -69,9 +69,9 @@
 fn does_not_write_to_a_connection_that_its_upstream_closed() {
     let upstream = Upstream::start(|_| UpstreamAction::RespondAndClose(ok_response("")));
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     for _ in 0..50 {
-        assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
+        assert_eq!(client.request("post", LONG_BUDGET, "b").unwrap().status(), 200);
         upstream.wait_for_close();
     }
 }
@@ -130,19 +130,19 @@
     let asked = Instant::now();
     let answer = program.connect().request("post", "0.300", "b").expect("an answer, not an end");
     assert_eq!(answer.status(), 502);
-    assert!(asked.elapsed() >= Duration::from_millis(300), "it waits as long as the caller");
+    assert!(asked.elapsed() >= Duration::from_millis(300), "it waits as long as the client");
     upstream.next_request();
     upstream.wait_for_close(); // or the upstream would work on for nobody
 }
 
 #[test]
-fn withdraws_the_attempt_of_a_caller_that_left() {
+fn withdraws_the_attempt_of_a_client_that_left() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
     let program = served_by(&upstream);
-    let mut caller = program.connect();
-    caller.send("post", LONG_BUDGET, "b");
+    let mut client = program.connect();
+    client.send("post", LONG_BUDGET, "b");
     upstream.next_request();
-    drop(caller);
+    drop(client);
     upstream.wait_for_close();
 }
 
@@ -171,9 +171,9 @@
         ("nonsense\r\n\r\n".into(), 400),
     ];
     for (text, status) in cases {
-        let mut caller = program.connect();
-        caller.write(&text);
-        let answer = caller.read_response().unwrap_or_else(|| panic!("no answer to {text:?}"));
+        let mut client = program.connect();
+        client.write(&text);
+        let answer = client.read_response().unwrap_or_else(|| panic!("no answer to {text:?}"));
         assert_eq!(answer.status(), status, "{text:?}");
     }
     assert_eq!(upstream.take_request_count(), 0);
@@ -190,40 +190,40 @@
     let (length, chunked) =
         (format!("Content-Length: {}\r\n", hidden.len()), "Transfer-Encoding: chunked\r\n");
     for both in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
-        let mut caller = program.connect();
-        caller.write(&(plain.replace("Content-Length: 0\r\n", &both) + &hidden));
-        assert_eq!(caller.read_response().expect("an answer").status(), 400, "{both}");
-        assert!(caller.read_response().is_none(), "the connection is of no further use");
+        let mut client = program.connect();
+        client.write(&(plain.replace("Content-Length: 0\r\n", &both) + &hidden));
+        assert_eq!(client.read_response().expect("an answer").status(), 400, "{both}");
+        assert!(client.read_response().is_none(), "the connection is of no further use");
     }
     assert_eq!(upstream.take_request_count(), 0);
-    let mut caller = program.connect();
-    caller.write(&plain.replace("Content-Length: 0\r\n\r\n", &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n")));
-    assert_eq!(caller.read_response().unwrap().status(), 200, "chunks alone are sound");
+    let mut client = program.connect();
+    client.write(&plain.replace("Content-Length: 0\r\n\r\n", &format!("{chunked}\r\n3\r\nabc\r\n0\r\n\r\n")));
+    assert_eq!(client.read_response().unwrap().status(), 200, "chunks alone are sound");
     assert_eq!(upstream.next_request().body, b"abc");
 }
 
 /// Guards the places and the memory: a request is owed within a few seconds, and a head has an end.
 #[test]
-fn sends_callers_away_that_never_finish_a_request() {
+fn sends_clients_away_that_never_finish_a_request() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = served_by(&upstream);
     let good = request_text("pay", LONG_BUDGET, "body");
     let head = good.split("X-Budget").next().unwrap();
     let cases = ["", head, &good[..good.len() - 2], &good.replace("Content-Length: 4", "Content-Length: 5")];
     for begun in cases {
-        let mut caller = program.connect();
-        caller.write(begun);
+        let mut client = program.connect();
+        client.write(begun);
         // An error or the end comes; the program would else wait for the rest, and the test with it.
-        assert!(caller.read_response().is_none_or(|answer| answer.status() == 408), "{begun:?}");
+        assert!(client.read_response().is_none_or(|answer| answer.status() == 408), "{begun:?}");
     }
-    let mut caller = program.connect();
-    caller.write(&format!("{head}X-Pad: {}", "p".repeat(20 << 10)));
-    assert!(caller.read_response().is_none_or(|answer| answer.status() == 431), "a head over 8 KiB");
+    let mut client = program.connect();
+    client.write(&format!("{head}X-Pad: {}", "p".repeat(20 << 10)));
+    assert!(client.read_response().is_none_or(|answer| answer.status() == 431), "a head over 8 KiB");
     assert_eq!(upstream.take_request_count(), 0);
-    let mut caller = program.connect();
-    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
+    let mut client = program.connect();
+    assert_eq!(client.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200, "one that has asked may rest");
+    assert_eq!(client.request("pay", LONG_BUDGET, "b").unwrap().status(), 200, "one that has asked may rest");
 }
 
 /// Guards usual clients against crowds: those that have never asked go first.
@@ -233,11 +233,11 @@
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 100.into();
     let program = Program::start(&config);
-    let mut caller = program.connect();
-    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
+    let mut client = program.connect();
+    assert_eq!(client.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     let crowd: Vec<Client> = (0..150).map(|_| program.connect()).collect();
-    assert_eq!(program.request("post").status(), 200, "a new caller finds a place");
-    assert_eq!(caller.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
+    assert_eq!(program.request("post").status(), 200, "a new client finds a place");
+    assert_eq!(client.request("pay", LONG_BUDGET, "b").unwrap().status(), 200);
     drop(crowd);
 }
 
@@ -248,9 +248,9 @@
     let program = served_by(&upstream);
     let same = request_text_with_id("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
     let asking = || {
-        let mut caller = program.connect();
-        caller.write(&same);
-        caller
+        let mut client = program.connect();
+        client.write(&same);
+        client
     };
     let first = asking();
     upstream.next_request();
@@ -259,33 +259,33 @@
     upstream.wait_for_close();
     let _third = asking();
     upstream.next_request(); // the name is free again
-    let mut caller = program.connect();
-    caller.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
-    assert_eq!(caller.read_response().unwrap().status(), 400);
+    let mut client = program.connect();
+    client.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
+    assert_eq!(client.read_response().unwrap().status(), 400);
 }
 
 /// Guards against a request whose time begins only once the one in front of it is answered, and against a
-/// caller whose leaving is not seen behind what it has sent ahead.
+/// client whose leaving is not seen behind what it has sent ahead.
 #[test]
-fn a_request_behind_another_has_its_time_and_its_caller() {
+fn a_request_behind_another_has_its_time_and_its_client() {
     let upstream = Upstream::start(|message| match message.body == b"quick" {
         true => UpstreamAction::Respond(ok_response("quick")),
         false => UpstreamAction::NeverRespond,
     });
     let program = served_by(&upstream);
-    let mut caller = program.connect();
+    let mut client = program.connect();
     let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG_BUDGET, "quick")];
-    caller.write(&requests.map(|(budget, body)| request_text("post", budget, body)).concat());
-    assert_eq!(caller.read_response().unwrap().status(), 502);
-    assert_ne!(caller.read_response().unwrap().status(), 200, "its time is over");
-    assert_eq!(caller.read_response().unwrap().body, b"quick");
+    client.write(&requests.map(|(budget, body)| request_text("post", budget, body)).concat());
+    assert_eq!(client.read_response().unwrap().status(), 502);
+    assert_ne!(client.read_response().unwrap().status(), 200, "its time is over");
+    assert_eq!(client.read_response().unwrap().body, b"quick");
     assert_eq!(upstream.take_request_count(), 2);
     upstream.events.try_iter().for_each(drop);
 
-    let mut caller = program.connect();
-    caller.write(&(request_text("post", LONG_BUDGET, "slow") + &request_text("post", LONG_BUDGET, "quick")));
+    let mut client = program.connect();
+    client.write(&(request_text("post", LONG_BUDGET, "slow") + &request_text("post", LONG_BUDGET, "quick")));
     upstream.next_request();
-    drop(caller);
+    drop(client);
     upstream.wait_for_close();
 }
 
@@ -304,9 +304,9 @@
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &[]));
     let ready = || {
-        let mut caller = program.connect();
-        caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-        caller.read_response().unwrap().status()
+        let mut client = program.connect();
+        client.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
+        client.read_response().unwrap().status()
     };
     assert_eq!(ready(), 503);
     discovery.publish(&in_service(&[&upstream]));
@@ -342,12 +342,12 @@
     let new = Upstream::start(|_| UpstreamAction::Respond(ok_response("new")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&old])));
-    let mut caller = program.connect();
-    caller.send("post", LONG_BUDGET, "b");
+    let mut client = program.connect();
+    client.send("post", LONG_BUDGET, "b");
     old.next_request();
     discovery.publish(&in_service(&[&new]));
     held.wait();
-    assert_eq!(caller.read_response().unwrap().body, b"old");
+    assert_eq!(client.read_response().unwrap().body, b"old");
     assert_eq!(program.request("post").body, b"new");
 }
 
@@ -382,17 +382,17 @@
             let apart = matches!(first, UpstreamAction::RespondWithExtra(..));
             let upstream = Upstream::start(once(first));
             let program = served_by(&upstream);
-            let mut caller = program.connect();
-            assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().body, b"first");
+            let mut client = program.connect();
+            assert_eq!(client.request("post", LONG_BUDGET, "b").unwrap().body, b"first");
             if apart {
                 upstream.wait_for_extra();
             }
-            assert_eq!(caller.request("post", LONG_BUDGET, "b").unwrap().body, b"second");
+            assert_eq!(client.request("post", LONG_BUDGET, "b").unwrap().body, b"second");
         }
     }
 }
 
-/// Guards the caller against answers that can't be read or have no end: they have failed, and their connection
+/// Guards the client against answers that can't be read or have no end: they have failed, and their connection
 /// is of no further use.
 #[test]
 fn gives_up_spoilt_answers_at_once() {
@@ -413,7 +413,7 @@
     assert_eq!(served_by(&upstream).request("post").body, b"ok");
 }
 
-/// Guards upstreams against being held at fault for a caller's request, and against getting it again.
+/// Guards upstreams against being held at fault for a client's request, and against getting it again.
 #[test]
 fn passes_on_that_a_request_is_at_fault() {
     let upstream = Upstream::start(|message| match message.body == b"bad" {
@@ -494,23 +494,23 @@
 }
 
 #[test]
-fn gives_up_an_idle_caller_for_a_new_one_and_refuses_when_all_are_busy() {
+fn gives_up_an_idle_client_for_a_new_one_and_refuses_when_all_are_busy() {
     let upstream = Upstream::start(|message| match message.first_line.starts_with("GET") {
         true => UpstreamAction::Respond(ok_response("")),
         false => UpstreamAction::NeverRespond,
     });
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 96.into(); // room for 32 callers
+    config["limits"]["sockets"] = 96.into(); // room for 32 clients
     let program = Program::start(&config);
-    let mut callers: Vec<Client> = (0..60).map(|_| program.connect()).collect();
-    for caller in &mut callers[28..] {
-        assert_eq!(caller.request("look", LONG_BUDGET, "").expect("served").status(), 200);
+    let mut clients: Vec<Client> = (0..60).map(|_| program.connect()).collect();
+    for client in &mut clients[28..] {
+        assert_eq!(client.request("look", LONG_BUDGET, "").expect("served").status(), 200);
     }
-    for caller in &mut callers[..28] {
-        assert!(caller.read_response().is_none(), "the connections idle for longest are closed");
+    for client in &mut clients[..28] {
+        assert!(client.read_response().is_none(), "the connections idle for longest are closed");
     }
-    for caller in &mut callers[28..] {
-        caller.send("post", LONG_BUDGET, "b");
+    for client in &mut clients[28..] {
+        client.send("post", LONG_BUDGET, "b");
         upstream.next_request();
     }
     for _ in 0..40 {
@@ -518,7 +518,7 @@
         assert_eq!(answer.status(), 503, "told at once, not left in the backlog");
         assert!(answer.headers.contains_key("retry-after"));
     }
-    callers.clear();
+    clients.clear();
     for _ in 0..32 {
         upstream.wait_for_close();
     }
@@ -552,7 +552,7 @@
     let (mut on_new, mut on_open) = (true, true);
     while signal.elapsed() < Duration::from_millis(300) {
         on_new &=
-            program.try_connect().is_some_and(|mut caller| served(caller.request("look", LONG_BUDGET, "")));
+            program.try_connect().is_some_and(|mut client| served(client.request("look", LONG_BUDGET, "")));
         on_open &= served(open.request("look", LONG_BUDGET, ""));
     }
     let judged = signal.elapsed() < Duration::from_millis(400);
@@ -566,7 +566,7 @@
     judged
 }
 
-/// Where all balancers restart one after the other, a caller whose connection was closed at once had none to go to.
+/// Where all balancers restart one after the other, a client whose connection was closed at once had none to go to.
 #[test]
 fn serves_on_open_connections_until_answers_might_come_too_late() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
@@ -577,11 +577,11 @@
         class["DeadlineNs"] = 2_500_000_000_u64.into();
     }
     let program = Program::start(&config);
-    let mut caller = program.connect();
-    assert_eq!(caller.request("look", "2.0", "").unwrap().status(), 200);
+    let mut client = program.connect();
+    assert_eq!(client.request("look", "2.0", "").unwrap().status(), 200);
     let signal = Instant::now();
     program.terminate();
-    while let Some(answer) = caller.request("look", "2.0", "") {
+    while let Some(answer) = client.request("look", "2.0", "") {
         assert_eq!(answer.status(), 200);
     }
     // The kill comes after 2.5 s and 0.7 s at the soonest, and an answer takes 0.5 s at most.
