--- a/tests/attempt_timing.rs
+++ b/tests/attempt_timing.rs
@@ -1,5 +1,5 @@
-//! When an attempt may begin, and what time its upstream is told: events that cross between the choice of an upstream
-//! and the write, each forced by a stand-in that holds one side at a step. docs/design.md lists them.
+//! When an attempt may begin and which time budget its upstream receives. The events that race between the choice of an
+//! upstream and the write are forced by stand-ins that hold one side at a step. docs/design.md lists them.
 
 mod common;
 
@@ -9,187 +9,207 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A client that closed has gone: no attempt begins more than this much later.
-const GONE: Duration = Duration::from_millis(100);
-/// What an upstream is told may be more than its client has left by this much.
-const SLACK: Duration = Duration::from_millis(150);
+/// No attempt may begin later than this after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// The budget that an upstream receives may exceed the client's remaining time by this much.
+const BUDGET_TOLERANCE: Duration = Duration::from_millis(150);
 /// Enough to fill the buffers between a client and a program that does not read.
-const FLOOD: usize = 64 << 20;
+const FLOOD_BYTES: usize = 64 << 20;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Departure {
+enum Disconnect {
+    /// By FIN.
     Fin,
+    /// By RST.
     Reset,
-    /// It ends its side and goes on reading.
+    /// By FIN, but it keeps its side open for reading.
     HalfClose,
-    /// By FIN behind further bytes that the kernel takes in.
-    BehindBytes,
-    /// By FIN behind more bytes than the kernel takes in: it gets no further than the client's own buffer.
-    BehindFlood,
+    /// By FIN after a few further bytes.
+    FinAfterBytes,
+    /// By FIN after more bytes than the kernel buffers: the FIN stays in the client's own send buffer.
+    FinAfterFlood,
 }
 
-const DEPARTURES: [Departure; 5] =
-    [Departure::Fin, Departure::Reset, Departure::HalfClose, Departure::BehindBytes, Departure::BehindFlood];
-
-/// Has a client leave a program that may be held up; what is left of its connection has to be kept. A test that starts its
-/// program just now may hold a copy of the socket: so it is shut down, and a reset is waited for.
-fn depart(program: &Program, client: Client, departure: Departure) -> Option<TcpStream> {
+const DISCONNECTS: [Disconnect; 5] = [
+    Disconnect::Fin,
+    Disconnect::Reset,
+    Disconnect::HalfClose,
+    Disconnect::FinAfterBytes,
+    Disconnect::FinAfterFlood,
+];
+
+/// Disconnects a client from a program that may be paused; a stream that is returned has to be kept. Dropping it is not
+/// enough, as a program that another test is just spawning may hold a copy of the socket: it is shut down, and the arrival
+/// of a reset is waited for.
+fn disconnect_client(program: &Program, client: Client, disconnect: Disconnect) -> Option<TcpStream> {
     let mut stream = client.input.into_inner();
-    match departure {
-        Departure::Fin | Departure::HalfClose => {}
-        Departure::Reset => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
-        Departure::BehindBytes => stream.write_all(&[b'm'; 10]).unwrap(),
-        Departure::BehindFlood => fill(&mut stream),
+    match disconnect {
+        Disconnect::Fin | Disconnect::HalfClose => {}
+        Disconnect::Reset => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
+        Disconnect::FinAfterBytes => stream.write_all(&[b'm'; 10]).unwrap(),
+        Disconnect::FinAfterFlood => fill_send_buffer(&mut stream),
     }
-    if matches!(departure, Departure::Reset) {
+    if matches!(disconnect, Disconnect::Reset) {
         drop(stream);
         program.wait_until_clients_disconnected();
         return None;
     }
-    stream.shutdown(Shutdown::Write).ok(); // it may have been cut off
-    matches!(departure, Departure::HalfClose).then_some(stream)
+    stream.shutdown(Shutdown::Write).ok(); // the program may have closed the connection already
+    matches!(disconnect, Disconnect::HalfClose).then_some(stream)
 }
 
-/// Writes until the kernel takes no more.
-fn fill(stream: &mut TcpStream) {
+/// Writes until the kernel's buffers are full.
+fn fill_send_buffer(stream: &mut TcpStream) {
     stream.set_nonblocking(true).unwrap();
     let piece = [b'm'; 64 << 10];
-    let mut left = FLOOD;
-    while left > 0 {
+    let mut unwritten = FLOOD_BYTES;
+    while unwritten > 0 {
         match stream.write(&piece) {
-            Ok(written) => left = left.saturating_sub(written),
+            Ok(written) => unwritten = unwritten.saturating_sub(written),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-            Err(_) => return, // it has been cut off
+            Err(_) => return, // the program has closed the connection
         }
     }
 }
 
-/// A configuration whose only upstream is at an address, and whose connects are not given up.
-fn alone_at(address: SocketAddr, may_cancel: bool) -> serde_json::Value {
+/// A configuration with a single upstream at this address, where connects do not time out within a test.
+fn config_with_upstream_at(address: SocketAddr, may_cancel: bool) -> serde_json::Value {
     let mut config = config(refusing_address(), &[target("s-0", address, "in_service")]);
     config["settings"]["Limits"]["Cancelling"] = may_cancel.into();
     config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
     config
 }
 
-/// Runs each case on a thread of its own.
-fn each_departure(act: impl Fn(Departure, bool) + Sync) {
+/// Runs the check for every disconnect, with and without cancelling, each on its own thread.
+fn for_each_disconnect(act: impl Fn(Disconnect, bool) + Sync) {
     let act = &act;
     std::thread::scope(|scope| {
         for may_cancel in [true, false] {
-            for departure in DEPARTURES {
-                scope.spawn(move || act(departure, may_cancel));
+            for disconnect in DISCONNECTS {
+                scope.spawn(move || act(disconnect, may_cancel));
             }
         }
     });
 }
 
-/// The next request that is whole is that of a client who has come since.
-fn only_a_later_request_comes(program: &Program, upstream: &Upstream, case: &str) {
+/// Sends a later request and asserts that the upstream receives it and no other.
+fn assert_only_later_request_arrives(program: &Program, upstream: &Upstream, case: &str) {
     assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
     let first = upstream.next_request().body;
-    assert!(first == b"later", "{case}: {} bytes came", first.len());
-    let more: Vec<usize> = requests(upstream).iter().map(|message| message.body.len()).collect();
-    assert!(more.is_empty(), "{case}: {more:?} bytes came after that");
+    assert!(first == b"later", "{case}: received {} bytes", first.len());
+    let more: Vec<usize> = take_requests(upstream).iter().map(|message| message.body.len()).collect();
+    assert!(more.is_empty(), "{case}: received {more:?} more bytes after that");
 }
 
-// ---- Callers that leave before an attempt ----
+// ---- Clients that disconnect before an attempt ----
 
-/// Guards upstreams against work that nobody waits for: a connect is given up with its client, also where the end of that
-/// shows only once what is in front of it is read.
+/// Guards upstreams against work whose client is gone: a connect is given up with its client, also where the disconnect
+/// shows only after the bytes in front of it are read.
 #[test]
-fn a_client_that_leaves_in_a_connect_gets_no_attempt() {
-    each_departure(|departure, may_cancel| {
-        let crowded = BlockedListener::open();
-        let program = Program::start(&alone_at(crowded.address, may_cancel));
+fn a_client_that_disconnects_during_a_connect_gets_no_attempt() {
+    for_each_disconnect(|disconnect, may_cancel| {
+        let blocked = BlockedListener::open();
+        let program = Program::start(&config_with_upstream_at(blocked.address, may_cancel));
         let mut client = program.connect();
         client.send("post", LONG_BUDGET, "b");
-        crowded.wait_for_pending(1);
-        let _rest = depart(&program, client, departure);
-        crowded.wait_until_none_pending();
-        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-        only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
+        blocked.wait_for_pending(1);
+        let _half_closed = disconnect_client(&program, client, disconnect);
+        blocked.wait_until_none_pending();
+        let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        assert_only_later_request_arrives(
+            &program,
+            &upstream,
+            &format!("{disconnect:?}, may cancel: {may_cancel}"),
+        );
     });
 }
 
-/// The same where the process, held up, finds the connection and the end of the client in one look at its sockets.
+/// The same where the process, after a pause, finds the established connection and the disconnect in the same poll.
 #[test]
-fn a_client_that_leaves_as_a_connection_comes_up_gets_no_attempt() {
-    each_departure(|departure, may_cancel| {
-        let crowded = BlockedListener::open();
-        let program = Program::start(&alone_at(crowded.address, may_cancel));
+fn a_client_that_disconnects_as_a_connection_comes_up_gets_no_attempt() {
+    for_each_disconnect(|disconnect, may_cancel| {
+        let blocked = BlockedListener::open();
+        let program = Program::start(&config_with_upstream_at(blocked.address, may_cancel));
         let mut client = program.connect();
         client.send("post", LONG_BUDGET, "b");
-        crowded.wait_for_pending(1);
+        blocked.wait_for_pending(1);
         program.pause();
-        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-        eventually("the connection is up", || pending_connections(upstream.address) == 0);
-        let _rest = depart(&program, client, departure);
-        std::thread::sleep(2 * GONE);
+        let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        eventually("the connection is established", || pending_connections(upstream.address) == 0);
+        let _half_closed = disconnect_client(&program, client, disconnect);
+        std::thread::sleep(2 * DISCONNECT_GRACE);
         program.resume();
-        only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
+        assert_only_later_request_arrives(
+            &program,
+            &upstream,
+            &format!("{disconnect:?}, may cancel: {may_cancel}"),
+        );
     });
 }
 
-/// The same for a request and its client's end that are both found after a hold-up.
+/// The same where the process, after a pause, finds a request together with its client's disconnect.
 #[test]
-fn a_client_that_left_before_its_request_was_read_gets_no_attempt() {
-    each_departure(|departure, may_cancel| {
+fn a_client_that_disconnected_before_its_request_was_read_gets_no_attempt() {
+    for_each_disconnect(|disconnect, may_cancel| {
         let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-        let program = Program::start(&alone_at(upstream.address, may_cancel));
+        let program = Program::start(&config_with_upstream_at(upstream.address, may_cancel));
         assert_eq!(program.request("post").status(), 200);
         upstream.next_request();
         program.pause();
         let mut client = program.connect();
         client.send("post", LONG_BUDGET, "b");
-        let _rest = depart(&program, client, departure);
-        std::thread::sleep(2 * GONE);
+        let _half_closed = disconnect_client(&program, client, disconnect);
+        std::thread::sleep(2 * DISCONNECT_GRACE);
         program.resume();
-        only_a_later_request_comes(&program, &upstream, &format!("{departure:?}, may cancel: {may_cancel}"));
+        assert_only_later_request_arrives(
+            &program,
+            &upstream,
+            &format!("{disconnect:?}, may cancel: {may_cancel}"),
+        );
     });
 }
 
-/// The same for a retry, where the process finds a refusal and the end of the client in one look.
+/// The same for a retry, where the process finds a rejection and the client's disconnect in the same poll.
 #[test]
-fn a_client_that_leaves_as_its_attempt_is_turned_away_gets_no_other() {
-    each_departure(|departure, may_cancel| {
-        let case = format!("{departure:?}, may cancel: {may_cancel}");
+fn a_client_that_disconnects_as_its_attempt_is_rejected_gets_no_other() {
+    for_each_disconnect(|disconnect, may_cancel| {
+        let case = format!("{disconnect:?}, may cancel: {may_cancel}");
         let upstream = ManualPeer::open();
-        let program = Program::start(&alone_at(upstream.address, may_cancel));
+        let program = Program::start(&config_with_upstream_at(upstream.address, may_cancel));
         let mut client = program.connect();
         client.send("post", LONG_BUDGET, "first");
-        let mut line = upstream.accept();
-        assert_eq!(line.read().body, b"first");
+        let mut connection = upstream.accept();
+        assert_eq!(connection.read().body, b"first");
         program.pause();
-        line.write(&rejected_response());
-        let _rest = depart(&program, client, departure);
-        std::thread::sleep(2 * GONE);
+        connection.write(&rejected_response());
+        let _half_closed = disconnect_client(&program, client, disconnect);
+        std::thread::sleep(2 * DISCONNECT_GRACE);
         program.resume();
-        let mut later = program.connect();
-        later.send("post", LONG_BUDGET, "later");
-        let first = line.try_read().unwrap_or_else(|| {
-            line = upstream.accept();
-            line.read()
+        let mut later_client = program.connect();
+        later_client.send("post", LONG_BUDGET, "later");
+        let first = connection.try_read().unwrap_or_else(|| {
+            connection = upstream.accept();
+            connection.read()
         });
         assert_eq!(first.body, b"later", "{case}");
-        line.write(&ok_response(""));
-        assert_eq!(later.read_response().expect("an answer").status(), 200, "{case}");
+        connection.write(&ok_response(""));
+        assert_eq!(later_client.read_response().expect("no response").status(), 200, "{case}");
     });
 }
 
-/// The same while upstreams are asked for their load, which they tell late.
+/// The same during load queries, whose responses come late.
 #[test]
-fn a_client_that_leaves_while_upstreams_are_asked_for_their_load_gets_no_attempt() {
-    each_departure(|departure, may_cancel| {
-        let case = format!("{departure:?}, may cancel: {may_cancel}");
-        let asked = |message: &Message| {
+fn a_client_that_disconnects_during_load_queries_gets_no_attempt() {
+    for_each_disconnect(|disconnect, may_cancel| {
+        let case = format!("{disconnect:?}, may cancel: {may_cancel}");
+        let respond = |message: &Message| {
             if message.first_line.starts_with("GET /load ") {
-                std::thread::sleep(GONE);
+                std::thread::sleep(DISCONNECT_GRACE);
             }
             UpstreamAction::Respond(ok_response(r#"{"inflight":1}"#))
         };
-        let upstreams = [(); 2].map(|()| Upstream::start(asked));
+        let upstreams = [(); 2].map(|()| Upstream::start(respond));
         let mut config = config(refusing_address(), &in_service(&[&upstreams[0], &upstreams[1]]));
         config["settings"]["Limits"]["Cancelling"] = may_cancel.into();
         config["settings"]["Limits"]["MayProbe"] = true.into();
@@ -198,90 +218,94 @@
         program.pause();
         let mut client = program.connect();
         client.send("post", LONG_BUDGET, "b");
-        let _rest = depart(&program, client, departure);
-        std::thread::sleep(2 * GONE);
+        let _half_closed = disconnect_client(&program, client, disconnect);
+        std::thread::sleep(2 * DISCONNECT_GRACE);
         program.resume();
         assert_eq!(program.connect().request("post", LONG_BUDGET, "later").unwrap().status(), 200, "{case}");
-        let seen = RefCell::new(Vec::new());
-        eventually("they are asked", || {
-            seen.borrow_mut().extend(upstreams.iter().flat_map(requests));
-            seen.borrow().iter().any(|message: &Message| message.first_line.starts_with("GET /load "))
+        let received = RefCell::new(Vec::new());
+        eventually("a load query is received", || {
+            received.borrow_mut().extend(upstreams.iter().flat_map(take_requests));
+            received.borrow().iter().any(|message: &Message| message.first_line.starts_with("GET /load "))
         });
-        let seen = seen.into_inner();
-        let sent = seen.iter().filter(|message| message.first_line.starts_with("POST "));
+        let received = received.into_inner();
+        let sent = received.iter().filter(|message| message.first_line.starts_with("POST "));
         assert!(sent.map(|message| &message.body[..]).eq([b"later"]), "{case}");
     });
 }
 
-/// The requests that an upstream has seen.
-fn requests(upstream: &Upstream) -> Vec<Message> {
-    let request = |seen| match seen {
+/// Drains the pending events of an upstream and returns the requests among them.
+fn take_requests(upstream: &Upstream) -> Vec<Message> {
+    let request = |event| match event {
         UpstreamEvent::Request(message) => Some(message),
         _ => None,
     };
     upstream.events.try_iter().filter_map(request).collect()
 }
 
-/// How much the kernel takes in on a connection that nobody reads.
-fn capacity() -> usize {
-    let port = ManualPeer::open();
-    let mut stream = TcpStream::connect(port.address).unwrap();
-    let _held = port.accept();
+/// How many bytes the kernel buffers on a connection that nobody reads.
+fn socket_buffer_bytes() -> usize {
+    let peer = ManualPeer::open();
+    let mut stream = TcpStream::connect(peer.address).unwrap();
+    let _connection = peer.accept();
     stream.set_nonblocking(true).unwrap();
     let piece = [0; 16 << 10];
     std::iter::from_fn(|| stream.write(&piece).ok()).sum()
 }
 
-/// Guards the same where a body is too long to be kept: it is whole in the kernel, and the end of its client waits behind
-/// it, or behind more, until the body is read on. An upstream begins with its last byte.
+/// The same for a body too long to be buffered by the program: it lies complete in the kernel, and the client's
+/// disconnect shows only after the body, or further bytes, are read. An upstream begins its work at the last byte.
 #[test]
-fn a_client_that_left_behind_a_long_body_gets_no_attempt() {
-    let long = capacity() * 3 / 4;
-    assert!(long > 200_000, "more than is kept, and read ahead: {long}");
-    each_departure(|departure, may_cancel| {
+fn a_client_that_disconnected_behind_a_long_body_gets_no_attempt() {
+    let long = socket_buffer_bytes() * 3 / 4;
+    assert!(long > 200_000, "more than the program buffers and reads ahead, but only {long}");
+    for_each_disconnect(|disconnect, may_cancel| {
         for size in [100_000, long] {
-            let crowded = BlockedListener::open();
-            let program = Program::start(&alone_at(crowded.address, may_cancel));
+            let blocked = BlockedListener::open();
+            let program = Program::start(&config_with_upstream_at(blocked.address, may_cancel));
             let mut client = program.connect();
             client.send("post", LONG_BUDGET, &"b".repeat(size));
-            crowded.wait_for_pending(1);
+            blocked.wait_for_pending(1);
             program.pause();
-            let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-            eventually("the connection is up", || pending_connections(upstream.address) == 0);
-            let _rest = depart(&program, client, departure);
-            std::thread::sleep(2 * GONE);
+            let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+            eventually("the connection is established", || pending_connections(upstream.address) == 0);
+            let _half_closed = disconnect_client(&program, client, disconnect);
+            std::thread::sleep(2 * DISCONNECT_GRACE);
             program.resume();
-            let case = format!("{departure:?} behind {size} bytes, may cancel: {may_cancel}");
-            only_a_later_request_comes(&program, &upstream, &case);
+            let case = format!("{disconnect:?} behind {size} bytes, may cancel: {may_cancel}");
+            assert_only_later_request_arrives(&program, &upstream, &case);
         }
     });
 }
 
-// ---- The time that an upstream is told ----
+// ---- The time budget that an upstream receives ----
 
-/// What an upstream is told.
-fn told(message: &Message) -> Duration {
+/// The budget that the balancer forwarded to the upstream.
+fn forwarded_budget(message: &Message) -> Duration {
     Duration::from_secs_f64(message.headers["x-budget"].parse().unwrap())
 }
 
-/// Asserts that an upstream is told no more than a client had left at some time before the request came to it.
-fn in_time(message: &Message, budget: Duration, passed: Duration, case: &str) {
-    let left = (budget + SLACK).saturating_sub(passed);
-    assert!(told(message) <= left, "{case}: told {:?}, {left:?} with slack", told(message));
+/// Asserts that the forwarded budget is at most what the client had left, `elapsed` after it sent the request.
+fn assert_budget_in_time(message: &Message, budget: Duration, elapsed: Duration, case: &str) {
+    let remaining = (budget + BUDGET_TOLERANCE).saturating_sub(elapsed);
+    assert!(
+        forwarded_budget(message) <= remaining,
+        "{case}: forwarded {:?}, {remaining:?} with tolerance",
+        forwarded_budget(message)
+    );
 }
 
-/// Far more than the kernel takes to bring up a connection that had no room at first.
+/// Far longer than the kernel takes to establish a connection that found the backlog full.
 const BUDGET: Duration = Duration::from_secs(60);
-const BUDGET_TEXT: &str = LONG_BUDGET;
-const HELD: Duration = Duration::from_millis(400);
+const BUDGET_HEADER: &str = LONG_BUDGET;
+const DELAY: Duration = Duration::from_millis(400);
 
-/// Guards the time that an upstream is told where a new process waits for its first list. On a busy machine the process
-/// may read the requests late, or not wait for the list: so one trial of some has to go as it should.
+/// Guards the budget that an upstream receives where a new process waits for its first list. A busy machine may delay the
+/// process so that it reads the requests late or stops waiting for the list, so one of several trials has to succeed.
 #[test]
-fn a_request_that_waits_for_the_first_list_tells_what_is_left() {
+fn a_request_that_waits_for_the_first_list_forwards_the_remaining_budget() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let bodies = ["b", &"b".repeat(60_000), &"b".repeat(100_000)];
-    eventually_trials(|| {
+    assert_eventually_succeeds(|| {
         let discovery = ManualPeer::open();
         let mut config = config(discovery.address, &in_service(&[&upstream]));
         config["settings"]["Discovery"] = "push".into();
@@ -290,149 +314,154 @@
         agent.read();
         let mut clients = bodies.map(|body| {
             let mut client = program.connect();
-            client.send("post", BUDGET_TEXT, body);
+            client.send("post", BUDGET_HEADER, body);
             client
         });
-        let sent = Instant::now();
-        std::thread::sleep(HELD);
-        let left = (BUDGET + SLACK).saturating_sub(sent.elapsed());
+        let sent_at = Instant::now();
+        std::thread::sleep(DELAY);
+        let remaining = (BUDGET + BUDGET_TOLERANCE).saturating_sub(sent_at.elapsed());
         agent.try_write(&list_response(2, true, &in_service(&[&upstream])));
-        let told = clients.each_mut().map(|client| {
-            assert_eq!(client.read_response().expect("an answer").status(), 200);
-            told(&upstream.next_request())
+        let budgets = clients.each_mut().map(|client| {
+            assert_eq!(client.read_response().expect("no response").status(), 200);
+            forwarded_budget(&upstream.next_request())
         });
-        told.iter().all(|told| *told <= left)
+        budgets.iter().all(|budget| *budget <= remaining)
     });
 }
 
-/// Guards the same where the process is held up for as long as the slack allows.
+/// The same where the process is paused for as long as the tolerance allows.
 #[test]
-fn a_process_that_is_held_up_tells_what_is_left() {
-    const MEASURED: usize = 5;
+fn a_delayed_process_forwards_the_remaining_budget() {
+    const MEASUREMENTS: usize = 5;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&alone_at(upstream.address, true));
+    let program = Program::start(&config_with_upstream_at(upstream.address, true));
     let mut client = program.connect();
-    let mut measured = 0;
-    eventually_trials(|| {
-        assert_eq!(client.request("post", LONG_BUDGET, "b").expect("an answer").status(), 200);
+    let mut measurements = 0;
+    assert_eventually_succeeds(|| {
+        assert_eq!(client.request("post", LONG_BUDGET, "b").expect("no response").status(), 200);
         upstream.next_request();
         program.pause();
-        client.send("post", BUDGET_TEXT, "b");
-        let sent = Instant::now();
-        std::thread::sleep(SLACK);
-        let passed = sent.elapsed();
+        client.send("post", BUDGET_HEADER, "b");
+        let sent_at = Instant::now();
+        std::thread::sleep(BUDGET_TOLERANCE);
+        let elapsed = sent_at.elapsed();
         program.resume();
-        assert_eq!(client.read_response().expect("an answer").status(), 200);
+        assert_eq!(client.read_response().expect("no response").status(), 200);
         let request = upstream.next_request();
-        // The machine may have held it up for longer, which nobody answers for.
-        if passed < SLACK + Duration::from_millis(8) {
-            in_time(&request, BUDGET, passed, "held up");
-            measured += 1;
+        // A longer pause by a busy machine is not the program's fault.
+        if elapsed < BUDGET_TOLERANCE + Duration::from_millis(8) {
+            assert_budget_in_time(&request, BUDGET, elapsed, "paused");
+            measurements += 1;
         }
-        measured == MEASURED
+        measurements == MEASUREMENTS
     });
 }
 
-const TRIALS: usize = 40;
+const MAX_TRIALS: usize = 40;
 
-/// Tries until enough trials went as they should, some times at most.
-fn eventually_trials(mut is_enough: impl FnMut() -> bool) {
-    assert!((0..TRIALS).any(|_| is_enough()), "too few trials went as they should");
+/// Repeats a trial until it succeeds, at most `MAX_TRIALS` times.
+fn assert_eventually_succeeds(mut trial_succeeds: impl FnMut() -> bool) {
+    assert!((0..MAX_TRIALS).any(|_| trial_succeeds()), "no success in {MAX_TRIALS} trials");
 }
 
-/// Guards the same for a retry, and for a connection that comes up late.
+/// The same for a retry and for a connection that is established late.
 #[test]
-fn a_retry_and_a_late_connection_tell_what_is_left() {
-    let (first, crowded, discovery) = (ManualPeer::open(), BlockedListener::open(), Discovery::start());
+fn a_retry_and_a_late_connection_forward_the_remaining_budget() {
+    let (first, blocked, discovery) = (ManualPeer::open(), BlockedListener::open(), Discovery::start());
     let mut config = config(discovery.address, &[target("s-0", first.address, "in_service")]);
     config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
     let program = Program::start(&config);
     let mut client = program.connect();
-    client.send("post", BUDGET_TEXT, "b");
-    let mut line = first.accept();
-    in_time(&line.read(), BUDGET, Duration::ZERO, "first");
-    let sent = Instant::now();
+    client.send("post", BUDGET_HEADER, "b");
+    let mut connection = first.accept();
+    assert_budget_in_time(&connection.read(), BUDGET, Duration::ZERO, "first");
+    let sent_at = Instant::now();
     discovery
-        .publish(&[target("s-0", first.address, "in_service"), target("s-1", crowded.address, "in_service")]);
-    std::thread::sleep(HELD);
-    line.write(&rejected_response());
-    crowded.wait_for_pending(1);
-    std::thread::sleep(HELD);
-    let passed = sent.elapsed();
-    let second = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
-    in_time(&second.next_request(), BUDGET, passed, "second");
+        .publish(&[target("s-0", first.address, "in_service"), target("s-1", blocked.address, "in_service")]);
+    std::thread::sleep(DELAY);
+    connection.write(&rejected_response());
+    blocked.wait_for_pending(1);
+    std::thread::sleep(DELAY);
+    let elapsed = sent_at.elapsed();
+    let second = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+    assert_eq!(client.read_response().expect("no response").status(), 200);
+    assert_budget_in_time(&second.next_request(), BUDGET, elapsed, "second");
 }
 
-/// Guards the same for a body that is passed on as it comes: its time runs from its last byte.
+/// The same for a body that is forwarded as it arrives: its budget runs from its last byte.
 #[test]
-fn a_streamed_body_tells_what_is_left() {
+fn a_streamed_body_forwards_the_remaining_budget() {
     for is_late in [false, true] {
-        let crowded = BlockedListener::open();
-        let program = Program::start(&alone_at(crowded.address, true));
-        let whole = request_text("post", BUDGET_TEXT, &"b".repeat(100_000));
+        let blocked = BlockedListener::open();
+        let program = Program::start(&config_with_upstream_at(blocked.address, true));
+        let whole = request_text("post", BUDGET_HEADER, &"b".repeat(100_000));
         let (start, end) = whole.split_at(whole.len() - if is_late { 5 } else { 0 });
         let mut client = program.connect();
         client.write(start);
-        crowded.wait_for_pending(1); // it has been read
-        let sent = Instant::now();
-        std::thread::sleep(HELD);
-        let mut passed = sent.elapsed();
-        let upstream = crowded.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
+        blocked.wait_for_pending(1); // the request has been read
+        let sent_at = Instant::now();
+        std::thread::sleep(DELAY);
+        let mut elapsed = sent_at.elapsed();
+        let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
         if is_late {
-            upstream_connected(&upstream);
-            passed = Duration::ZERO; // its time begins now
+            wait_until_connected(&upstream);
+            elapsed = Duration::ZERO; // the budget starts with the last byte, written below
             client.write(end);
         }
-        assert_eq!(client.read_response().expect("an answer").status(), 200);
-        in_time(&upstream.next_request(), BUDGET, passed, &format!("last byte late: {is_late}"));
+        assert_eq!(client.read_response().expect("no response").status(), 200);
+        assert_budget_in_time(
+            &upstream.next_request(),
+            BUDGET,
+            elapsed,
+            &format!("last byte late: {is_late}"),
+        );
     }
 }
 
-fn upstream_connected(upstream: &Upstream) {
+fn wait_until_connected(upstream: &Upstream) {
     while !matches!(
-        upstream.events.recv_timeout(TEST_TIMEOUT).expect("a connection"),
+        upstream.events.recv_timeout(TEST_TIMEOUT).expect("no connection in time"),
         UpstreamEvent::Connected
     ) {}
 }
 
-/// Guards the same over tiers in a row, each of which works for a while.
+/// The same over several tiers, each of which works for a while before it sends its own request.
 #[test]
-fn tiers_in_a_row_tell_what_is_left() {
+fn tiers_in_a_row_forward_the_remaining_budget() {
     const TIERS: usize = 4;
     let work = Duration::from_millis(50);
     let last = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let mut programs = vec![Program::start(&alone_at(last.address, true))];
+    let mut programs = vec![Program::start(&config_with_upstream_at(last.address, true))];
     for _ in 1..TIERS {
         let below = programs.last().unwrap().address;
         let tier = Upstream::start(move |message| {
-            let begun = Instant::now();
+            let started = Instant::now();
             std::thread::sleep(work);
-            let left = told(message).saturating_sub(begun.elapsed());
+            let remaining = forwarded_budget(message).saturating_sub(started.elapsed());
             let mut stream = TcpStream::connect(below).unwrap();
             stream
-                .write_all(request_text("post", &format!("{:.6}", left.as_secs_f64()), "b").as_bytes())
+                .write_all(request_text("post", &format!("{:.6}", remaining.as_secs_f64()), "b").as_bytes())
                 .unwrap();
-            let answer = Message::read(&mut std::io::BufReader::new(stream)).expect("an answer");
-            assert_eq!(answer.status(), 200);
+            let response = Message::read(&mut std::io::BufReader::new(stream)).expect("no response");
+            assert_eq!(response.status(), 200);
             UpstreamAction::Respond(ok_response(""))
         });
-        programs.push(Program::start(&alone_at(tier.address, true)));
+        programs.push(Program::start(&config_with_upstream_at(tier.address, true)));
     }
     let mut client = programs.last().unwrap().connect();
-    let sent = Instant::now();
-    assert_eq!(client.request("post", BUDGET_TEXT, "b").expect("an answer").status(), 200);
-    let passed = work * (TIERS as u32 - 1);
-    assert!(sent.elapsed() >= passed);
+    let sent_at = Instant::now();
+    assert_eq!(client.request("post", BUDGET_HEADER, "b").expect("no response").status(), 200);
+    let elapsed = work * (TIERS as u32 - 1);
+    assert!(sent_at.elapsed() >= elapsed);
     let request = last.next_request();
-    in_time(&request, BUDGET, passed + SLACK, "after all tiers, with no slack");
+    assert_budget_in_time(&request, BUDGET, elapsed + BUDGET_TOLERANCE, "after all tiers, without tolerance");
 }
 
-/// Guards upstreams against requests that they could only drop: the client has its refusal at once.
+/// Guards upstreams against requests that they could only drop: the client is refused at once.
 #[test]
 fn a_request_with_hardly_any_time_left_is_refused_without_an_attempt() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&alone_at(upstream.address, true));
+    let program = Program::start(&config_with_upstream_at(upstream.address, true));
     assert_eq!(program.connect().request("post", LONG_BUDGET, "b").unwrap().status(), 200);
     for budget in ["0.0", "0.004", "0.009"] {
         for class in ["look", "pay", "post"] {
