--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -1,4 +1,4 @@
-//! A request gets its final answer by its time and half a second, whatever its upstream and other clients do.
+//! A request gets its final response within its budget and half a second, whatever its upstream and other clients do.
 
 mod common;
 
@@ -9,93 +9,111 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request's time where its end is waited for, as clients write it.
-const SHORT: &str = "0.8";
-const SHORT_TIME: Duration = Duration::from_millis(800);
-/// A final answer is owed so long after a request's time.
-const OWED_WITHIN: Duration = Duration::from_millis(500);
+/// The `X-Budget` of requests that run out of time, in seconds.
+const SHORT_BUDGET: &str = "0.8";
+/// `SHORT_BUDGET` as a duration.
+const SHORT_BUDGET_DURATION: Duration = Duration::from_millis(800);
+/// A final response is due within this time of the end of the budget.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
+/// Length of a body that is streamed rather than buffered.
 const LENGTH: usize = 300_000;
 
-fn served_by(upstream: &Upstream) -> Program {
+/// Starts the program with this upstream alone.
+fn start_with_upstream(upstream: &Upstream) -> Program {
     Program::start(&config(refusing_address(), &in_service(&[upstream])))
 }
 
-/// What a client got before its connection ended, or its answer was whole.
-struct Ending {
-    /// From the request on.
-    took: Duration,
-    /// The answer, if it came whole.
-    answer: Option<Message>,
+/// How a request ended.
+struct RequestOutcome {
+    /// Time from sending the request to the end of the response or the connection.
+    elapsed: Duration,
+    /// The response, if it is complete.
+    response: Option<Message>,
 }
 
-/// One request with a short time on a connection of its own.
-fn ends(program: &Program) -> Ending {
+/// Sends one request with a short budget on a new connection.
+fn send_short_request(program: &Program) -> RequestOutcome {
     let mut client = program.connect();
-    let sent = Instant::now();
-    let answer = client.request("post", SHORT, "b");
-    Ending { took: sent.elapsed(), answer }
+    let sent_at = Instant::now();
+    let response = client.request("post", SHORT_BUDGET, "b");
+    RequestOutcome { elapsed: sent_at.elapsed(), response }
 }
 
-/// Guards a client whose upstream stops for good within its answer. It is broken off in a way that the client can tell,
-/// in time; hold-ups of the machine are not the program's.
+/// Guards a client whose upstream stalls for good within its response. The response has to break off in time and so that
+/// the client can tell; delays by the machine are not the program's fault.
 #[test]
-fn an_answer_that_stops_or_drips_ends_in_time() {
-    let some = |length| vec![b'a'; length];
-    let begun = |head: &str, length| [head.as_bytes(), &some(length)].concat();
+fn a_response_that_stalls_or_trickles_ends_in_time() {
+    let filler = |length| vec![b'a'; length];
+    let started_body = |head: &str, length| [head.as_bytes(), &filler(length)].concat();
     let pause = Duration::from_millis(100);
     let cases = [
-        ("a head stops", stall_after("HTTP/1.1 200 OK\r\nContent-Le"), Some(502)),
-        ("no length, no bytes", stall_after(HEAD_WITHOUT_LENGTH), None),
-        ("no length, stops", stall_after(begun(HEAD_WITHOUT_LENGTH, 100)), None),
-        ("no length, drips", trickle_after(begun(HEAD_WITHOUT_LENGTH, 100), "a", pause), None),
-        ("no length, stops late", stall_after(begun(HEAD_WITHOUT_LENGTH, 100_000)), None),
-        ("stops in a chunk", stall_after(begun(&format!("{CHUNKED_HEAD}ffff\r\n"), 100)), None),
-        ("stops behind a chunk", stall_after([CHUNKED_HEAD.as_bytes(), &chunk(&some(100))].concat()), None),
-        ("chunks drip", trickle_after(CHUNKED_HEAD, chunk(b"a"), pause), None),
-        ("a short one stops", stall_after(begun(&head_with_length(200), 100)), Some(502)),
-        ("a long one stops", stall_after(begun(&head_with_length(LENGTH), 100_000)), None),
-        ("a long one drips", trickle_after(begun(&head_with_length(LENGTH), 100_000), "a", pause), None),
+        ("the head stalls", stall_after("HTTP/1.1 200 OK\r\nContent-Le"), Some(502)),
+        ("no length, no body", stall_after(HEAD_WITHOUT_LENGTH), None),
+        ("no length, stalls", stall_after(started_body(HEAD_WITHOUT_LENGTH, 100)), None),
+        ("no length, trickles", trickle_after(started_body(HEAD_WITHOUT_LENGTH, 100), "a", pause), None),
+        ("no length, stalls late", stall_after(started_body(HEAD_WITHOUT_LENGTH, 100_000)), None),
+        ("stalls in a chunk", stall_after(started_body(&format!("{CHUNKED_HEAD}ffff\r\n"), 100)), None),
+        (
+            "stalls behind a chunk",
+            stall_after([CHUNKED_HEAD.as_bytes(), &chunk(&filler(100))].concat()),
+            None,
+        ),
+        ("chunks trickle", trickle_after(CHUNKED_HEAD, chunk(b"a"), pause), None),
+        ("a short body stalls", stall_after(started_body(&head_with_length(200), 100)), Some(502)),
+        ("a long body stalls", stall_after(started_body(&head_with_length(LENGTH), 100_000)), None),
+        (
+            "a long body trickles",
+            trickle_after(started_body(&head_with_length(LENGTH), 100_000), "a", pause),
+            None,
+        ),
     ];
-    let plays = cases.map(|(case, act, status)| {
+    let threads = cases.map(|(case, act, status)| {
         std::thread::spawn(move || {
             let upstream = Upstream::start(move |_| act.clone());
-            let program = served_by(&upstream);
-            in_time(case, || {
-                let Ending { took, answer } = ends(&program);
-                upstream.wait_for_close(); // nobody gets the rest
-                let got = answer.map(|answer| answer.status());
-                // Where the machine held up the start of the answer, it has not begun.
-                assert!(got == status || got == Some(502), "{case}: {got:?}");
-                assert!(took >= SHORT_TIME - Duration::from_millis(50), "{case}: {took:?}, it was cut short");
-                took
+            let program = start_with_upstream(&upstream);
+            assert_in_time(case, || {
+                let RequestOutcome { elapsed, response } = send_short_request(&program);
+                upstream.wait_for_close(); // the rest of the response is not read
+                let received = response.map(|response| response.status());
+                // A busy machine may delay the start of the response so that it never begins.
+                assert!(received == status || received == Some(502), "{case}: {received:?}");
+                assert!(
+                    elapsed >= SHORT_BUDGET_DURATION - Duration::from_millis(50),
+                    "{case}: cut off after {elapsed:?}"
+                );
+                elapsed
             });
         })
     });
-    plays.into_iter().for_each(|play| play.join().unwrap());
+    threads.into_iter().for_each(|thread| thread.join().unwrap());
 }
 
-/// Plays this until it takes no longer than a final answer may. A busy machine holds it up now and then, but not for
-/// long.
-fn in_time(case: &str, mut play: impl FnMut() -> Duration) {
-    const PLAYS: usize = 5;
-    const MOST: Duration = Duration::from_secs(4);
-    let times: Vec<Duration> =
-        (0..PLAYS).map(|_| play()).take_while(|took| *took >= SHORT_TIME + OWED_WITHIN).collect();
-    assert!(times.len() < PLAYS && times.iter().all(|took| *took < MOST), "{case}: {times:?}");
+/// Repeats a request until its final response comes in time. A busy machine delays one now and then, but not for long.
+fn assert_in_time(case: &str, mut send_request: impl FnMut() -> Duration) {
+    const MAX_TRIES: usize = 5;
+    const MAX_ELAPSED: Duration = Duration::from_secs(4);
+    let times: Vec<Duration> = (0..MAX_TRIES)
+        .map(|_| send_request())
+        .take_while(|elapsed| *elapsed >= SHORT_BUDGET_DURATION + MAX_RESPONSE_DELAY)
+        .collect();
+    assert!(
+        times.len() < MAX_TRIES && times.iter().all(|elapsed| *elapsed < MAX_ELAPSED),
+        "{case}: {times:?}"
+    );
 }
 
-/// A client of HTTP/1.0 gets no chunks: only a reset tells it that the answer broke off.
+/// An HTTP/1.0 client gets no chunks: only a reset tells it that the response broke off.
 #[test]
-fn an_answer_that_stops_is_reset_for_an_old_client() {
+fn a_stalled_response_is_reset_for_an_http_1_0_client() {
     let upstream = Upstream::start(|_| stall_after(format!("{HEAD_WITHOUT_LENGTH}some")));
-    let program = served_by(&upstream);
+    let program = start_with_upstream(&upstream);
     let mut client = program.connect();
-    client.write(&request_text("post", SHORT, "").replace("HTTP/1.1", "HTTP/1.0"));
-    let mut got = Vec::new();
-    assert!(client.input.read_to_end(&mut got).is_err(), "{:?}", String::from_utf8_lossy(&got));
+    client.write(&request_text("post", SHORT_BUDGET, "").replace("HTTP/1.1", "HTTP/1.0"));
+    let mut received = Vec::new();
+    assert!(client.input.read_to_end(&mut received).is_err(), "{:?}", String::from_utf8_lossy(&received));
 }
 
-/// Pieces of an answer that takes 3 s: an eightieth each 40 ms.
+/// The pieces of a response that takes 3 s: an eightieth every 40 ms.
 fn slow_pieces(head: &str, body: &[u8], chunked: bool) -> Vec<Vec<u8>> {
     let mut pieces: Vec<Vec<u8>> = body
         .chunks(body.len().div_ceil(80))
@@ -108,72 +126,76 @@
     pieces
 }
 
-/// Plays this until the answer comes whole. One that is broken off counts where its upstream wrote in time.
-fn comes_whole(upstream: &Upstream, body: &[u8], lateness: &MaxDelay) {
-    let program = served_by(upstream);
-    const PLAYS: usize = 20;
-    const HELD_UP: Duration = Duration::from_millis(100);
-    for _ in 0..PLAYS {
-        lateness.reset();
-        let Ending { took, answer } = ends(&program);
-        match answer {
-            Some(answer) if answer.body == body => return,
-            Some(answer) if answer.status() == 502 => continue, // held up before it began
-            _ => upstream.wait_for_close(),                     // a piece that was late is noted by now
+/// Repeats a request until the response is complete. A response that broke off counts only if its upstream wrote in time.
+fn assert_complete_response(upstream: &Upstream, body: &[u8], max_delay: &MaxDelay) {
+    let program = start_with_upstream(upstream);
+    const MAX_TRIES: usize = 20;
+    const TOLERATED_DELAY: Duration = Duration::from_millis(100);
+    for _ in 0..MAX_TRIES {
+        max_delay.reset();
+        let RequestOutcome { elapsed, response } = send_short_request(&program);
+        match response {
+            Some(response) if response.body == body => return,
+            Some(response) if response.status() == 502 => continue, // delayed by the machine before it began
+            _ => upstream.wait_for_close(), // the delay of its last piece is recorded by now
         }
-        let late = lateness.max();
-        assert!(late > HELD_UP, "an answer that goes on is broken off after {took:?}, {late:?} late");
+        let delay = max_delay.max();
+        assert!(
+            delay > TOLERATED_DELAY,
+            "a response that goes on broke off after {elapsed:?}, with a delay of {delay:?}"
+        );
     }
-    panic!("the upstream is held up all the time");
+    panic!("the machine delayed the upstream in all {MAX_TRIES} tries");
 }
 
-/// Guards a long answer from a slow upstream: what it still gives past its request's time is not cut off.
+/// Guards a long response from a slow upstream: what it still sends past its request's budget must not be cut off.
 #[test]
-fn a_slow_answer_that_goes_on_comes_whole() {
+fn a_slow_response_that_goes_on_is_completed() {
     let cases = [
         (head_with_length(100_000), 100_000, false),
         (CHUNKED_HEAD.to_owned(), 100_000, true),
         (HEAD_WITHOUT_LENGTH.to_owned(), 100_000, false),
         (HEAD_WITHOUT_LENGTH.to_owned(), 30_000, false),
     ];
-    let answers = cases.map(|(head, length, chunked)| {
+    let threads = cases.map(|(head, length, chunked)| {
         std::thread::spawn(move || {
-            let body: Vec<u8> = (0..length).map(|at| at as u8).collect();
+            let body: Vec<u8> = (0..length).map(|index| index as u8).collect();
             let pieces = slow_pieces(&head, &body, chunked);
-            let (lateness, pause) = (MaxDelay::default(), Duration::from_millis(40));
-            let noting = lateness.clone();
-            let upstream =
-                Upstream::start(move |_| write_paced_recording(pieces.clone(), pause, noting.clone()));
-            comes_whole(&upstream, &body, &lateness);
+            let (max_delay, pause) = (MaxDelay::default(), Duration::from_millis(40));
+            let upstream_delay = max_delay.clone();
+            let upstream = Upstream::start(move |_| {
+                write_paced_recording(pieces.clone(), pause, upstream_delay.clone())
+            });
+            assert_complete_response(&upstream, &body, &max_delay);
         })
     });
-    answers.into_iter().for_each(|answer| answer.join().unwrap());
+    threads.into_iter().for_each(|thread| thread.join().unwrap());
 }
 
-/// A long answer that has gone on past its request's time may pause then.
+/// A long response that has gone on past its request's budget may pause then.
 #[test]
-fn a_long_answer_may_pause_past_its_time() {
+fn a_long_response_may_pause_past_its_budget() {
     let body = vec![b'a'; LENGTH];
     let pieces = slow_pieces(&head_with_length(LENGTH), &body, false);
-    let lateness = MaxDelay::default();
-    let noting = lateness.clone();
+    let max_delay = MaxDelay::default();
+    let upstream_delay = max_delay.clone();
     let upstream = Upstream::start(move |_| {
-        let (first, rest) = (pieces[..40].to_vec(), pieces[40..].concat()); // to 1.6 s, twice its time
-        let UpstreamAction::Run(begins) =
-            write_paced_recording(first, Duration::from_millis(40), noting.clone())
+        let (first, remaining) = (pieces[..40].to_vec(), pieces[40..].concat()); // up to 1.6 s, twice the budget
+        let UpstreamAction::Run(write_first) =
+            write_paced_recording(first, Duration::from_millis(40), upstream_delay.clone())
         else {
             unreachable!()
         };
         UpstreamAction::Run(Arc::new(move |stream| {
-            begins(stream);
+            write_first(stream);
             std::thread::sleep(Duration::from_millis(1400));
-            stream.write_all(&rest).ok();
+            stream.write_all(&remaining).ok();
         }))
     });
-    comes_whole(&upstream, &body, &lateness);
+    assert_complete_response(&upstream, &body, &max_delay);
 }
 
-/// Reads a head from an answer.
+/// Reads the head of a response.
 fn read_head(input: &mut impl BufRead) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -182,19 +204,19 @@
     head
 }
 
-/// The operators' figures.
-fn read_counters(door: SocketAddr) -> serde_json::Value {
-    let mut stream = TcpStream::connect(door).unwrap();
+/// Reads the counters of the admin listener.
+fn read_counters(admin: SocketAddr) -> serde_json::Value {
+    let mut stream = TcpStream::connect(admin).unwrap();
     stream.write_all(b"GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n").unwrap();
-    let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
-    serde_json::from_slice(&answer.body).unwrap()
+    let response = Message::read(&mut BufReader::new(stream)).expect("no response");
+    serde_json::from_slice(&response.body).unwrap()
 }
 
-/// Guards the memory, the places and the figures: an answer that was broken off leaves nothing behind.
+/// Guards memory, client connections and counters: a response that broke off must leave nothing behind.
 #[test]
-fn answers_that_stop_give_back_all_that_they_held() {
-    const STOPPED: usize = 200; // of 64 KiB each, where 8 MB are there for bodies
-    const AT_ONCE: usize = 50;
+fn stalled_responses_release_all_resources() {
+    const STALLED_RESPONSES: usize = 200; // of 64 KiB each, more than the 8 MB available for bodies
+    const CONCURRENT_CLIENTS: usize = 50;
     let upstream = Upstream::start(|message| match message.first_line.contains("/post") {
         true => stall_after(format!("{HEAD_WITHOUT_LENGTH}some")),
         false => UpstreamAction::Respond(ok_response("served")),
@@ -203,91 +225,91 @@
     config["admin_addr"] = "127.0.0.1:0".into();
     config["limits"]["memory_mb"] = 32.into();
     let mut program = Program::start(&config);
-    let door =
+    let admin =
         program.wait_for_log("operators are served").trim().rsplit(' ').next().unwrap().parse().unwrap();
-    let body = "b".repeat(60_000); // takes as much of the memory as one of the others
-    assert_eq!(program.connect().request("pay", LONG_BUDGET, &body).expect("an answer").status(), 200);
-    let before = program.descriptor_count();
+    let body = "b".repeat(60_000); // uses as much memory as one stalled response
+    assert_eq!(program.connect().request("pay", LONG_BUDGET, &body).expect("no response").status(), 200);
+    let descriptors_before = program.descriptor_count();
     let mut failures = 0;
-    while failures < STOPPED {
-        let mut clients: Vec<Client> = (0..AT_ONCE).map(|_| program.connect()).collect();
+    while failures < STALLED_RESPONSES {
+        let mut clients: Vec<Client> = (0..CONCURRENT_CLIENTS).map(|_| program.connect()).collect();
         clients.iter_mut().for_each(|client| client.send("post", "0.2", "b"));
         for client in &mut clients {
-            let status = client.read_response().map(|answer| answer.status());
+            let status = client.read_response().map(|response| response.status());
             assert!([None, Some(502), Some(503)].contains(&status), "{status:?}");
-            failures += usize::from(status != Some(503)); // its breaker may refuse some
+            failures += usize::from(status != Some(503)); // an open circuit breaker refuses some
         }
-        // An open breaker lets a trial through now and then: calls in between would only be refused.
-        eventually("it serves again", || {
-            program.connect().request("pay", LONG_BUDGET, &body).expect("an answer").status() == 200
+        // An open circuit breaker lets a trial request through now and then; other requests would only be refused.
+        eventually("the program serves again", || {
+            program.connect().request("pay", LONG_BUDGET, &body).expect("no response").status() == 200
         });
     }
-    eventually("all descriptors are given back", || program.descriptor_count() <= before);
-    eventually("nothing is open", || read_counters(door)["inflight"] == 0);
-    eventually("all is counted", || read_counters(door)["calls"]["post"]["failure"] == failures);
+    eventually("all descriptors are released", || program.descriptor_count() <= descriptors_before);
+    eventually("no request is in flight", || read_counters(admin)["inflight"] == 0);
+    eventually("all failures are counted", || read_counters(admin)["calls"]["post"]["failure"] == failures);
 }
 
-/// An upstream whose long answers to `post` stop, which holds their clients for as long as they have time.
-fn holds_posts() -> Upstream {
+/// An upstream whose long responses to `post` stall, so that their clients are served until their budgets end.
+fn stall_posts() -> Upstream {
     Upstream::start(|message| match message.first_line.contains("/post") {
         true => stall_after([head_with_length(LENGTH).as_bytes(), &[b'a'; 100_000]].concat()),
         false => UpstreamAction::Respond(ok_response("served")),
     })
 }
 
-/// A client that has asked for a long answer.
-fn asks_for_much(program: &Program) -> Client {
+/// Opens a client connection that has requested a long response.
+fn request_long_body(program: &Program) -> Client {
     let mut client = program.connect();
     client.send("post", LONG_BUDGET, "b");
     client
 }
 
-/// How long a final answer takes, `None` where the connection is closed.
-fn answered(program: &Program, class: &str, body: &str) -> Option<Duration> {
+/// How long a final response takes; `None` if the connection is closed.
+fn response_time(program: &Program, class: &str, body: &str) -> Option<Duration> {
     let mut client = program.connect();
-    let sent = Instant::now();
-    let answer = client.request(class, SHORT, body)?;
-    assert!([200, 502, 503].contains(&answer.status()), "{}", answer.first_line);
-    Some(sent.elapsed())
+    let sent_at = Instant::now();
+    let response = client.request(class, SHORT_BUDGET, body)?;
+    assert!([200, 502, 503].contains(&response.status()), "{}", response.first_line);
+    Some(sent_at.elapsed())
 }
 
-/// Guards small requests against others that hold the whole budget of bodies, and take nothing of their answers.
+/// Guards small requests against others that use up the memory for bodies and never read their responses.
 #[test]
-fn small_requests_are_answered_in_time_while_bulk_readers_hold_the_memory() {
-    const BULK: usize = 200; // 64 KiB each, where 8 MB are there for bodies
-    let upstream = holds_posts();
+fn small_requests_are_answered_in_time_while_bulk_clients_use_up_the_memory() {
+    const BULK_CLIENTS: usize = 200; // of 64 KiB each, more than the 8 MB available for bodies
+    let upstream = stall_posts();
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
     config["limits"]["memory_mb"] = 32.into();
     let program = Program::start(&config);
-    let mut bulk: Vec<Client> = (0..BULK).map(|_| asks_for_much(&program)).collect();
-    bulk.iter_mut().for_each(|client| drop(read_head(&mut client.input)));
-    let body = "b".repeat(65_500); // the bodies of the others leave no room for all of it
+    let mut bulk_clients: Vec<Client> = (0..BULK_CLIENTS).map(|_| request_long_body(&program)).collect();
+    bulk_clients.iter_mut().for_each(|client| drop(read_head(&mut client.input)));
+    let body = "b".repeat(65_500); // does not fit into the memory that the other bodies leave
     for class in ["look", "pay"].repeat(20) {
-        in_time(class, || answered(&program, class, &body).expect("a final answer"));
+        assert_in_time(class, || response_time(&program, class, &body).expect("no final response"));
     }
 }
 
-/// Guards requests against others that hold all places with answers that they don't take, beside a rush of peers that
-/// say nothing, half a head or nonsense.
+/// Guards requests against others that use up all connections with responses that they never read, beside many clients
+/// that send nothing, half a head or garbage.
 #[test]
-fn requests_are_answered_in_time_while_others_hold_all_places() {
-    const CONNECTIONS: usize = 10;
-    let upstream = holds_posts();
+fn requests_are_answered_in_time_while_others_use_up_all_connections() {
+    const MAX_CONNECTS: usize = 10;
+    let upstream = stall_posts();
     let mut config = config(refusing_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 128.into(); // room for 54 clients
+    config["limits"]["sockets"] = 128.into(); // allows 54 client connections
     let program = Program::start_with_descriptor_limit(&config);
-    let held: Vec<Client> = (0..54).map(|_| asks_for_much(&program)).collect();
-    eventually("all places are held", || program.client_connections() >= held.len());
-    let rush: Vec<IdleClients> =
+    let stalled_clients: Vec<Client> = (0..54).map(|_| request_long_body(&program)).collect();
+    eventually("all client connections are in use", || program.client_connections() >= stalled_clients.len());
+    let idle_clients: Vec<IdleClients> =
         [String::new, || "GET /look HTT".to_owned(), || "\u{16}\u{3}\u{1}".to_owned()]
-            .map(|says: fn() -> String| IdleClients::connect(program.address, 60, says))
+            .map(|initial_text: fn() -> String| IdleClients::connect(program.address, 60, initial_text))
             .into();
     for _ in 0..50 {
-        // In a crowd a new connection may be closed before its request is read; its client comes again.
-        let mut plays = (0..CONNECTIONS).filter_map(|_| answered(&program, "look", ""));
-        in_time("look", || plays.next().expect("a final answer"));
+        // With this many clients a new connection may be closed before its request is read; its client connects again.
+        let mut response_times = (0..MAX_CONNECTS).filter_map(|_| response_time(&program, "look", ""));
+        assert_in_time("look", || response_times.next().expect("no final response"));
     }
-    drop(rush);
-    held.iter().for_each(|client| drop(client.input.get_ref().shutdown(Shutdown::Both)));
-    eventually("the places are given back", || program.client_connections() < 20);
+    drop(idle_clients);
+    stalled_clients.iter().for_each(|client| drop(client.input.get_ref().shutdown(Shutdown::Both)));
+    eventually("the connections are closed", || program.client_connections() < 20);
 }
