--- a/tests/attempt_timing.rs
+++ b/tests/attempt_timing.rs
@@ -40,8 +40,8 @@
 ];
 
 /// Disconnects a client from a program that may be paused; a stream that is returned has to be kept. Dropping it is not
-/// enough, as a program that another test is just spawning may hold a copy of the socket: it is shut down, and the arrival
-/// of a reset is waited for.
+/// enough, as a program that another test is just spawning may hold a copy of the socket: it is shut down, and the
+/// arrival of a reset is waited for.
 fn disconnect_client(program: &Program, client: Client, disconnect: Disconnect) -> Option<TcpStream> {
     let mut stream = client.input.into_inner();
     match disconnect {
@@ -104,8 +104,8 @@
 
 // ---- Clients that disconnect before an attempt ----
 
-/// Guards upstreams against work whose client is gone: a connect is given up with its client, also where the disconnect
-/// shows only after the bytes in front of it are read.
+/// Guards upstreams against work whose client has disconnected: a connect is given up with its client, also where the
+/// disconnect shows only after the bytes in front of it are read.
 #[test]
 fn a_client_that_disconnects_during_a_connect_gets_no_attempt() {
     for_each_disconnect(|disconnect, may_cancel| {
@@ -296,11 +296,14 @@
 
 /// Far longer than the kernel takes to establish a connection that found the backlog full.
 const BUDGET: Duration = Duration::from_secs(60);
+/// `BUDGET` as the client writes it in `X-Budget`.
 const BUDGET_HEADER: &str = LONG_BUDGET;
+/// How long a test holds a step back.
 const DELAY: Duration = Duration::from_millis(400);
 
-/// Guards the budget that an upstream receives where a new process waits for its first list. A busy machine may delay the
-/// process so that it reads the requests late or stops waiting for the list, so one of several trials has to succeed.
+/// Guards the budget that an upstream receives where a new process waits for its first list. A busy machine may delay
+/// the process so that it reads the requests late or stops waiting for the list, so one of several trials has to
+/// succeed.
 #[test]
 fn a_request_that_waits_for_the_first_list_forwards_the_remaining_budget() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
@@ -357,6 +360,7 @@
     });
 }
 
+/// Trials after which a timed check fails.
 const MAX_TRIALS: usize = 40;
 
 /// Repeats a trial until it succeeds, at most `MAX_TRIALS` times.
@@ -394,8 +398,8 @@
     for is_late in [false, true] {
         let blocked = BlockedListener::open();
         let program = Program::start(&config_with_upstream_at(blocked.address, true));
-        let whole = request_text("post", BUDGET_HEADER, &"b".repeat(100_000));
-        let (start, end) = whole.split_at(whole.len() - if is_late { 5 } else { 0 });
+        let complete_request = request_text("post", BUDGET_HEADER, &"b".repeat(100_000));
+        let (start, end) = complete_request.split_at(complete_request.len() - if is_late { 5 } else { 0 });
         let mut client = program.connect();
         client.write(start);
         blocked.wait_for_pending(1); // the request has been read
@@ -418,6 +422,7 @@
     }
 }
 
+/// Waits until the balancer has connected to the upstream.
 fn wait_until_connected(upstream: &Upstream) {
     while !matches!(
         upstream.events.recv_timeout(TEST_TIMEOUT).expect("no connection in time"),
@@ -429,16 +434,16 @@
 #[test]
 fn tiers_in_a_row_forward_the_remaining_budget() {
     const TIERS: usize = 4;
-    let work = Duration::from_millis(50);
+    let work_time = Duration::from_millis(50);
     let last = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let mut programs = vec![Program::start(&config_with_upstream_at(last.address, true))];
     for _ in 1..TIERS {
-        let below = programs.last().unwrap().address;
+        let next_tier_address = programs.last().unwrap().address;
         let tier = Upstream::start(move |message| {
             let started = Instant::now();
-            std::thread::sleep(work);
+            std::thread::sleep(work_time);
             let remaining = forwarded_budget(message).saturating_sub(started.elapsed());
-            let mut stream = TcpStream::connect(below).unwrap();
+            let mut stream = TcpStream::connect(next_tier_address).unwrap();
             stream
                 .write_all(request_text("post", &format!("{:.6}", remaining.as_secs_f64()), "b").as_bytes())
                 .unwrap();
@@ -451,7 +456,7 @@
     let mut client = programs.last().unwrap().connect();
     let sent_at = Instant::now();
     assert_eq!(client.request("post", BUDGET_HEADER, "b").expect("no response").status(), 200);
-    let elapsed = work * (TIERS as u32 - 1);
+    let elapsed = work_time * (TIERS as u32 - 1);
     assert!(sent_at.elapsed() >= elapsed);
     let request = last.next_request();
     assert_budget_in_time(&request, BUDGET, elapsed + BUDGET_TOLERANCE, "after all tiers, without tolerance");
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -11,6 +11,7 @@
 
 /// Length of a body that is streamed rather than buffered.
 const LENGTH: usize = 300_000;
+/// The head of a response with a chunked body.
 const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Starts the program with this upstream alone.
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -53,6 +53,7 @@
         Some(Self { first_line, headers, body })
     }
 
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
@@ -162,6 +163,7 @@
     }
 }
 
+/// Handles the requests of one connection to a stand-in upstream.
 fn upstream_connection(
     stream: TcpStream,
     act: &impl Fn(&Message) -> UpstreamAction,
@@ -201,6 +203,7 @@
     listen_on(TcpListener::bind("127.0.0.1:0").unwrap(), serve)
 }
 
+/// Handles each connection to a listener on its own thread, until the test ends.
 fn listen_on(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -545,6 +548,7 @@
     (child.wait().unwrap(), text)
 }
 
+/// Writes the configuration to a file and spawns the program with it; returns the process, its log and the file.
 fn spawn(
     config: &str,
     command: &mut Command,
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -46,7 +46,8 @@
     config
 }
 
-/// Connections are closed 3.1 s after the signal to stop, which leaves time to pause the program before on a busy machine.
+/// Connections are closed 3.1 s after the signal to stop, which leaves time to pause the program before on a busy
+/// machine.
 fn config_with_long_deadlines(upstream: &Upstream) -> serde_json::Value {
     let mut config = config_with_short_deadlines(upstream);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
@@ -241,8 +242,8 @@
     const CLIENTS: u32 = 100;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&config_with_upstream(&upstream));
-    let whole = request_text("look", LONG_BUDGET, "");
-    let (first_part, last) = whole.split_at(whole.len() - 2);
+    let complete_request = request_text("look", LONG_BUDGET, "");
+    let (first_part, last) = complete_request.split_at(complete_request.len() - 2);
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let mut client = program.connect();
@@ -269,10 +270,10 @@
 fn a_request_begun_on_a_connection_closed_for_another_client_is_refused() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&config_with_few_sockets(&upstream));
-    let whole = request_text("look", LONG_BUDGET, "");
+    let complete_request = request_text("look", LONG_BUDGET, "");
     let mut partial_clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| program.connect()).collect();
     for client in &mut partial_clients {
-        client.write(&whole[..30]);
+        client.write(&complete_request[..30]);
     }
     assert_eq!(program.request("look").status(), 200);
     // One of them is refused; the others get an error for their incomplete requests.
@@ -299,10 +300,10 @@
     for (client, request) in idle_clients.iter_mut().zip(&requests) {
         client.write(&request[..30]);
     }
-    let mut new: Vec<Client> = (0..8).map(|_| program.connect()).collect();
-    new.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
+    let mut new_clients: Vec<Client> = (0..8).map(|_| program.connect()).collect();
+    new_clients.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
     program.resume();
-    for client in &mut new {
+    for client in &mut new_clients {
         assert!([200, 503].contains(&client.read_response().expect("no response").status()));
     }
     for (client, request) in idle_clients.iter_mut().zip(&requests) {
@@ -314,8 +315,8 @@
 
 // ---- The signal to stop ----
 
-/// Race: when connections are closed, the response to the first of two requests is still being forwarded, without having
-/// said `Connection: close`, and the second request has been read.
+/// Race: when connections are closed, the response to the first of two requests is still being forwarded, without
+/// having said `Connection: close`, and the second request has been read.
 #[test]
 fn a_request_read_behind_a_response_that_goes_on_gets_a_response() {
     const LENGTH: usize = 200_000;
@@ -407,6 +408,7 @@
     });
 }
 
+/// Ends the program with a waiting backlog while `accept` fails with this error in half of its calls.
 fn check_backlog_with_failing_accept(error: &str) {
     const WAITING_CLIENTS: usize = 50;
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -162,7 +162,7 @@
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Guards upstreams against work whose client is gone, also where attempts in flight must not be cancelled.
+/// Guards upstreams against work whose client has disconnected, also where attempts in flight must not be cancelled.
 #[test]
 fn a_request_whose_client_disconnects_during_a_connect_is_not_sent_on() {
     for may_cancel in [true, false] {
@@ -191,8 +191,8 @@
     }
 }
 
-/// Guards upstreams against work whose client is gone, for a body too long to be buffered: nobody reads its rest during
-/// the connect, so the end of the client's connection lies unread behind it.
+/// Guards upstreams against work whose client has disconnected, for a body too long to be buffered: nobody reads its
+/// rest during the connect, so the end of the client's connection lies unread behind it.
 #[test]
 fn a_request_whose_client_disconnects_within_a_long_body_during_a_connect_is_not_sent_on() {
     let body = "b".repeat(100_000);
@@ -203,8 +203,8 @@
         config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
         let program = Program::start(&config);
         let mut client = program.connect();
-        let whole = request_text("post", LONG_BUDGET, &body);
-        client.write(&whole[..whole.len() - missing_bytes]);
+        let complete_request = request_text("post", LONG_BUDGET, &body);
+        client.write(&complete_request[..complete_request.len() - missing_bytes]);
         blocked.wait_for_pending(1);
         client.disconnect(disconnect_mode);
         blocked.wait_until_none_pending();
@@ -239,7 +239,7 @@
 /// No attempt may begin later than this after its client has disconnected.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 
-/// Guards upstreams against work whose client is gone where the balancer, after a pause, finds the established
+/// Guards upstreams against work whose client has disconnected where the balancer, after a pause, finds the established
 /// connection and the client's disconnect in the same poll of its sockets, the connection first.
 #[test]
 fn a_request_whose_client_disconnects_as_its_connection_comes_up_is_not_sent_on() {
@@ -251,8 +251,8 @@
             config["settings"]["Limits"]["ConnectTimeoutNs"] = 120_000_000_000_u64.into();
             let program = Program::start(&config);
             let mut client = program.connect();
-            let whole = request_text("post", LONG_BUDGET, body);
-            client.write(&whole[..whole.len() - missing_bytes]);
+            let complete_request = request_text("post", LONG_BUDGET, body);
+            client.write(&complete_request[..complete_request.len() - missing_bytes]);
             blocked.wait_for_pending(1);
             program.pause();
             let upstream = blocked.accept_connections(|_| UpstreamAction::Respond(ok_response("")));
@@ -365,8 +365,8 @@
                 [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)]
             {
                 let mut client = program.connect();
-                let whole = request_text("post", LONG_BUDGET, &"b".repeat(200_000));
-                client.write(&whole[..whole.len() - 5]);
+                let complete_request = request_text("post", LONG_BUDGET, &"b".repeat(200_000));
+                client.write(&complete_request[..complete_request.len() - 5]);
                 let mut connection = upstream.accept();
                 connection.input.read_exact(&mut vec![0; 190_000]).unwrap(); // well beyond what is buffered
                 client.disconnect(disconnect_mode);
@@ -423,8 +423,8 @@
     for size in [10, 60 << 10] {
         for disconnect_mode in [DisconnectMode::Fin, DisconnectMode::Rst, DisconnectMode::FinAfterBytes(3)] {
             let mut client = program.connect();
-            let whole = request_text("post", LONG_BUDGET, &"b".repeat(size));
-            client.write(&whole[..whole.len() - 5]);
+            let complete_request = request_text("post", LONG_BUDGET, &"b".repeat(size));
+            client.write(&complete_request[..complete_request.len() - 5]);
             disconnect_and_wait(&program, client, disconnect_mode);
         }
     }
@@ -455,13 +455,13 @@
         let (mut idle, mut half_read) = (program.connect(), program.connect());
         assert_eq!(idle.request("look", "0.4", "").unwrap().status(), 200);
         assert_eq!(half_read.request("look", "0.4", "").unwrap().status(), 200);
-        let whole = request_text("pay", "0.4", "a body");
-        half_read.write(&whole[..split]);
+        let complete_request = request_text("pay", "0.4", "a body");
+        half_read.write(&complete_request[..split]);
         program.terminate();
         assert!(idle.read_response().is_none(), "idle connections are closed");
         std::thread::sleep(SECOND); // beyond the time in which requests are still served
         upstream.take_request_count();
-        half_read.write(&whole[split..]);
+        half_read.write(&complete_request[split..]);
         let response = half_read
             .read_response()
             .unwrap_or_else(|| panic!("no response to a request half read in {part}"));
@@ -477,12 +477,12 @@
 fn requests_in_the_backlog_at_the_signal_are_answered() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     let program = Program::start(&short_lived(upstream.address));
-    let mut open = program.connect();
-    assert_eq!(open.request("look", "0.4", "").unwrap().status(), 200);
+    let mut idle_client = program.connect();
+    assert_eq!(idle_client.request("look", "0.4", "").unwrap().status(), 200);
     program.pause();
     program.terminate();
     let mut waiting_clients: Vec<Client> = (0..50).map(|_| program.connect()).collect();
-    waiting_clients.push(open);
+    waiting_clients.push(idle_client);
     waiting_clients.iter_mut().for_each(|client| client.send("look", "60", ""));
     std::thread::sleep(SECOND); // longer than clients are served after the signal
     program.resume();
@@ -635,7 +635,8 @@
 }
 
 /// Guards the drain rule: whatever failed before, and however often, a list must be applied in time once discovery
-/// responds. The worst moment for its recovery is just after a request that it leaves unanswered, followed by a failure.
+/// responds. The worst moment for its recovery is just after a request that it leaves unanswered, followed by a
+/// failure.
 #[test]
 fn a_list_is_applied_in_time_after_discovery_failed() {
     for mode in ["push", "ask"] {
@@ -714,8 +715,8 @@
     Watching,
 }
 
-/// Guards the drain rule at a SIGHUP, which leaves 4 s: neither an operation with the old address nor the failures there
-/// may delay the new one, also where the first request to the new address fails.
+/// Guards the drain rule at a SIGHUP, which leaves 4 s: neither an operation with the old address nor the failures
+/// there may delay the new one, also where the first request to the new address fails.
 #[test]
 fn sighup_is_applied_in_time_whatever_the_state_of_the_old_discovery_connection() {
     for mode in ["push", "ask"] {
@@ -736,6 +737,7 @@
     }
 }
 
+/// Moves discovery to another address by SIGHUP in this state, with a first request there that fails.
 fn check_sighup(mode: &str, state: StateAtSighup, failure: DiscoveryFailure, seed: &str) {
     let (old, new) = (
         Upstream::start(|_| UpstreamAction::Respond(ok_response("old"))),
@@ -852,7 +854,8 @@
     || request_text("look", LONG_BUDGET, ""),
     || request_text("look", LONG_BUDGET, "")[..20].into(),
 ];
-const PARTIAL_REQUEST: usize = 2;
+/// Index of the partial request in `INITIAL_TEXTS`.
+const PARTIAL_REQUEST_INDEX: usize = 2;
 
 /// A configuration with the small descriptor limit.
 fn config_with_few_descriptors(
@@ -898,6 +901,7 @@
     });
 }
 
+/// Changes the list by each way in turn, with idle clients that write `INITIAL_TEXTS[text_index]`.
 fn check_discovery_with_idle_clients(mode: &str, text_index: usize) {
     let case = format!("{mode}, {text_index}");
     let response_gate = Arc::new(Mutex::new(()));
@@ -927,7 +931,7 @@
     // A client that sent a part of a request keeps its connection for some time and keeps other clients out, but not
     // discovery.
     let wait_unless_partial_request = |body| {
-        if text_index != PARTIAL_REQUEST {
+        if text_index != PARTIAL_REQUEST_INDEX {
             wait_until_served_by(&program, body);
         }
     };
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -39,8 +39,8 @@
     RequestOutcome { elapsed: sent_at.elapsed(), response }
 }
 
-/// Guards a client whose upstream stalls for good within its response. The response has to break off in time and so that
-/// the client can tell; delays by the machine are not the program's fault.
+/// Guards a client whose upstream stalls for good within its response. The response has to break off in time and so
+/// that the client can tell; delays by the machine are not the program's fault.
 #[test]
 fn a_response_that_stalls_or_trickles_ends_in_time() {
     let filler = |length| vec![b'a'; length];
@@ -126,7 +126,8 @@
     pieces
 }
 
-/// Repeats a request until the response is complete. A response that broke off counts only if its upstream wrote in time.
+/// Repeats a request until the response is complete. A response that broke off counts only if its upstream wrote in
+/// time.
 fn assert_complete_response(upstream: &Upstream, body: &[u8], max_delay: &MaxDelay) {
     let program = start_with_upstream(upstream);
     const MAX_TRIES: usize = 20;
