--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -201,7 +201,7 @@
 
 // ---- Clients that time out ----
 
-/// Race: a client stops within a request and keeps its connection open.
+/// A client stops within a request and keeps its connection open.
 #[test]
 fn a_client_that_stops_within_a_request_has_its_error_in_time() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
@@ -398,7 +398,7 @@
 
 // ---- System calls that fail ----
 
-/// Race: `accept` fails temporarily while the backlog is accepted at the end.
+/// `accept` fails temporarily while the backlog is accepted at the end.
 #[test]
 fn a_backlog_at_the_end_is_answered_where_accept_fails() {
     std::thread::scope(|scope| {
@@ -429,7 +429,7 @@
     assert!(faults.injected_count("accept", error) > WAITING_CLIENTS / 4, "{error} was hardly injected");
 }
 
-/// Race: a socket option of an accepted connection cannot be set.
+/// A socket option of an accepted connection cannot be set.
 #[test]
 fn a_connection_whose_options_cannot_be_set_is_served() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response(&"a".repeat(LONG_BODY))));
@@ -444,7 +444,7 @@
     assert_eq!(faults.injected_count("setsockopt", "EINVAL"), 1);
 }
 
-/// Race: the response to a client that timed out is written in pieces.
+/// The response to a client that timed out is written in pieces.
 #[test]
 fn a_response_at_the_close_is_written_whole() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
