--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -1173,7 +1173,7 @@
         initial_capacity: config.start_capacity,
         overload_multiple: config.tip_multiple,
         warm_up_time: seconds(config.ramp_s),
-        reported_in_flight: None,
+        in_flight_figure_position: None,
         load_on_request: false,
         cross_zone_price: config.cross_price,
         load_query_price: 1.0,
--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -71,7 +71,7 @@
     }
 
     /// Number of listed endpoints that get no requests now: offline, draining, or with a tripped breaker.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_count(&self) -> usize {
         let listed = self.positions.values().map(|&position| &self.endpoints[position]);
         let listed = listed.filter(|endpoint| !endpoint.removed);
         listed.filter(|endpoint| !endpoint.in_service || endpoint.breaker.tripped).count()
--- a/src/decision/load_query.rs
+++ b/src/decision/load_query.rs
@@ -21,7 +21,7 @@
 /// Whether the settings enable load queries: they are allowed, needed and cheap enough.
 pub(crate) fn is_enabled(settings: &Settings) -> bool {
     let is_cheap_enough = MAX_QUERIED_ENDPOINTS as f64 * settings.load_query_price <= MAX_QUERY_COST;
-    is_cheap_enough && settings.load_on_request && settings.reported_in_flight.is_some()
+    is_cheap_enough && settings.load_on_request && settings.in_flight_figure_position.is_some()
 }
 
 /// Token of the timer after which the load query of a request times out.
@@ -38,7 +38,7 @@
 pub(crate) fn reported_in_flight(load: Option<LoadReport>, settings: &Settings) -> Option<f64> {
     let load = load?;
     let figures = &load.figures[..load.len];
-    figures.get(settings.reported_in_flight?).map(|&figure| f64::from(figure))
+    figures.get(settings.in_flight_figure_position?).map(|&figure| f64::from(figure))
 }
 
 /// An endpoint that is being queried.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -122,8 +122,8 @@
 
     /// Number of listed endpoints that receive no requests because they are offline, draining or have a tripped
     /// circuit breaker.
-    pub fn avoided(&self) -> usize {
-        self.endpoints.avoided()
+    pub fn unavailable_count(&self) -> usize {
+        self.endpoints.unavailable_count()
     }
 
     fn on_timer(&mut self, token: u64) {
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -92,7 +92,7 @@
     /// Time after which a cold endpoint is warm.
     pub warm_up_time: Duration,
     /// Position of the number of requests in flight in load reports, if they contain it.
-    pub reported_in_flight: Option<usize>,
+    pub in_flight_figure_position: Option<usize>,
     /// Endpoints report their load only in response to load queries, and load queries are allowed.
     pub load_on_request: bool,
     /// Cost of sending every request to another zone, as a fraction of the weight of all requests.
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -44,7 +44,7 @@
 
     /// Updates the counts of listed endpoints and of those that get no requests.
     pub(super) fn update_host_counts(&self) {
-        self.counters.set_hosts(self.endpoints.len(), self.balancer.avoided());
+        self.counters.set_hosts(self.endpoints.len(), self.balancer.unavailable_count());
     }
 
     /// Passes an order to the shared folder's thread, or rejects it.
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -463,7 +463,7 @@
         initial_capacity: raw.safety.start_capacity,
         overload_multiple: raw.safety.tip_multiple,
         warm_up_time: raw.safety.ramp_time_ns,
-        reported_in_flight: fields.iter().position(|field| field == "inflight"),
+        in_flight_figure_position: fields.iter().position(|field| field == "inflight"),
         cross_zone_price: prices.cross_zone,
         load_query_price: prices.probe,
         load_on_request: raw.limits.may_probe && via.as_deref() == Some("probe"),
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -228,7 +228,7 @@
             initial_capacity: self.case.initial_capacity,
             overload_multiple: self.case.overload_multiple,
             warm_up_time: WARM_UP_TIME,
-            reported_in_flight: self.case.answers_load_queries.then_some(0),
+            in_flight_figure_position: self.case.answers_load_queries.then_some(0),
             load_on_request: self.case.answers_load_queries,
             classes: {
                 let class = |priority_weight| RequestClass {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,7 +62,7 @@
         initial_capacity: 0.25,
         overload_multiple: 3.0,
         warm_up_time: 10 * SECOND,
-        reported_in_flight: None,
+        in_flight_figure_position: None,
         load_on_request: false,
         cross_zone_price: 0.0,
         load_query_price: 0.0,
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -407,7 +407,7 @@
         ..base_settings()
     };
     let queried = Settings {
-        reported_in_flight: Some(0),
+        in_flight_figure_position: Some(0),
         load_on_request: true,
         weight_by_work: true,
         ..base_settings()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -372,7 +372,7 @@
 
 /// Settings with which endpoints are queried for their load before each request.
 fn load_query_settings() -> Settings {
-    Settings { reported_in_flight: Some(0), load_on_request: true, ..settings() }
+    Settings { in_flight_figure_position: Some(0), load_on_request: true, ..settings() }
 }
 
 /// A balancer with one request a second can't see by its own requests in flight that others keep an endpoint
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -364,7 +364,7 @@
     let list = endpoints_in_zones(1, 2);
     let mut balancer = TestBalancer::new(settings(), &list);
     balancer.handle(Event::Offline(EndpointId(0)));
-    assert_eq!(balancer.load_balancer.avoided(), 1);
+    assert_eq!(balancer.load_balancer.unavailable_count(), 1);
     for _ in 0..20 {
         // Each request is retried as often as the settings allow.
         let (tried, _) = balancer.run_attempts(IDEMPOTENT, |_| AttemptOutcome::Rejected);
@@ -479,6 +479,6 @@
             "its response went to the client already"
         );
     }
-    assert_eq!(balancer.load_balancer.avoided(), 1, "its breaker is open");
+    assert_eq!(balancer.load_balancer.unavailable_count(), 1, "its breaker is open");
     assert_eq!(balancer.serve(IDEMPOTENT, 20 * MS), Some(1));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -323,7 +323,7 @@
         polls_discovery: variant & 4 == 0,
         replicas: if variant & 8 == 0 { 0 } else { 3 },
         zone: ZoneId(if variant & 16 == 0 { 0 } else { 2 }),
-        reported_in_flight: Some(0),
+        in_flight_figure_position: Some(0),
         load_on_request: variant & 32 != 0,
         tenants: vec![Tenant { quota_rps: 0.0 }, Tenant { quota_rps: 10.0 }],
         ..settings()
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -52,7 +52,7 @@
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 3));
     (0..60).for_each(|_| assert!(balancer.serve(NON_IDEMPOTENT, 20 * MS).is_some()));
     fail_burst(&mut balancer, AttemptOutcome::Timeout, 500 * MS);
-    assert_eq!(balancer.load_balancer.avoided(), 3);
+    assert_eq!(balancer.load_balancer.unavailable_count(), 3);
     assert!(is_rejected(&balancer.request(IDEMPOTENT).1), "all endpoints lag behind with the burst");
     balancer.now += 20 * SECOND; // longer than any breaker stays open
     let trials: Vec<(RequestId, Vec<Action>)> = (0..3).map(|_| balancer.request(IDEMPOTENT)).collect();
@@ -79,6 +79,6 @@
         let (tried, _) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Error);
         assert_eq!(tried.len(), 1);
     }
-    assert_eq!(balancer.load_balancer.avoided(), 3);
+    assert_eq!(balancer.load_balancer.unavailable_count(), 3);
     assert!(sent_to(&balancer.request(IDEMPOTENT).1).is_some());
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -150,7 +150,7 @@
     assert_eq!(settings.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[1].idempotency, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.replicas, settings.zones, settings.max_attempts), (4, 2, 4));
-    assert_eq!(settings.reported_in_flight, Some(1));
+    assert_eq!(settings.in_flight_figure_position, Some(1));
     assert!(settings.polls_discovery && settings.propagates_deadline);
     assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay open without a setting");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
