--- a/src/decision/attempt_learning.rs
+++ b/src/decision/attempt_learning.rs
@@ -10,14 +10,14 @@
 use super::request_table::{Lateness, PendingRequest};
 use super::statistics::OUTCOME_GAIN;
 
-/// A timeout counts as a failure of the endpoint only if the attempt ran for at least this multiple of the class's calm
-/// latency: a time limit that is too short even for a healthy endpoint is set by the client.
-const MIN_TIMEOUT_OVER_CALM_LATENCY: f64 = 2.0;
+/// A timeout counts as a failure of the endpoint only if the attempt ran for at least this multiple of the class's
+/// baseline latency: a time limit that is too short even for a healthy endpoint is set by the client.
+const MIN_TIMEOUT_MULTIPLE: f64 = 2.0;
 
 impl LoadBalancer {
     /// Updates all statistics at the end of an attempt.
     pub(super) fn learn_from_attempt(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        // The attempt of a request that was still being received was delayed by its client.
+        // While the body was still being received, the client determined how long the attempt took.
         let is_timed = !(request.streaming && request.response_started);
         if is_timed {
             self.learn_zone_lateness(request, position, end);
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Learns how late attempts in the zone of the endpoint are. A rejection counts as at least as late as the
-    /// objective.
+    /// Learns how late attempts in the zone of the endpoint are. A rejection counts as an attempt that took at least
+    /// as long as the latency objective.
     fn learn_zone_lateness(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
         let min_lateness = match end.outcome {
             AttemptOutcome::Success | AttemptOutcome::Cancelled | AttemptOutcome::Timeout => 0.0,
@@ -51,8 +51,8 @@
             AttemptOutcome::Success => self.on_success(request, position),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::InvalidRequest => {}
             AttemptOutcome::Rejected => {
-                let request_time = self.traffic.overall.baseline as Duration;
-                self.endpoints[position].rejections[class].on_rejection(now, request_time);
+                let request_duration = self.traffic.overall.baseline as Duration;
+                self.endpoints[position].rejections[class].on_rejection(now, request_duration);
             }
             AttemptOutcome::Error => {
                 self.on_breaker_failure(position, sent_at, FailureKind::Ended);
@@ -64,53 +64,58 @@
             AttemptOutcome::ConnectFailed => self.on_breaker_failure(position, sent_at, FailureKind::Ended),
             AttemptOutcome::Timeout if self.is_timeout_ignored(request, end.elapsed) => {}
             AttemptOutcome::Timeout | AttemptOutcome::Reset => {
-                self.on_missing_response(position, request.idle, sent_at, FailureKind::of(end.outcome));
+                self.on_missing_response(
+                    position,
+                    request.idle_bucket,
+                    sent_at,
+                    FailureKind::of(end.outcome),
+                );
             }
         }
     }
 
     /// Whether a timeout is not a failure of its endpoint: it has already been counted as overdue, or its time limit
-    /// was too short. The mean latency would be no measure of that, because the timeouts of a stuck endpoint raise it
-    /// and would then be ignored.
+    /// was too short. That is judged by the baseline latency, because the timeouts of a stuck endpoint raise the mean:
+    /// compared with the mean, they would be ignored.
     fn is_timeout_ignored(&self, request: &PendingRequest, elapsed: Duration) -> bool {
-        let calm = self.traffic.classes[request.class].baseline;
-        request.lateness == Lateness::Overdue || (elapsed as f64) < MIN_TIMEOUT_OVER_CALM_LATENCY * calm
+        let baseline = self.traffic.class_latencies[request.class].baseline;
+        request.lateness == Lateness::Overdue || (elapsed as f64) < MIN_TIMEOUT_MULTIPLE * baseline
     }
 
     /// Updates the endpoint and its connection after a response.
     fn on_success(&mut self, request: &PendingRequest, position: usize) {
-        self.traffic.count_answered(self.now);
-        self.learn_home_share(position);
+        self.traffic.count_response(self.now);
+        self.learn_own_zone_share(position);
         let endpoint = &mut self.endpoints[position];
-        endpoint.on_answer(self.now);
+        endpoint.on_response(self.now);
         endpoint.rejections[request.class] = ClassRejections::default();
-        self.idle_risk.learn(request.idle, false, self.now);
+        self.idle_risk.learn(request.idle_bucket, false, self.now);
         self.on_breaker_success(position);
     }
 
-    /// Learns which fraction of the requests is served by warm endpoints of the own zone, while requests stay in it.
-    fn learn_home_share(&mut self, position: usize) {
+    /// Learns which fraction of the requests warm endpoints of the own zone serve, while requests stay in that zone.
+    fn learn_own_zone_share(&mut self, position: usize) {
         if self.zone_routing.avoids_own_zone() {
             return;
         }
         let endpoint = &self.endpoints[position];
-        let is_home = endpoint.zone == usize::from(self.settings.zone.0);
+        let is_own_zone = endpoint.zone == usize::from(self.settings.zone.0);
         let is_warm = endpoint.warm_up.warm_at(&self.settings) <= self.now;
-        self.slow_start.learn_own_zone_share(self.now, is_home && is_warm);
+        self.slow_start.learn_own_zone_share(self.now, is_own_zone && is_warm);
     }
 
-    /// Learns the latency of the endpoint, of the class and for each request in flight at the endpoint.
+    /// Learns the latency of an attempt: for its endpoint, for its class, and per request in flight at the endpoint.
     fn learn_latency(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
         let latency_ns = end.elapsed as f64;
-        let latency = &self.traffic.classes[request.class];
+        let latency = &self.traffic.class_latencies[request.class];
         self.endpoints[position].learn_slowness(latency, end.elapsed);
         self.traffic.learn_latency(request.class, latency_ns);
         if end.outcome == AttemptOutcome::Success {
-            let mean = self.traffic.classes[request.class].mean;
-            self.slow_start.on_answered(self.now, request.class, mean, request.work);
+            let mean = self.traffic.class_latencies[request.class].mean;
+            self.slow_start.on_response(self.now, request.class, mean, request.work);
         }
         if request.reported_in_flight > 0.0 {
-            self.traffic.per_in_flight.learn(latency_ns / request.reported_in_flight, OUTCOME_GAIN);
+            self.traffic.latency_per_in_flight.learn(latency_ns / request.reported_in_flight, OUTCOME_GAIN);
         }
     }
 
@@ -119,25 +124,25 @@
     pub(super) fn on_missing_response(
         &mut self,
         position: usize,
-        idle: IdleTimeBucket,
+        idle_bucket: IdleTimeBucket,
         sent_at: Time,
         kind: FailureKind,
     ) {
-        self.idle_risk.learn(idle, true, self.now);
-        if idle.was_idle() {
+        self.idle_risk.learn(idle_bucket, true, self.now);
+        if idle_bucket.was_idle() {
             self.endpoints[position].close_idle(&mut self.actions); // else the next attempt may fail the same way
         }
-        if !self.idle_risk.explains_failure(idle, self.now) {
+        if !self.idle_risk.explains_failure(idle_bucket, self.now) {
             self.on_breaker_failure(position, sent_at, kind);
         }
     }
 
     /// Counts a failure of an endpoint, and logs if that opens its circuit breaker.
     pub(super) fn on_breaker_failure(&mut self, position: usize, sent_at: Time, kind: FailureKind) {
-        let failure_rate = self.traffic.learn_failure();
+        let failure_ratio = self.traffic.learn_failure();
         self.endpoints.zone_pool(position).learn_failure_ratio(true, self.now);
         let endpoint = &mut self.endpoints[position];
-        if !endpoint.breaker.on_failure(self.now, sent_at, failure_rate, kind) {
+        if !endpoint.breaker.on_failure(self.now, sent_at, failure_ratio, kind) {
             return;
         }
         let text = format!(
--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -11,7 +11,7 @@
 /// Probability that the breaker of an endpoint no worse than the rest trips by chance; it determines the
 /// consecutive failures needed.
 const FALSE_TRIP_PROBABILITY: f64 = 0.01;
-/// Fewest consecutive failures that trip a breaker, as a single failure is no series.
+/// Fewest consecutive failures that trip a breaker: a single failure is not a series.
 const MIN_FAILURES: f64 = 2.0;
 /// Most consecutive failures that trip a breaker, so that in a failing tier the worst endpoints still trip.
 const MAX_FAILURES: f64 = 6.0;
@@ -27,8 +27,8 @@
 /// What a failed attempt implies for the work left at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// No answer came in time: the endpoint may still be working on the request.
-    Unanswered,
+    /// No response came in time: the endpoint may still be working on the request.
+    NoResponse,
     /// Any other failure: no work of the request is left at the endpoint.
     Ended,
 }
@@ -36,7 +36,7 @@
 impl FailureKind {
     /// The kind of an outcome that is a failure.
     pub fn of(outcome: AttemptOutcome) -> Self {
-        if outcome == AttemptOutcome::Timeout { Self::Unanswered } else { Self::Ended }
+        if outcome == AttemptOutcome::Timeout { Self::NoResponse } else { Self::Ended }
     }
 }
 
@@ -53,8 +53,9 @@
     open_until: Time,
     /// A trial request is in flight.
     pub trial_in_flight: bool,
-    /// The last opening was due to an unanswered attempt: the endpoint may still work on abandoned requests.
-    opened_by_unanswered: bool,
+    /// The last opening was due to an attempt without a response: the endpoint may still be working on
+    /// abandoned requests.
+    opened_by_missing_response: bool,
 }
 
 impl CircuitBreaker {
@@ -68,11 +69,10 @@
         !self.trial_in_flight && now >= self.open_until.saturating_add(extra_wait)
     }
 
-    /// Whether the endpoint may still be working on abandoned requests, and gets nothing before its next
-    /// trial. If all endpoints are in this state, further requests would keep them busy with abandoned work
-    /// forever.
+    /// Whether the endpoint may still be working on abandoned requests, and gets none before its next trial.
+    /// If all endpoints are in this state, further requests would keep them busy with abandoned work forever.
     pub fn may_be_backlogged(&self, now: Time, repeatable: bool) -> bool {
-        self.opened_by_unanswered && !self.admits(now, repeatable)
+        self.opened_by_missing_response && !self.admits(now, repeatable)
     }
 
     /// Records a failed attempt, and returns whether the breaker opens; `failure_ratio` is that of all
@@ -92,11 +92,11 @@
         self.recent_openings += 1;
         self.opened_at = now;
         self.open_until = now + OPEN_BACKOFF.delay(self.recent_openings);
-        self.opened_by_unanswered = kind == FailureKind::Unanswered;
+        self.opened_by_missing_response = kind == FailureKind::NoResponse;
         true
     }
 
-    /// Records an answered attempt. The caller then closes the breaker.
+    /// Records a response to an attempt. The caller then closes the breaker.
     pub fn on_success(&mut self) {
         self.consecutive_failures = 0;
         self.consecutive_successes = self.consecutive_successes.saturating_add(1);
@@ -106,8 +106,8 @@
     }
 }
 
-/// Consecutive failures that trip a breaker at a failure ratio of all attempts: so many in a row occur by
-/// chance with at most `FALSE_TRIP_PROBABILITY`, within the bounds.
+/// Consecutive failures that trip a breaker at a failure ratio of all attempts: within the bounds, a run of
+/// that length occurs by chance with a probability of at most [`FALSE_TRIP_PROBABILITY`].
 fn failures_to_trip(failure_ratio: f64) -> f64 {
     let failure_ratio = failure_ratio.clamp(MIN_FAILURE_RATIO, MAX_FAILURE_RATIO);
     (FALSE_TRIP_PROBABILITY.ln() / failure_ratio.ln()).ceil().clamp(MIN_FAILURES, MAX_FAILURES)
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -12,9 +12,10 @@
 /// Smoothing factor of an endpoint's slowness: large, as a balancer with few requests sends few per second to
 /// each endpoint.
 const SLOWNESS_GAIN: f64 = 0.3;
-/// Largest deviation from the slowness that one attempt may add, before smoothing.
+/// Largest amount by which one attempt may raise the slowness, before smoothing.
 const MAX_SLOWNESS_STEP: f64 = 4.0;
-/// An endpoint that answered within this time is alive: a connection that fails exceeds its connection limit.
+/// An endpoint that responded within this time is alive: a connection that fails then exceeds its connection
+/// limit.
 const ALIVE_WINDOW: Duration = SECOND;
 /// Rounding error within which a turn counts as complete.
 const TURN_TOLERANCE: f64 = 1e-9;
@@ -48,8 +49,8 @@
     open_connections: u32,
     /// When an attempt last ended and left its connection idle.
     idle_since: Time,
-    /// When the endpoint last answered.
-    answered_at: Time,
+    /// When the endpoint last responded.
+    last_response_at: Time,
     /// Exponentially weighted moving average of the latency of attempts, as a multiple of the mean of their
     /// class.
     slowness: f64,
@@ -81,7 +82,7 @@
     }
 
     /// Adds to the turn credit, and takes a turn in the round robin if the credit is complete. A smaller or
-    /// slower endpoint takes a fraction of the turns; otherwise a slow one that still answers would be
+    /// slower endpoint takes a fraction of the turns; otherwise a slow one that still responds would be
     /// overloaded before it reaches its in-flight limit. A cold endpoint is limited by its slow-start budget
     /// instead.
     pub fn take_turn(&mut self, largest_capacity: f64, now: Time, settings: &Settings) -> bool {
@@ -94,28 +95,28 @@
     }
 
     /// Updates the slowness with the latency of an attempt of a class.
-    pub fn learn_slowness(&mut self, class: &LatencyStatistics, elapsed: Duration) {
-        if class.is_trusted() {
+    pub fn learn_slowness(&mut self, class_latency: &LatencyStatistics, elapsed: Duration) {
+        if class_latency.is_trusted() {
             self.slowness +=
-                SLOWNESS_GAIN * (elapsed as f64 / class.mean - self.slowness).min(MAX_SLOWNESS_STEP);
+                SLOWNESS_GAIN * (elapsed as f64 / class_latency.mean - self.slowness).min(MAX_SLOWNESS_STEP);
         }
     }
 
-    /// Records an answer.
-    pub fn on_answer(&mut self, now: Time) {
-        self.answered_at = now;
+    /// Records a response.
+    pub fn on_response(&mut self, now: Time) {
+        self.last_response_at = now;
     }
 
-    /// Whether the endpoint answered so recently that it must be alive.
+    /// Whether the endpoint responded so recently that it must be alive.
     pub fn is_alive(&self, now: Time) -> bool {
-        now < self.answered_at.saturating_add(ALIVE_WINDOW)
+        now < self.last_response_at.saturating_add(ALIVE_WINDOW)
     }
 
     // ---- Connections ----
 
-    /// Chooses the connection for a request, and returns how long it has been idle. A device on the path may
-    /// have dropped an idle connection silently: where requests on such connections fail and others don't,
-    /// the idle ones are closed and a new one is opened. Guards against reapers of idle connections and
+    /// Chooses the connection for a request, and returns how long it has been idle. Something on the path
+    /// may have dropped an idle connection silently: where requests on such connections fail and others
+    /// don't, the idle ones are closed and a new one is opened. Guards against reapers of idle connections and
     /// restarts, at the cost of a handshake.
     pub fn choose_connection(
         &mut self,
@@ -143,8 +144,9 @@
         self.open_connections = self.open_connections.max(self.connections_in_use());
     }
 
-    /// Records that a connection is idle again. Surplus ones are closed: the connections of a burst would
-    /// stay open for long and keep out those of other balancers.
+    /// Records that a connection is idle again, and closes the idle ones if they are more than
+    /// [`MAX_IDLE_CONNECTIONS`]: those of a burst would stay open for long and keep out those of other
+    /// balancers.
     pub fn release_connection(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.idle_since = now;
         if self.open_connections > self.connections_in_use() + MAX_IDLE_CONNECTIONS {
@@ -158,7 +160,7 @@
         actions.push(Action::CloseIdle(self.id));
     }
 
-    /// Sets the connection limit of an endpoint that answers but refused a further connection: those now in
+    /// Sets the connection limit of an endpoint that responds but refused a further connection: those now in
     /// use.
     pub fn learn_connection_limit(&mut self, now: Time) {
         let connections = self.connections_in_use();
--- a/src/decision/endpoint_pool.rs
+++ b/src/decision/endpoint_pool.rs
@@ -14,12 +14,12 @@
 pub(crate) struct EndpointPool {
     /// Positions of the members in the endpoint table, in round-robin order.
     pub members: Vec<usize>,
-    /// Index into `members` of the endpoint picked last.
+    /// Index into `members` of the endpoint that was picked last.
     pub cursor: usize,
     /// Sum of the members' capacities.
     pub capacity: f64,
     /// Number of members whose breaker is tripped.
-    pub tripped: usize,
+    pub tripped_count: usize,
     /// Requests in flight at the members.
     pub in_flight: u32,
     /// Fraction of the attempts that failed.
@@ -54,7 +54,7 @@
 
     /// Number of members whose breaker is closed.
     pub fn healthy_count(&self) -> usize {
-        self.members.len().saturating_sub(self.tripped)
+        self.members.len().saturating_sub(self.tripped_count)
     }
 
     /// Requests in flight per unit of capacity.
@@ -66,7 +66,7 @@
     pub fn clear(&mut self) {
         self.members.clear();
         self.capacity = 0.0;
-        self.tripped = 0;
+        self.tripped_count = 0;
         self.in_flight = 0;
     }
 
@@ -74,7 +74,7 @@
     pub fn add(&mut self, position: usize, endpoint: &Endpoint) {
         self.members.push(position);
         self.capacity += endpoint.capacity;
-        self.tripped += usize::from(endpoint.breaker.tripped);
+        self.tripped_count += usize::from(endpoint.breaker.tripped);
         self.in_flight += endpoint.in_flight;
     }
 }
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -64,7 +64,7 @@
         // The fallback only guarantees a quick return: an endpoint at its in-flight limit is better than a
         // tripped or rejecting one, and one of another zone is better than those. An endpoint that may be
         // backlogged is never chosen.
-        let allows_last_resort = pool == self.endpoints.all_zones();
+        let allows_last_resort = pool == self.endpoints.all_endpoints_pool();
         let fallback = if allows_last_resort { at_limit.or(last_resort)? } else { at_limit? };
         Some(self.advance_cursor(pool, fallback))
     }
@@ -85,12 +85,12 @@
             && self.slow_start_allows(pool, position, request.class)
     }
 
-    /// Whether the endpoint shares the idempotency keys of the first attempt: a keyed request that may have
-    /// run stays within the group that drops its repeats.
+    /// Whether the endpoint may get the request for its idempotency key: a keyed request that may have run
+    /// stays within the group that drops its repeats.
     fn is_in_deduplication_group(&self, position: usize, request: &PendingRequest) -> bool {
         let endpoint = &self.endpoints[position];
         let first_endpoint =
-            request.may_have_run.map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
+            request.first_possible_run.map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
         match self.settings.classes[request.class].idempotency {
             Idempotency::Keyed(DeduplicationGroup::Zone, _) => first_endpoint.zone == endpoint.zone,
             Idempotency::Keyed(DeduplicationGroup::Cell, _) => first_endpoint.cell == endpoint.cell,
@@ -104,18 +104,18 @@
         if capacity_fraction >= 1.0 {
             return true;
         }
-        let budget_multiple =
-            slow_start::budget_multiple(self.settings, load_query::is_enabled(self.settings));
+        let refill_multiple =
+            slow_start::refill_multiple(self.settings, load_query::is_enabled(self.settings));
         let is_own_zone = pool == usize::from(self.settings.zone.0);
         let capacities = PoolCapacities {
-            tier_capacity: self.endpoints.pools[self.endpoints.all_zones()].capacity,
+            tier_capacity: self.endpoints.pools[self.endpoints.all_endpoints_pool()].capacity,
             own_zone_capacity: is_own_zone.then_some(self.endpoints.pools[pool].capacity),
         };
-        let growth_rate =
-            self.slow_start.budget_growth_rate(self.now, capacities) * capacity_fraction * budget_multiple;
+        let refill_rate =
+            self.slow_start.budget_refill_rate(self.now, capacities) * capacity_fraction * refill_multiple;
         let class_cost = self.slow_start.class_cost(class);
         let endpoint = &mut self.endpoints[position];
-        endpoint.warm_up.allows(self.now, growth_rate * endpoint.capacity, class_cost)
+        endpoint.warm_up.allows(self.now, refill_rate * endpoint.capacity, class_cost)
     }
 
     /// Whether the endpoint may be backlogged, and gets no request before the next trial of its breaker.
--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -56,7 +56,7 @@
     }
 
     /// Position of the pool of all endpoints, which follows the pools of the zones.
-    pub fn all_zones(&self) -> usize {
+    pub fn all_endpoints_pool(&self) -> usize {
         self.pools.len() - 1
     }
 
@@ -99,11 +99,11 @@
             None if removed => return,
             None => self.add(entry.endpoint, rng),
         };
-        let zones = self.all_zones();
+        let zone_count = self.all_endpoints_pool();
         let offline = self.offline.contains(&entry.endpoint);
         let endpoint = &mut self.endpoints[position];
         endpoint.removed = removed;
-        endpoint.zone = usize::from(entry.zone.0).min(zones);
+        endpoint.zone = usize::from(entry.zone.0).min(zone_count);
         endpoint.cell = entry.cell;
         endpoint.listed_in_service = entry.state == EndpointState::InService;
         endpoint.in_service = endpoint.listed_in_service && !offline;
@@ -115,8 +115,7 @@
     }
 
     fn add(&mut self, id: EndpointId, rng: &mut fastrand::Rng) -> usize {
-        // The seed differs by replica, so that replicas that skip an endpoint don't all send to the same next
-        // one.
+        // Drawn at random, so that replicas that skip an endpoint don't all send to the same next one.
         let round_robin_order = rng.u64(..);
         let turn_credit = rng.f64();
         let endpoint = Endpoint::new(id, round_robin_order, turn_credit, self.class_count);
@@ -211,8 +210,8 @@
         }
         for pool in pools_of(&mut self.pools, endpoint.zone) {
             match tripped {
-                true => pool.tripped += 1,
-                false => pool.tripped -= 1,
+                true => pool.tripped_count += 1,
+                false => pool.tripped_count -= 1,
             }
         }
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -29,7 +29,7 @@
     InService,
     /// Finishes its requests in flight; no new request may be sent to it.
     Draining,
-    /// No longer part of the deployment.
+    /// Terminated; forgotten once nothing refers to it.
     Removed,
 }
 
--- a/src/decision/idle_connections.rs
+++ b/src/decision/idle_connections.rs
@@ -3,8 +3,8 @@
 use super::event::{Duration, SECOND, Time};
 use super::statistics::DecayingRatio;
 
-/// Idle connections kept open to an endpoint: a fuller connection table costs the endpoint capacity, until it
-/// refuses connections.
+/// Maximum number of idle connections kept open to an endpoint: a fuller connection table costs the endpoint
+/// capacity, until it refuses connections.
 pub(crate) const MAX_IDLE_CONNECTIONS: u32 = 2;
 /// Interval at which the learned connection limit of an endpoint grows by one.
 const CONNECTION_LIMIT_GROWTH_INTERVAL: Duration = 5 * SECOND;
@@ -15,11 +15,11 @@
 const RISK_GAIN: f64 = 0.3;
 /// Time constant at which the failure ratio of an idle time decays.
 const RISK_TIME_CONSTANT: Duration = 30 * SECOND;
-/// Risk above which an idle connection is replaced before a request that must not run twice, and would be
-/// lost with it.
+/// Risk above which an idle connection is replaced before a request that must not run twice: the request
+/// would be lost with the connection.
 const MAX_RISK_NON_REPEATABLE: f64 = 0.1;
-/// Risk above which an idle connection is replaced before a repeatable request: that only costs another
-/// attempt, which also shows when the risk is over.
+/// Risk above which an idle connection is replaced before a repeatable request: a failure only costs
+/// another attempt, and attempts on idle connections show when the risk is over.
 const MAX_RISK_REPEATABLE: f64 = 0.3;
 /// The risk of an idle connection counts only above this multiple of the risk of a new one.
 const MIN_RISK_MULTIPLE: f64 = 2.0;
@@ -90,7 +90,7 @@
 }
 
 impl ConnectionLimit {
-    /// How many connections may be in use now. The limit grows, so that its end is detected.
+    /// How many connections may be in use now. The limit grows with time, so that its end is detected.
     pub fn allowed(&self, now: Time) -> u64 {
         u64::from(self.connections) + now.saturating_sub(self.learned_at) / CONNECTION_LIMIT_GROWTH_INTERVAL
     }
--- a/src/decision/load_query.rs
+++ b/src/decision/load_query.rs
@@ -103,9 +103,9 @@
     }
 }
 
-/// Whether the response would miss the deadline of the request behind this number of requests in flight. Work that
-/// cannot be stopped would then delay the next requests for nothing. Deeper tiers never drop a request for this reason,
-/// because other tiers have already worked on it.
+/// Whether the response would miss the deadline of the request behind this number of requests in flight. Where work
+/// cannot be stopped, it would then delay the next requests for nothing. Deeper tiers never drop a request for this
+/// reason, because other tiers have already worked on it.
 pub(crate) fn is_too_late(
     request: &PendingRequest,
     in_flight: f64,
@@ -114,6 +114,6 @@
     traffic: &TrafficStatistics,
 ) -> bool {
     let time_left = request.deadline.saturating_sub(now) as f64;
-    let per_in_flight = &traffic.per_in_flight;
+    let per_in_flight = &traffic.latency_per_in_flight;
     settings.tier == 0 && per_in_flight.is_trusted() && in_flight * per_in_flight.mean > time_left
 }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -2,7 +2,9 @@
 
 use super::event::{Duration, SECOND, Time};
 use super::settings::Settings;
-use super::statistics::{DecayingSum, LatencyStatistics, RATE_WINDOW, TRUSTED_SAMPLES, TrafficStatistics};
+use super::statistics::{
+    DecayingSum, LatencyStatistics, RATE_TIME_CONSTANT, TRUSTED_SAMPLES, TrafficStatistics,
+};
 
 /// Expected response time, as a multiple of the latency objective, from which load is shed. If this and
 /// [`SHED_ALL_LATENESS`] were higher, the slowest responses would miss the objective; if they were lower, requests that
@@ -12,11 +14,11 @@
 const SHED_ALL_LATENESS: f64 = 0.65;
 /// Maximum fraction of the load that is shed: the remaining requests show when the overload ends.
 const MAX_SHED_FRACTION: f64 = 0.9;
-/// Minimum window over which responses are counted to measure their rate.
-const MIN_RESPONSE_WINDOW: Duration = SECOND;
-/// Maximum length of the window at a balancer with few requests, as a multiple of the longest latency objective: an
-/// overload builds up and ends within a few objectives.
-const MAX_RESPONSE_WINDOW_OBJECTIVES: u64 = 2;
+/// Minimum time constant of the response rate.
+const MIN_RATE_TIME_CONSTANT: Duration = SECOND;
+/// Maximum time constant of the response rate at a balancer with few requests, as a multiple of the longest latency
+/// objective: an overload builds up and ends within a few objectives.
+const MAX_RATE_TIME_CONSTANT_OBJECTIVES: u64 = 2;
 
 /// The start or end of load shedding.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -70,8 +72,8 @@
     }
 
     /// Weight per unit of work.
-    fn value(self, settings: &Settings, classes: &[LatencyStatistics]) -> f64 {
-        let work = if settings.weight_by_work { 1.0 } else { classes[self.class()].mean.max(1.0) };
+    fn value(self, settings: &Settings, class_latencies: &[LatencyStatistics]) -> f64 {
+        let work = if settings.weight_by_work { 1.0 } else { class_latencies[self.class()].mean.max(1.0) };
         let quota_factor = if self.is_over_quota() { settings.over_quota_weight } else { 1.0 };
         settings.classes[self.class()].priority_weight * quota_factor / work
     }
@@ -105,11 +107,11 @@
             return Admission { admitted: true, change: None };
         }
         let bucket = Bucket::new(class, self.is_over_quota(tenant, now, settings, rng));
-        self.demand[bucket.0].add(now, traffic.classes[class].mean.max(1.0), RATE_WINDOW);
-        let demand = self.demand_relative_to(bucket, now, settings, &traffic.classes);
-        let window = response_window(now, settings, traffic);
-        self.update_load(0.0, now, window);
-        let lateness = self.expected_lateness(now, window);
+        self.demand[bucket.0].add(now, traffic.class_latencies[class].mean.max(1.0), RATE_TIME_CONSTANT);
+        let demand = self.demand_relative_to(bucket, now, settings, &traffic.class_latencies);
+        let time_constant = rate_time_constant(now, settings, traffic);
+        self.update_load(0.0, now, time_constant);
+        let lateness = self.expected_lateness(now, time_constant);
         let level = (lateness - SHED_START_LATENESS) / (SHED_ALL_LATENESS - SHED_START_LATENESS);
         let change = self.update_active(level, lateness);
         let shed_work = level.clamp(0.0, MAX_SHED_FRACTION) * demand.total - demand.lower_value;
@@ -129,12 +131,12 @@
 
     /// Adds the load of a new request, or changes that of an open one.
     pub fn change_load(&mut self, change: f64, now: Time, settings: &Settings, traffic: &TrafficStatistics) {
-        self.update_load(change, now, response_window(now, settings, traffic));
+        self.update_load(change, now, rate_time_constant(now, settings, traffic));
     }
 
     /// Removes the load of a request that ended, and counts it as a response if an endpoint has processed it. Failures
-    /// count too, because they no longer occupy an endpoint. Other requests do not: quick rejections would look like
-    /// quick responses.
+    /// count too, because they no longer occupy an endpoint. Requests that no endpoint has processed do not count:
+    /// quick rejections would look like quick responses.
     pub fn on_request_ended(
         &mut self,
         load_weight: f64,
@@ -143,29 +145,30 @@
         settings: &Settings,
         traffic: &TrafficStatistics,
     ) {
-        let window = response_window(now, settings, traffic);
-        self.update_load(-load_weight, now, window);
-        self.responses.add(now, if was_processed { 1.0 } else { 0.0 }, window);
+        let time_constant = rate_time_constant(now, settings, traffic);
+        self.update_load(-load_weight, now, time_constant);
+        self.responses.add(now, if was_processed { 1.0 } else { 0.0 }, time_constant);
     }
 
     /// Integrates the load up to now and then changes the load.
-    fn update_load(&mut self, change: f64, now: Time, window: Duration) {
-        let elapsed_windows = now.saturating_sub(self.accumulated_load.updated_at) as f64 / window as f64;
-        let accumulated = self.load * window as f64 * (1.0 - (-elapsed_windows).exp());
-        self.accumulated_load.add(now, accumulated, window);
+    fn update_load(&mut self, change: f64, now: Time, time_constant: Duration) {
+        let elapsed_time_constants =
+            now.saturating_sub(self.accumulated_load.updated_at) as f64 / time_constant as f64;
+        let accumulated = self.load * time_constant as f64 * (1.0 - (-elapsed_time_constants).exp());
+        self.accumulated_load.add(now, accumulated, time_constant);
         self.load = (self.load + change).max(0.0);
     }
 
     /// Response time that a new request can expect, as a multiple of the latency objective: the load divided by the
     /// response rate (Little's law). Unlike the measured latency, it shows an overload while that builds up. Where all
     /// endpoints are stuck there are no responses, so the number of responses counts as at least [`TRUSTED_SAMPLES`].
-    fn expected_lateness(&self, now: Time, window: Duration) -> f64 {
-        let responses = self.responses.get(now, window);
-        self.accumulated_load.get(now, window) / responses.max(f64::from(TRUSTED_SAMPLES))
+    fn expected_lateness(&self, now: Time, time_constant: Duration) -> f64 {
+        let responses = self.responses.get(now, time_constant);
+        self.accumulated_load.get(now, time_constant) / responses.max(f64::from(TRUSTED_SAMPLES))
     }
 
-    /// Whether a request is over its tenant's quota, assuming that all replicas receive requests of the tenant at this
-    /// rate.
+    /// Whether a request counts as over its tenant's quota: a random one, for the part of the tenant's requests that
+    /// exceeds the quota if all replicas receive them at the same rate.
     fn is_over_quota(
         &mut self,
         tenant: usize,
@@ -174,8 +177,8 @@
         rng: &mut fastrand::Rng,
     ) -> bool {
         let Some(recent) = self.tenant_requests.get_mut(tenant) else { return false };
-        recent.add(now, 1.0, RATE_WINDOW);
-        let rate = recent.sum * SECOND as f64 / RATE_WINDOW as f64;
+        recent.add(now, 1.0, RATE_TIME_CONSTANT);
+        let rate = recent.sum * SECOND as f64 / RATE_TIME_CONSTANT as f64;
         rng.f64() * rate * f64::from(settings.replicas) > settings.tenants[tenant].quota_rps
     }
 
@@ -185,13 +188,13 @@
         bucket: Bucket,
         now: Time,
         settings: &Settings,
-        classes: &[LatencyStatistics],
+        class_latencies: &[LatencyStatistics],
     ) -> Demand {
-        let value = bucket.value(settings, classes);
+        let value = bucket.value(settings, class_latencies);
         let mut demand = Demand::default();
         for (position, recent) in self.demand.iter().enumerate() {
-            let work = recent.get(now, RATE_WINDOW);
-            let other_value = Bucket(position).value(settings, classes);
+            let work = recent.get(now, RATE_TIME_CONSTANT);
+            let other_value = Bucket(position).value(settings, class_latencies);
             demand.total += work;
             demand.lower_value += if other_value < value { work } else { 0.0 };
             demand.equal_value += if other_value == value { work } else { 0.0 };
@@ -208,13 +211,13 @@
     equal_value: f64,
 }
 
-/// Window over which responses are counted. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
+/// Time constant of the response rate. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
 /// responses, because it could not tell an overload from chance otherwise.
-fn response_window(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
+fn rate_time_constant(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
-    let longest = objectives.max().unwrap_or(0).saturating_mul(MAX_RESPONSE_WINDOW_OBJECTIVES);
-    let max_window = longest.clamp(MIN_RESPONSE_WINDOW, RATE_WINDOW);
-    let rate = traffic.answer_rate(now).max(1.0);
-    let needed_window = (f64::from(TRUSTED_SAMPLES) / rate * SECOND as f64) as Duration;
-    needed_window.clamp(MIN_RESPONSE_WINDOW, max_window)
+    let longest = objectives.max().unwrap_or(0).saturating_mul(MAX_RATE_TIME_CONSTANT_OBJECTIVES);
+    let max_time_constant = longest.clamp(MIN_RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
+    let rate = traffic.response_rate(now).max(1.0);
+    let needed_time_constant = (f64::from(TRUSTED_SAMPLES) / rate * SECOND as f64) as Duration;
+    needed_time_constant.clamp(MIN_RATE_TIME_CONSTANT, max_time_constant)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -165,8 +165,8 @@
 
     fn rebuild_pools(&mut self) {
         self.endpoints.rebuild_pools();
-        let home = usize::from(self.settings.zone.0);
-        self.slow_start.set_own_zone_endpoints(self.endpoints.warm_up_ends(home, &self.settings));
+        let own_zone = usize::from(self.settings.zone.0);
+        self.slow_start.set_own_zone_endpoints(self.endpoints.warm_up_ends(own_zone, &self.settings));
     }
 
     fn on_offline(&mut self, endpoint: EndpointId) {
--- a/src/decision/rejections.rs
+++ b/src/decision/rejections.rs
@@ -27,10 +27,10 @@
 
 impl ClassRejections {
     /// Records that the endpoint rejected a request, and skips it for at least the duration of a request,
-    /// `request_time`, so that it can finish one. Rejections return at once and never fill the in-flight limit: without
-    /// the pause, a rejecting endpoint would be the only one below its limit and receive all requests.
-    pub fn on_rejection(&mut self, now: Time, request_time: Duration) {
-        self.record(now, request_time, 0);
+    /// `request_duration`, so that it can finish one. Rejections return at once and never fill the in-flight limit:
+    /// without the pause, a rejecting endpoint would be the only one below its limit and receive all requests.
+    pub fn on_rejection(&mut self, now: Time, request_duration: Duration) {
+        self.record(now, request_duration, 0);
     }
 
     /// Records that the endpoint responded with an error. The circuit breaker alone would stay closed, because
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -116,7 +116,7 @@
     fn select(&mut self, request: &PendingRequest) -> Option<SelectedEndpoint> {
         let (zone_routing, mut selector) = self.selector();
         let choice = zone_routing.choose(&mut selector);
-        let all = selector.endpoints.all_zones();
+        let all = selector.endpoints.all_endpoints_pool();
         let mut selected = selector.pick(choice.pool, request).map(|endpoint| (choice.pool, endpoint));
         if selected.is_none() && choice.pool != all {
             selected = selector.pick(all, request).map(|endpoint| (all, endpoint));
@@ -195,8 +195,8 @@
 
     fn send(&mut self, id: RequestId, mut request: PendingRequest, position: usize) {
         let until = self.attempt_deadline(&request);
-        let begin_by = request.window_end(&self.settings);
-        let latency = &self.traffic.classes[request.class];
+        let begin_by = request.idempotency_window_end(&self.settings);
+        let latency = &self.traffic.class_latencies[request.class];
         if latency.is_trusted() && !request.streaming {
             let token = lateness_token(id, request.attempts);
             self.actions
@@ -205,7 +205,7 @@
         let repeatable = self.settings.is_repeatable(request.class);
         let timeout = self.settings.idle_timeout;
         let endpoint = &mut self.endpoints[position];
-        request.idle =
+        request.idle_bucket =
             endpoint.choose_connection(&self.idle_risk, self.now, timeout, repeatable, &mut self.actions);
         self.endpoints.add_in_flight(position);
         let endpoint = &mut self.endpoints[position];
@@ -223,10 +223,10 @@
     }
 
     /// When the next attempt of a request times out. An attempt times out before the deadline only if the request may
-    /// be retried and enough time is left for a retry.
+    /// be retried and enough time is left for a retry; otherwise it may still finish.
     fn attempt_deadline(&self, request: &PendingRequest) -> Time {
         let time_left = request.deadline.saturating_sub(self.now);
-        let latency = &self.traffic.classes[request.class];
+        let latency = &self.traffic.class_latencies[request.class];
         let overdue = latency.mean_plus_deviations(OVERDUE_DEVIATIONS);
         let attempts_left = request.attempts + 1 < self.settings.max_attempts;
         let may_retry = attempts_left && self.settings.is_repeatable(request.class);
@@ -236,7 +236,7 @@
 
     // ---- The end of an attempt ----
 
-    /// Counts the request as answered once its response starts. How long the rest of the response takes depends on its
+    /// Counts the request as ended once its response starts. How long the rest of the response takes depends on its
     /// length and on the client, so it counts against the endpoint only if it breaks off.
     pub(super) fn on_response_started(&mut self, id: RequestId, attempt: u32) {
         let is_current = |request: &PendingRequest| request.attempts == attempt + 1 && !request.closed;
@@ -276,8 +276,8 @@
             Lateness::OnTime => self.on_attempt_late(id, token),
             Lateness::Late => {
                 request.lateness = Lateness::Overdue;
-                let idle = request.idle;
-                self.on_missing_response(endpoint, idle, sent_at, FailureKind::Unanswered);
+                let idle_bucket = request.idle_bucket;
+                self.on_missing_response(endpoint, idle_bucket, sent_at, FailureKind::NoResponse);
             }
             Lateness::Overdue => {}
         }
@@ -291,7 +291,7 @@
         let class = request.class;
         let load_weight = std::mem::take(&mut request.load_weight);
         self.change_load(-load_weight);
-        let latency: &LatencyStatistics = &self.traffic.classes[class];
+        let latency: &LatencyStatistics = &self.traffic.class_latencies[class];
         self.endpoints[endpoint].learn_slowness(latency, self.now - sent_at);
         let after = latency.mean_plus_deviations(OVERDUE_DEVIATIONS - LATE_DEVIATIONS);
         self.actions.push(Action::SetTimer { after, token });
@@ -323,7 +323,7 @@
             return self.on_request_ended(request.load_weight, true);
         }
         if !end.outcome.never_ran() {
-            request.may_have_run = request.may_have_run.or(request.last_attempt);
+            request.first_possible_run = request.first_possible_run.or(request.last_attempt);
         }
         if !end.body_consumed && self.may_retry(&request) {
             self.start_attempt(id, request);
@@ -344,7 +344,7 @@
 
     /// Whether the retry policy allows another attempt; if so, takes it from the retry budget.
     fn may_retry(&mut self, request: &PendingRequest) -> bool {
-        let latency = &self.traffic.classes[request.class];
+        let latency = &self.traffic.class_latencies[request.class];
         self.retries.try_retry(request, latency, self.now, &self.settings)
     }
 
@@ -365,7 +365,7 @@
     }
 
     fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
-        self.on_request_ended(request.load_weight, request.may_have_run.is_some());
+        self.on_request_ended(request.load_weight, request.first_possible_run.is_some());
         self.reject_or_fail(id, request);
     }
 
@@ -374,7 +374,7 @@
         let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         let max_retry_after = self.settings.max_retry_after;
         let retry_after = max_retry_after / 2 + self.rng.u64(..=max_retry_after / 2);
-        let may_repeat = is_idempotent || request.may_have_run.is_none();
+        let may_repeat = is_idempotent || request.first_possible_run.is_none();
         self.actions.push(if may_repeat { Action::Reject { id, retry_after } } else { Action::Fail(id) });
     }
 
--- a/src/decision/request_table.rs
+++ b/src/decision/request_table.rs
@@ -19,7 +19,7 @@
 /// How far an attempt in flight has exceeded the usual latency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Lateness {
-    /// Its first timer has not fired.
+    /// The timer after which it is late has not fired.
     #[default]
     OnTime,
     /// It takes far longer than usual for its class.
@@ -46,14 +46,14 @@
     /// Requests in flight at the endpoint of the current attempt, including this one, as reported to a load query; 0 if
     /// the endpoint was not queried or did not respond.
     pub reported_in_flight: f64,
-    /// Cost that the attempt in flight was charged to the warm-up budget of a cold endpoint; 0 for a warm one.
+    /// Cost charged for the attempt in flight to the slow-start budget of a cold endpoint; 0 for a warm one.
     pub warm_up_cost: f64,
     /// The attempt in flight is the trial request of a half-open circuit breaker.
     pub is_trial: bool,
     /// How long the connection of the attempt in flight had been idle before.
-    pub idle: IdleTimeBucket,
+    pub idle_bucket: IdleTimeBucket,
     /// The first attempt that may have run.
-    pub may_have_run: Option<SentAttempt>,
+    pub first_possible_run: Option<SentAttempt>,
     /// The client has received the final response or needs none.
     pub closed: bool,
     /// The body was still being received when the first attempt was sent, so the duration of an attempt says nothing
@@ -64,9 +64,9 @@
 }
 
 impl PendingRequest {
-    /// End of the time in which endpoints drop repeats, if the request has an idempotency key and may have run.
-    pub fn window_end(&self, settings: &Settings) -> Option<Time> {
-        match (settings.classes[self.class].idempotency, self.may_have_run) {
+    /// End of the idempotency window, in which endpoints drop repeats, if the request has a key and may have run.
+    pub fn idempotency_window_end(&self, settings: &Settings) -> Option<Time> {
+        match (settings.classes[self.class].idempotency, self.first_possible_run) {
             (Idempotency::Keyed(_, window), Some(first)) => Some(first.sent_at.saturating_add(window)),
             _ => None,
         }
@@ -74,13 +74,13 @@
 
     /// Whether another attempt is safe, provided that it goes to an endpoint of the deduplication group.
     pub fn is_safe_to_send(&self, settings: &Settings, now: Time) -> bool {
-        let may_repeat = settings.is_repeatable(self.class) || self.may_have_run.is_none();
-        may_repeat && self.window_end(settings).is_none_or(|end| now < end)
+        let may_repeat = settings.is_repeatable(self.class) || self.first_possible_run.is_none();
+        may_repeat && self.idempotency_window_end(settings).is_none_or(|end| now < end)
     }
 
     /// Positions of the endpoints that the request refers to.
     pub fn referenced_endpoints(&self) -> impl Iterator<Item = usize> {
-        let attempts = [self.last_attempt, self.may_have_run];
+        let attempts = [self.last_attempt, self.first_possible_run];
         attempts.into_iter().flatten().map(|attempt| attempt.endpoint)
     }
 }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -15,7 +15,7 @@
 /// Decay time of the number of futile retries. A class is not retried any more after as many futile retries as a single
 /// request may make, because retries multiply from tier to tier. The number decays because a balancer with few requests
 /// sees too few successes to offset it.
-const FUTILE_RETRY_DECAY: Duration = 30 * SECOND;
+const FUTILE_RETRY_TIME_CONSTANT: Duration = 30 * SECOND;
 /// Lower bound of the tolerated number of futile retries. It is above 0 because a decaying number never reaches 0, and
 /// below 1 so that a single futile retry exceeds it.
 const MIN_TOLERATED_FUTILE: f64 = 0.5;
@@ -48,7 +48,7 @@
         now: Time,
         settings: &Settings,
     ) {
-        let was_retry = request.may_have_run.is_some();
+        let was_retry = request.first_possible_run.is_some();
         let change = match outcome {
             AttemptOutcome::Success if was_retry => -1.0, // the retry succeeded
             AttemptOutcome::Success => -BUDGET_PER_REQUEST,
@@ -56,7 +56,12 @@
             _ => 0.0,
         };
         let max_futile_retries = f64::from(settings.max_attempts - 1);
-        self.futile_retries[request.class].add_clamped(max_futile_retries, now, change, FUTILE_RETRY_DECAY);
+        self.futile_retries[request.class].add_clamped(
+            max_futile_retries,
+            now,
+            change,
+            FUTILE_RETRY_TIME_CONSTANT,
+        );
     }
 
     /// Whether a request may be retried. If so, takes one retry from the budget.
@@ -74,7 +79,7 @@
         // A request that never ran causes no work at deeper tiers that could multiply, and a failure to reach an
         // endpoint that restarts says nothing about the next endpoint.
         let may_help =
-            request.may_have_run.is_none() || !self.has_futile_retries(request.class, now, settings);
+            request.first_possible_run.is_none() || !self.has_futile_retries(request.class, now, settings);
         let is_safe = request.is_safe_to_send(settings, now);
         if !(is_safe && in_time && attempts_left && may_help && self.budget >= 1.0) {
             return false;
@@ -85,6 +90,6 @@
 
     fn has_futile_retries(&self, class: usize, now: Time, settings: &Settings) -> bool {
         let tolerated = (f64::from(settings.max_attempts) - 2.0).max(MIN_TOLERATED_FUTILE);
-        self.futile_retries[class].get(now, FUTILE_RETRY_DECAY) > tolerated
+        self.futile_retries[class].get(now, FUTILE_RETRY_TIME_CONSTANT) > tolerated
     }
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,18 +1,18 @@
 //! Slow start: limits the work sent to endpoints that have just started.
 //!
-//! A cold endpoint has a budget, a token bucket that refills at the rate of the work this balancer gets
-//! answered, times the endpoint's share and its warm-up progress; each request is charged its work. Work is
-//! measured in requests of typical work, so a heavy request costs as much as many light ones. All replicas of
-//! the balancer do the same, so the sum stays near the endpoint's capacity.
+//! A cold endpoint has a budget, a token bucket that refills at the rate of the work that this balancer's
+//! requests complete, times the endpoint's share and its warm-up progress; each request is charged its work.
+//! Work is measured in requests of typical work, so a heavy request costs as much as many light ones. All
+//! replicas of the balancer do the same, so the sum stays near the endpoint's capacity.
 
 use super::event::{Duration, SECOND, Time};
 use super::settings::Settings;
-use super::statistics::{DecayingSum, RATE_WINDOW};
+use super::statistics::{DecayingSum, RATE_TIME_CONSTANT};
 use std::cmp::Reverse;
 
 /// Time constant of the mean work of a request: long, as heavy requests are rare at a small balancer.
 const TYPICAL_WORK_TIME_CONSTANT: Duration = 30 * SECOND;
-/// Smoothing factor of a class's estimated work where an answer shows it to be lighter.
+/// Smoothing factor of a class's estimated work where a response shows it to be lighter.
 const WORK_DECREASE_GAIN: f64 = 0.05;
 /// Time constant at which a class's estimated work rises: long, as in congestion all classes wait alike and
 /// would look equally heavy.
@@ -67,8 +67,8 @@
         started.map_or(0, |started| started.saturating_add(settings.warm_up_time))
     }
 
-    /// Whether a request may be sent whose class costs `class_cost`, once the budget has grown by
-    /// `refill_rate` per second since the last call.
+    /// Whether a request may be sent whose class costs `class_cost`, once the budget has been refilled
+    /// with `refill_rate` per second since the last call.
     pub fn allows(&mut self, now: Time, refill_rate: f64, class_cost: f64) -> bool {
         let elapsed = now.saturating_sub(self.budget_updated_at) as f64 / SECOND as f64;
         self.budget = (self.budget + refill_rate * elapsed).min(class_cost.max(1.0));
@@ -92,7 +92,7 @@
 /// The refill rate of the budgets of cold endpoints, and the cost of requests.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
-    work: AnsweredWork,
+    work: WorkStatistics,
     own_zone_share: OwnZoneShare,
     /// Until this time, a balancer that has just started also counts the work it admits.
     startup_until: Time,
@@ -111,9 +111,9 @@
     /// Creates the state of a balancer that has handled no requests.
     pub fn new(settings: &Settings, now: Time) -> Self {
         Self {
-            work: AnsweredWork::new(settings.classes.len(), now),
+            work: WorkStatistics::new(settings.classes.len(), now),
             own_zone_share: OwnZoneShare::new(settings.replicas, settings.zones),
-            startup_until: now.saturating_add(RATE_WINDOW),
+            startup_until: now.saturating_add(RATE_TIME_CONSTANT),
         }
     }
 
@@ -122,13 +122,13 @@
         self.work.admitted.add(now, class);
     }
 
-    /// Records an answered request. `mean` is the mean latency of its class in nanoseconds, and
+    /// Records a completed request. `mean` is the mean latency of its class in nanoseconds, and
     /// `declared_work` the request's own work, if known.
-    pub fn on_answered(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
+    pub fn on_response(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
         self.work.learn(now, class, mean, declared_work);
     }
 
-    /// Updates the own zone's share with an answer, while requests stay in the own zone: one from a warm
+    /// Updates the own zone's share with a response, while requests stay in the own zone: one from a warm
     /// endpoint of that zone, or from another endpoint.
     pub fn learn_own_zone_share(&mut self, now: Time, from_warm_own_zone: bool) {
         self.own_zone_share.learn(now, from_warm_own_zone);
@@ -161,42 +161,42 @@
     /// capacity of that zone, the balancers together would send its cold endpoints many times their share.
     /// The requests served in the own zone never exceed what its endpoints can do, however few balancers send
     /// to it, so there its share of the requests applies as well.
-    pub fn budget_growth_rate(&self, now: Time, pool: PoolCapacities) -> f64 {
+    pub fn budget_refill_rate(&self, now: Time, pool: PoolCapacities) -> f64 {
         let work_rate = self.expected_work_rate(now);
-        let tier_growth = work_rate / pool.tier_capacity.max(f64::MIN_POSITIVE);
+        let tier_refill_rate = work_rate / pool.tier_capacity.max(f64::MIN_POSITIVE);
         match pool.own_zone_capacity {
-            Some(capacity) => tier_growth.max(work_rate * self.own_zone_share.get(capacity)),
-            None => tier_growth,
+            Some(capacity) => tier_refill_rate.max(work_rate * self.own_zone_share.get(capacity)),
+            None => tier_refill_rate,
         }
     }
 
-    /// Work expected to be answered per second. A balancer that has just started has had nothing answered; if
-    /// all endpoints are cold too, after a release, nothing ever would be. It therefore also counts the work
-    /// it admits, until `startup_until`.
+    /// Work expected to be completed per second. A balancer that has just started has had none completed; if
+    /// all endpoints are cold too, after a release, none ever would be. The balancer therefore also counts
+    /// the work it admits, until `startup_until`.
     fn expected_work_rate(&self, now: Time) -> f64 {
-        let answered = self.work.answered_per_second(now);
+        let completed = self.work.completed_per_second(now);
         if now >= self.startup_until {
-            return answered;
+            return completed;
         }
-        answered.max(self.work.admitted_per_second(now))
+        completed.max(self.work.admitted_per_second(now))
     }
 }
 
-/// Multiple by which the budgets of cold endpoints grow faster. Where endpoints report their load before they
-/// get a request, a busy cold one is detected: half the multiple that overloads it is safe, while its share
-/// alone would leave it idle.
-pub(crate) fn budget_multiple(settings: &Settings, queries_load: bool) -> f64 {
+/// Multiple by which the budgets of cold endpoints are refilled faster. Where endpoints report their load
+/// before they get a request, a busy cold one is detected: half the multiple that overloads it is safe, while
+/// its share alone would leave it idle.
+pub(crate) fn refill_multiple(settings: &Settings, queries_load: bool) -> f64 {
     if queries_load { (settings.overload_multiple / 2.0).max(1.0) } else { 1.0 }
 }
 
-/// Work of a class of requests, estimated from the latency of its answers at low load.
+/// Work of a class of requests, estimated from the latency of its responses at low load.
 #[derive(Clone, Debug, Default)]
 struct ClassWork {
     /// Estimated work in nanoseconds.
     estimated_work: f64,
-    answers: u32,
-    answered_at: Time,
-    /// Exponentially decaying number of answered requests.
+    responses: u32,
+    last_response_at: Time,
+    /// Exponentially decaying number of completed requests.
     requests: f64,
     /// Mean work of the requests that declared it, in nanoseconds.
     mean_declared_work: f64,
@@ -205,12 +205,12 @@
 impl ClassWork {
     /// Updates the estimate with the current mean latency of the class.
     fn learn(&mut self, now: Time, mean: f64, declared_work: Option<Duration>) {
-        self.answers = self.answers.saturating_add(1);
-        let elapsed = now.saturating_sub(self.answered_at) as f64;
+        self.responses = self.responses.saturating_add(1);
+        let elapsed = now.saturating_sub(self.last_response_at) as f64;
         let increase_gain = (elapsed / WORK_INCREASE_TIME_CONSTANT as f64).min(WORK_DECREASE_GAIN);
         let gain = if mean < self.estimated_work { WORK_DECREASE_GAIN } else { increase_gain };
-        self.estimated_work += gain.max(1.0 / f64::from(self.answers)) * (mean - self.estimated_work);
-        self.answered_at = now;
+        self.estimated_work += gain.max(1.0 / f64::from(self.responses)) * (mean - self.estimated_work);
+        self.last_response_at = now;
         if let Some(work) = declared_work {
             let gain = if self.mean_declared_work > 0.0 { DECLARED_WORK_GAIN } else { 1.0 };
             self.mean_declared_work += gain * (work as f64 - self.mean_declared_work);
@@ -219,7 +219,7 @@
 }
 
 /// Exponentially decaying numbers of requests, by class. The cost of a class is applied when the rate is
-/// read, as a balancer that has just started learns that cost with every answer.
+/// read, as a balancer that has just started learns that cost with every response.
 #[derive(Debug)]
 struct ClassRates {
     started_at: Time,
@@ -233,7 +233,7 @@
     }
 
     fn add(&mut self, now: Time, class: usize) {
-        let decay_factor = (-(now.saturating_sub(self.updated_at) as f64) / RATE_WINDOW as f64).exp();
+        let decay_factor = (-(now.saturating_sub(self.updated_at) as f64) / RATE_TIME_CONSTANT as f64).exp();
         self.updated_at = now;
         self.requests.iter_mut().for_each(|requests| *requests *= decay_factor);
         self.requests[class] += 1.0;
@@ -242,29 +242,29 @@
     fn per_second(&self, now: Time, cost: impl Fn(usize) -> f64) -> f64 {
         let requests = self.requests.iter().enumerate();
         let sum = requests.map(|(class, requests)| requests * cost(class)).sum();
-        DecayingSum::new(sum, self.updated_at, self.started_at).per_second(now, RATE_WINDOW)
+        DecayingSum::new(sum, self.updated_at, self.started_at).per_second(now, RATE_TIME_CONSTANT)
     }
 }
 
-/// The work that a balancer gets answered, and the cost of its request classes.
+/// The work that a balancer admits and completes, and the cost of its request classes.
 #[derive(Debug)]
-struct AnsweredWork {
+struct WorkStatistics {
     classes: Vec<ClassWork>,
     /// Mean work of a request over all classes in nanoseconds, and when it was last updated.
     typical_work: f64,
     averaged_at: Time,
     admitted: ClassRates,
-    answered: ClassRates,
+    completed: ClassRates,
 }
 
-impl AnsweredWork {
+impl WorkStatistics {
     fn new(classes: usize, now: Time) -> Self {
         Self {
             classes: vec![ClassWork::default(); classes],
             typical_work: 0.0,
             averaged_at: now,
             admitted: ClassRates::new(classes, now),
-            answered: ClassRates::new(classes, now),
+            completed: ClassRates::new(classes, now),
         }
     }
 
@@ -278,11 +278,11 @@
         let requests: f64 = self.classes.iter().map(|class| class.requests).sum();
         let work: f64 = self.classes.iter().map(|class| class.requests * class.estimated_work).sum();
         self.typical_work = work / requests;
-        self.answered.add(now, class);
+        self.completed.add(now, class);
     }
 
-    fn answered_per_second(&self, now: Time) -> f64 {
-        self.answered.per_second(now, |class| self.class_cost(class))
+    fn completed_per_second(&self, now: Time) -> f64 {
+        self.completed.per_second(now, |class| self.class_cost(class))
     }
 
     fn admitted_per_second(&self, now: Time) -> f64 {
@@ -338,7 +338,7 @@
         self.cold_endpoints = endpoints;
     }
 
-    /// Updates the fraction with an answer, which is ignored while no endpoint of the zone is warm.
+    /// Updates the fraction with a response, which is ignored while no endpoint of the zone is warm.
     fn learn(&mut self, now: Time, from_warm_own_zone: bool) {
         while let Some((_, capacity)) = self.cold_endpoints.pop_if(|(warm_at, _)| *warm_at <= now) {
             self.warm_capacity += capacity;
--- a/src/decision/statistics.rs
+++ b/src/decision/statistics.rs
@@ -3,12 +3,12 @@
 use super::event::{Duration, SECOND, Time};
 use super::settings::Settings;
 
-/// Samples needed to trust a latency or an answer rate.
+/// Samples needed to trust a latency or a response rate.
 pub(crate) const TRUSTED_SAMPLES: u32 = 10;
 /// Smoothing factor of averages over outcomes: about a second's worth of requests at a small balancer.
 pub(crate) const OUTCOME_GAIN: f64 = 0.05;
 /// Time constant of request rates: long enough for a few requests at the smallest balancer.
-pub(crate) const RATE_WINDOW: Duration = 5 * SECOND;
+pub(crate) const RATE_TIME_CONSTANT: Duration = 5 * SECOND;
 /// Smoothing factor of the baseline latency while the mean is below it.
 const BASELINE_GAIN_DOWN: f64 = 0.05;
 /// Smoothing factor of the baseline latency while the mean is above it: much smaller than downwards, so that
@@ -16,8 +16,8 @@
 const BASELINE_GAIN_UP: f64 = 0.001;
 /// Shortest latency from which a limit is derived, in nanoseconds.
 const MIN_LATENCY_LIMIT_NS: f64 = 1e6;
-/// Lower bound of the fraction of its window that a rate counts as observed, so that the first samples do not
-/// inflate it.
+/// Lower bound of the observed fraction by which a rate is divided, so that the first samples do not inflate
+/// the rate.
 const MIN_OBSERVED_FRACTION: f64 = 0.05;
 
 /// Mean, mean deviation and baseline of a latency or a lateness, as exponentially weighted moving averages.
@@ -128,12 +128,12 @@
 #[derive(Debug)]
 pub(crate) struct TrafficStatistics {
     /// Latency of each request class.
-    pub classes: Vec<LatencyStatistics>,
+    pub class_latencies: Vec<LatencyStatistics>,
     /// Latency over all classes.
     pub overall: LatencyStatistics,
     /// Latency divided by the requests in flight at the endpoint.
-    pub per_in_flight: LatencyStatistics,
-    answered: DecayingSum,
+    pub latency_per_in_flight: LatencyStatistics,
+    responses: DecayingSum,
     /// Fraction of all attempts that fail.
     failure_ratio: f64,
 }
@@ -142,27 +142,27 @@
     /// Creates empty statistics.
     pub fn new(settings: &Settings, now: Time) -> Self {
         Self {
-            classes: vec![LatencyStatistics::default(); settings.classes.len()],
+            class_latencies: vec![LatencyStatistics::default(); settings.classes.len()],
             overall: LatencyStatistics::default(),
-            per_in_flight: LatencyStatistics::default(),
-            answered: DecayingSum::starting_at(now),
+            latency_per_in_flight: LatencyStatistics::default(),
+            responses: DecayingSum::starting_at(now),
             failure_ratio: 0.0,
         }
     }
 
-    /// Counts an answered attempt.
-    pub fn count_answered(&mut self, now: Time) {
-        self.answered.add(now, 1.0, RATE_WINDOW);
+    /// Counts a response to an attempt.
+    pub fn count_response(&mut self, now: Time) {
+        self.responses.add(now, 1.0, RATE_TIME_CONSTANT);
     }
 
-    /// Answers per second.
-    pub fn answer_rate(&self, now: Time) -> f64 {
-        self.answered.per_second(now, RATE_WINDOW)
+    /// Responses per second.
+    pub fn response_rate(&self, now: Time) -> f64 {
+        self.responses.per_second(now, RATE_TIME_CONSTANT)
     }
 
-    /// Requests that would be in flight if all were answered at the baseline latency (Little's law).
+    /// Requests that would be in flight if all had the baseline latency (Little's law).
     pub fn baseline_in_flight(&self, now: Time) -> f64 {
-        self.answer_rate(now) * self.overall.baseline / SECOND as f64
+        self.response_rate(now) * self.overall.baseline / SECOND as f64
     }
 
     /// Records a failed attempt, and returns the updated failure ratio.
@@ -177,8 +177,8 @@
     }
 
     /// Records the latency of an attempt of a class, in nanoseconds.
-    pub fn learn_latency(&mut self, class: usize, elapsed: f64) {
-        self.classes[class].learn(elapsed, OUTCOME_GAIN);
-        self.overall.learn(elapsed, OUTCOME_GAIN);
+    pub fn learn_latency(&mut self, class: usize, latency_ns: f64) {
+        self.class_latencies[class].learn(latency_ns, OUTCOME_GAIN);
+        self.overall.learn(latency_ns, OUTCOME_GAIN);
     }
 }
--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -55,7 +55,7 @@
         let avoid_own_zone = !is_own_zone_usable(selector, own_zone);
         let log = self.update_avoidance(avoid_own_zone, selector, own_zone);
         let pool = if avoid_own_zone {
-            zone_after_avoidance(selector, own_zone).unwrap_or(selector.endpoints.all_zones())
+            zone_after_avoidance(selector, own_zone).unwrap_or(selector.endpoints.all_endpoints_pool())
         } else {
             spill_zone(selector, own_zone).unwrap_or(own_zone)
         };
@@ -94,7 +94,7 @@
 /// failure ratio.
 fn is_own_zone_usable(selector: &Selector<'_>, own_zone: usize) -> bool {
     let zone = &selector.endpoints.pools[own_zone];
-    let is_blackout = zone.tripped as f64 >= BLACKOUT_RATIO * zone.members.len() as f64;
+    let is_blackout = zone.tripped_count as f64 >= BLACKOUT_RATIO * zone.members.len() as f64;
     let has_healthy = zone.healthy_count() >= MIN_HEALTHY_ENDPOINTS;
     has_healthy
         && !is_blackout
@@ -105,8 +105,8 @@
 /// Whether requests fail so much more often in the own zone that a crossing is worth its price. Where they
 /// fail as often elsewhere, a crossing gains nothing.
 fn fails_too_often(selector: &Selector<'_>, own_zone: usize) -> bool {
-    let zones = selector.endpoints.all_zones();
-    let others = selector.endpoints.pools[..zones].iter().enumerate();
+    let zone_count = selector.endpoints.all_endpoints_pool();
+    let others = selector.endpoints.pools[..zone_count].iter().enumerate();
     let others =
         others.filter(|(zone, pool)| *zone != own_zone && pool.healthy_count() >= MIN_HEALTHY_ENDPOINTS);
     let min_elsewhere = others.map(|(_, pool)| pool.failure_ratio(selector.now)).reduce(f64::min);
@@ -127,7 +127,7 @@
     f64::from(zone.in_flight) > limit.max(MIN_OVERLOAD_IN_FLIGHT)
 }
 
-/// Whether requests in a zone are mostly answered.
+/// Whether requests in a zone mostly succeed.
 fn is_serving(pool: &EndpointPool, now: Time) -> bool {
     pool.healthy_count() >= MIN_HEALTHY_ENDPOINTS && pool.failure_ratio(now) < BLACKOUT_RATIO
 }
@@ -152,9 +152,9 @@
     should_spill.then_some(other_zone)
 }
 
-/// Drops the fully tripped zones, those where half of the requests fail (a small balancer would have to
-/// detect each of their endpoints by itself), and the most overloaded one. If any was dropped, returns a
-/// random one of the rest, larger ones more often.
+/// Drops the fully tripped zones, those where half of the requests fail (a small balancer detects each of
+/// their endpoints separately), and the most overloaded one. If any was dropped, returns a random one of the
+/// rest, larger ones more often.
 fn zone_after_avoidance(selector: &mut Selector<'_>, own_zone: usize) -> Option<usize> {
     let now = selector.now;
     let worst_zone = worst_overloaded_zone(selector, own_zone);
