--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
     /// No response came in time: the endpoint may still be working on the request.
-    NoResponse,
+    Unfinished,
     /// Any other failure: no work of the request is left at the endpoint.
     Ended,
 }
@@ -36,7 +36,7 @@
 impl FailureKind {
     /// The kind of an outcome that is a failure.
     pub fn of(outcome: AttemptOutcome) -> Self {
-        if outcome == AttemptOutcome::Timeout { Self::NoResponse } else { Self::Ended }
+        if outcome == AttemptOutcome::Timeout { Self::Unfinished } else { Self::Ended }
     }
 }
 
@@ -53,9 +53,9 @@
     open_until: Time,
     /// A trial request is in flight.
     pub trial_in_flight: bool,
-    /// The last opening was due to an attempt without a response: the endpoint may still be working on
+    /// The last opening was due to an attempt without a response in time: the endpoint may still be working on
     /// abandoned requests.
-    opened_by_missing_response: bool,
+    opened_by_unfinished_attempt: bool,
 }
 
 impl CircuitBreaker {
@@ -72,7 +72,7 @@
     /// Whether the endpoint may still be working on abandoned requests, and gets none before its next trial.
     /// If all endpoints are in this state, further requests would keep them busy with abandoned work forever.
     pub fn may_be_backlogged(&self, now: Time, repeatable: bool) -> bool {
-        self.opened_by_missing_response && !self.admits(now, repeatable)
+        self.opened_by_unfinished_attempt && !self.admits(now, repeatable)
     }
 
     /// Records a failed attempt, and returns whether the breaker opens; `failure_ratio` is that of all
@@ -92,11 +92,11 @@
         self.recent_openings += 1;
         self.opened_at = now;
         self.open_until = now + OPEN_BACKOFF.delay(self.recent_openings);
-        self.opened_by_missing_response = kind == FailureKind::NoResponse;
+        self.opened_by_unfinished_attempt = kind == FailureKind::Unfinished;
         true
     }
 
-    /// Records a response to an attempt. The caller then closes the breaker.
+    /// Records a successful attempt. The caller then closes the breaker.
     pub fn on_success(&mut self) {
         self.consecutive_failures = 0;
         self.consecutive_successes = self.consecutive_successes.saturating_add(1);
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -14,8 +14,8 @@
 const SLOWNESS_GAIN: f64 = 0.3;
 /// Largest amount by which one attempt may raise the slowness, before smoothing.
 const MAX_SLOWNESS_STEP: f64 = 4.0;
-/// An endpoint that responded within this time is alive: a connection that fails then exceeds its connection
-/// limit.
+/// An endpoint that responded successfully within this time is alive: a connection that fails then exceeds
+/// its connection limit.
 const ALIVE_WINDOW: Duration = SECOND;
 /// Rounding error within which a turn counts as complete.
 const TURN_TOLERANCE: f64 = 1e-9;
@@ -49,7 +49,7 @@
     open_connections: u32,
     /// When an attempt last ended and left its connection idle.
     idle_since: Time,
-    /// When the endpoint last responded.
+    /// When the endpoint last responded successfully.
     last_response_at: Time,
     /// Exponentially weighted moving average of the latency of attempts, as a multiple of the mean of their
     /// class.
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records a response.
+    /// Records a successful response.
     pub fn on_response(&mut self, now: Time) {
         self.last_response_at = now;
     }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -46,7 +46,7 @@
     accumulated_load: DecayingSum,
     /// Number of requests that ended after an endpoint had processed them.
     responses: DecayingSum,
-    /// Work requested of each class, within and over the quotas of the tenants, by [`Bucket`].
+    /// Work requested of each class, within and over the quotas of the tenants, by [`DemandBucket`].
     demand: Vec<DecayingSum>,
     /// Number of requests of each tenant.
     tenant_requests: Vec<DecayingSum>,
@@ -56,9 +56,9 @@
 
 /// The requests of one class that are within, or over, the quota of their tenant.
 #[derive(Clone, Copy)]
-struct Bucket(usize);
+struct DemandBucket(usize);
 
-impl Bucket {
+impl DemandBucket {
     fn new(class: usize, over_quota: bool) -> Self {
         Self(2 * class + usize::from(over_quota))
     }
@@ -106,7 +106,7 @@
         if settings.tier > 0 {
             return Admission { admitted: true, change: None };
         }
-        let bucket = Bucket::new(class, self.is_over_quota(tenant, now, settings, rng));
+        let bucket = DemandBucket::new(class, self.is_over_quota(tenant, now, settings, rng));
         self.demand[bucket.0].add(now, traffic.class_latencies[class].mean.max(1.0), RATE_TIME_CONSTANT);
         let demand = self.demand_relative_to(bucket, now, settings, &traffic.class_latencies);
         let time_constant = rate_time_constant(now, settings, traffic);
@@ -185,7 +185,7 @@
     /// The work requested recently, split by its value relative to that of a bucket.
     fn demand_relative_to(
         &self,
-        bucket: Bucket,
+        bucket: DemandBucket,
         now: Time,
         settings: &Settings,
         class_latencies: &[LatencyStatistics],
@@ -194,7 +194,7 @@
         let mut demand = Demand::default();
         for (position, recent) in self.demand.iter().enumerate() {
             let work = recent.get(now, RATE_TIME_CONSTANT);
-            let other_value = Bucket(position).value(settings, class_latencies);
+            let other_value = DemandBucket(position).value(settings, class_latencies);
             demand.total += work;
             demand.lower_value += if other_value < value { work } else { 0.0 };
             demand.equal_value += if other_value == value { work } else { 0.0 };
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -277,7 +277,7 @@
             Lateness::Late => {
                 request.lateness = Lateness::Overdue;
                 let idle_bucket = request.idle_bucket;
-                self.on_missing_response(endpoint, idle_bucket, sent_at, FailureKind::NoResponse);
+                self.on_missing_response(endpoint, idle_bucket, sent_at, FailureKind::Unfinished);
             }
             Lateness::Overdue => {}
         }
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -69,7 +69,7 @@
     pub zones: usize,
     /// Number of balancers that send to the same tier, including this one.
     pub replicas: u32,
-    /// The tier that this balancer sends to; tier 0 serves the external clients.
+    /// The tier that this balancer sends to; tier 0 serves the clients.
     pub tier: u32,
     /// Requests to deeper tiers carry the time that their client has left.
     pub propagates_deadline: bool,
--- a/src/decision/statistics.rs
+++ b/src/decision/statistics.rs
@@ -150,12 +150,12 @@
         }
     }
 
-    /// Counts a response to an attempt.
+    /// Counts a successful response.
     pub fn count_response(&mut self, now: Time) {
         self.responses.add(now, 1.0, RATE_TIME_CONSTANT);
     }
 
-    /// Responses per second.
+    /// Successful responses per second.
     pub fn response_rate(&self, now: Time) -> f64 {
         self.responses.per_second(now, RATE_TIME_CONSTANT)
     }
