--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -122,8 +122,8 @@
 
     /// Number of listed endpoints that receive no requests because they are offline, draining or have a tripped
     /// circuit breaker.
-    pub fn avoided(&self) -> usize {
-        self.endpoints.avoided()
+    pub fn unavailable_count(&self) -> usize {
+        self.endpoints.unavailable_count()
     }
 
     fn on_timer(&mut self, token: u64) {
@@ -165,8 +165,8 @@
 
     fn rebuild_pools(&mut self) {
         self.endpoints.rebuild_pools();
-        let home = usize::from(self.settings.zone.0);
-        self.slow_start.set_own_zone_endpoints(self.endpoints.warm_up_ends(home, &self.settings));
+        let own_zone = usize::from(self.settings.zone.0);
+        self.slow_start.set_own_zone_endpoints(self.endpoints.warm_up_ends(own_zone, &self.settings));
     }
 
     fn on_offline(&mut self, endpoint: EndpointId) {
