--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -1,16 +1,16 @@
-//! The project's own decision module, unchanged, for a whole fleet in one process on virtual time.
+//! The hollow mode: a whole fleet in one process on virtual time, with the balancer's own decision module.
 //!
-//! Each module instance gets the events, and has its actions carried out, as the real balancer does it; all around
-//! it is hollow. The same configuration and seed always give the same outcome.
+//! Each module instance receives its events and has its actions carried out as in the real balancer, while clients,
+//! upstreams, the network and discovery are simulated. The same configuration and seed always give the same outcome.
 
 mod config;
 mod outcome;
 
 pub use config::{Config, Shape};
 
-use crate::discovery::{self, Discovery, Told};
+use crate::discovery::{self, Discovery, Notification};
 use crate::engine::{Key, Queue, SECOND, Slab, Time, millis, seconds};
-use crate::faults::Step;
+use crate::faults::FaultStep;
 use crate::load::{self, Arrival, Load};
 use crate::report;
 use crate::topology::{Instance, Owner, Topology};
@@ -28,52 +28,55 @@
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
 
-/// Where the virtual clock starts: a server may have started long before.
+/// Initial value of the virtual clock: late enough that times well before the start of the run are not negative.
 const START: Time = 1_000 * SECOND;
-/// Steps of the window in which the calls of a cold server are counted.
-const FALL_STEPS: usize = 10;
-/// How often progress is told of.
-const PROGRESS_EVERY: Time = SECOND / 10;
+/// Number of buckets of the sliding window over which attempts to a cold upstream are counted.
+const OVERLOAD_WINDOW_BUCKETS: usize = 10;
+/// Interval between two progress reports, in virtual time.
+const PROGRESS_INTERVAL: Time = SECOND / 10;
 
-/// Runs a configuration that has been checked. `progress` is told of the virtual nanoseconds that are done, and
-/// of how many.
+/// Runs a checked configuration. `progress` receives the virtual nanoseconds that have passed and their total.
 pub fn run(config: &Config, seed: u64, progress: &dyn Fn(u64, u64)) -> report::Outcome {
     let mut fleet = Fleet::new(config, seed);
     fleet.run(progress);
     fleet.outcome()
 }
 
-/// An event on the virtual clock.
+/// An event on the virtual clock. Upstreams, instances, fronts, fault steps and updates are given by their index.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The next request of a client.
+    /// The next client request arrives.
     Arrival,
     /// An attempt reaches its upstream.
-    Reached(Key),
-    /// An upstream's own work on an attempt is done.
-    Worked(Key),
-    /// The end of an attempt reaches its balancer.
-    Answered(Key),
-    /// An attempt has had its time.
-    Expired(Key),
-    /// An upstream sees that an attempt was given up.
-    Withdrawn(Key),
-    /// A timer of a module instance.
+    AttemptReceived(Key),
+    /// An upstream has processed an attempt; requests to its callees follow.
+    ProcessingDone(Key),
+    /// The response to an attempt, or its failure, reaches the balancer.
+    ResponseReceived(Key),
+    /// The time limit of an attempt is reached.
+    AttemptTimedOut(Key),
+    /// An upstream sees that the balancer closed the connection of an attempt.
+    AttemptCancelled(Key),
+    /// A timer of a module instance fires.
     Timer(u32, u64),
+    /// An event of the simulated discovery service.
     Discovery(discovery::Event),
-    /// A change of a list is noticed.
-    Notice(u32),
-    /// A step of the plan of faults.
+    /// Discovery lists a change of an endpoint's state.
+    EndpointUpdate(u32),
+    /// A step of the fault plan is due.
     Fault(u32),
-    /// An upstream's process ends, starts, and has its lists.
-    Stop(u32),
-    Start(u32),
-    Ready(u32),
-    /// Clients leave a front balancer that is lost, or a new one has its lists.
-    FrontLeft(u32),
+    /// The process of an upstream ends.
+    UpstreamStop(u32),
+    /// A new process of an upstream starts.
+    UpstreamStart(u32),
+    /// The balancer of a new process has its endpoint lists.
+    UpstreamReady(u32),
+    /// Clients stop using a lost front balancer.
+    FrontRemoved(u32),
+    /// A new front balancer has its endpoint lists.
     FrontReady(u32),
-    /// A list changes for no fault's sake.
-    Change,
+    /// The listed capacity of a random endpoint changes.
+    CapacityChange,
 }
 
 impl From<discovery::Event> for Event {
@@ -82,173 +85,181 @@
     }
 }
 
-/// Who a call is made for.
+/// The sender of a request to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Caller {
+enum RequestSource {
     Client,
-    /// An upstream, for the attempt that it works on.
+    /// An upstream, on behalf of the attempt that it processes.
     Attempt(Key),
 }
 
-/// A request at a balancer that is not answered yet, or has an attempt out.
+/// A request at a balancer that awaits its response or has an active attempt.
 #[derive(Debug)]
-struct Call {
+struct Request {
     instance: usize,
     id: RequestId,
-    caller: Caller,
+    source: RequestSource,
     class: usize,
-    came: Time,
+    arrived_at: Time,
     deadline: Time,
-    /// An answer is owed.
-    owed: bool,
-    attempts: u32,
-    out: Option<Key>,
-    /// Its client's request came in the time that is measured.
+    /// Neither a response was sent nor did the client disconnect.
+    awaiting_response: bool,
+    attempt_count: u32,
+    active_attempt: Option<Key>,
+    /// The client request that led to this request arrived in the measured interval.
     measured: bool,
 }
 
-/// Where an attempt is.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Coming,
+enum AttemptStage {
+    InTransit,
     Queued,
-    Working,
-    /// The upstream has made a call of its own for it.
-    Calling(Key),
-    Answering,
-    /// Nothing will come of it any more.
+    Processing,
+    /// The upstream waits for the response to a request of its own.
+    WaitingForCallee(Key),
+    Responding,
+    /// No response will arrive.
     Lost,
 }
 
-/// An attempt.
+/// An attempt: a request that a balancer sent to an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    call: Key,
+    request: Key,
     number: u32,
     upstream: usize,
     class: usize,
-    sent: Time,
+    sent_at: Time,
     until: Time,
-    /// It opens a connection, or goes out on one to a process that is gone.
-    connects: bool,
-    stale: bool,
-    /// Its balancer waits for it.
-    waited: bool,
-    place: Place,
+    /// The attempt opens a connection.
+    opens_connection: bool,
+    /// The attempt uses a connection to a process that has ended.
+    connection_stale: bool,
+    /// The balancer still waits for the response.
+    awaited: bool,
+    stage: AttemptStage,
     outcome: AttemptOutcome,
-    /// The next callee of its service to be called or not.
-    callee: usize,
+    /// Index of the next callee of the upstream's service.
+    next_callee: usize,
     measured: bool,
 }
 
-/// Whether a process runs.
+/// The state of an upstream's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ProcessState {
     Up,
-    /// Its connections are reset and refused.
+    /// The machine is up, but no process runs: connections are reset or refused.
     Down,
-    /// Its machine is gone, and says nothing.
+    /// The machine has vanished: nothing is sent in response.
     Silent,
 }
 
-/// An upstream at work.
+/// The state of an upstream.
 #[derive(Debug)]
-struct Server {
-    life: Life,
-    /// Its processes so far.
-    process: u32,
+struct UpstreamState {
+    process_state: ProcessState,
+    /// Number of processes that have ended; identifies the present or the next process.
+    incarnation: u32,
+    /// Start of the latest process; `None` if it was warm when the run began.
     started: Option<Time>,
-    busy: u32,
+    /// Number of attempts being processed.
+    processing: u32,
     queue: VecDeque<Key>,
-    /// Calls in the last steps of the window over which a cold one is judged, and the last step.
-    recent: [u32; FALL_STEPS],
-    step: Time,
+    /// Number of attempts in each bucket of the overload window, while the upstream is cold.
+    recent_attempts: [u32; OVERLOAD_WINDOW_BUCKETS],
+    /// Number of the latest bucket since the start of the clock.
+    last_bucket: Time,
 }
 
-/// A module instance with what the driver of a real balancer keeps beside it.
-struct Node {
+/// A module instance, with the state that the dispatcher of a real balancer keeps for it.
+struct InstanceState {
     balancer: LoadBalancer,
     alive: bool,
     next_id: u32,
-    calls: HashMap<RequestId, Key>,
+    requests: HashMap<RequestId, Key>,
     /// Idle connections to each upstream of its service.
-    idle: Vec<Idle>,
+    idle_connections: Vec<IdleConnections>,
 }
 
-/// Idle connections of an instance to an upstream.
+/// Idle connections of a module instance to one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-struct Idle {
+struct IdleConnections {
     count: u32,
-    /// When the last was used, and the process of the upstream that it leads to.
-    used: Time,
-    process: u32,
+    /// When a connection was last used.
+    last_used: Time,
+    /// Incarnation of the upstream that the connections lead to.
+    incarnation: u32,
 }
 
-/// When a change of a list holds, once it is noticed.
+/// The condition under which a scheduled endpoint update still applies when discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Holds {
-    /// As long as the upstream's process is this one.
-    Process(u32),
-    /// As long as the regions are cut for this time.
-    Cut(u32),
+enum ValidWhile {
+    /// The upstream still has this incarnation.
+    Incarnation(u32),
+    /// The regions are still separated by this partition.
+    Partition(u32),
 }
 
+/// A change of an endpoint's state that discovery lists after a delay.
 #[derive(Clone, Copy, Debug)]
-struct Notice {
+struct EndpointUpdate {
     upstream: usize,
-    lifecycle: EndpointState,
-    happened: Time,
-    holds: Holds,
+    endpoint_state: EndpointState,
+    changed_at: Time,
+    valid_while: ValidWhile,
 }
 
+/// The state of a run.
 struct Fleet<'a> {
     config: &'a Config,
     topology: Topology,
     queue: Queue<Event>,
     rng: ChaCha8Rng,
-    work: LogNormal<f64>,
+    service_time_factor: LogNormal<f64>,
     classes: Vec<RequestClass>,
     load: Load,
-    next: Arrival,
-    nodes: Vec<Node>,
-    servers: Vec<Server>,
+    next_arrival: Arrival,
+    instance_states: Vec<InstanceState>,
+    upstream_states: Vec<UpstreamState>,
     discovery: Discovery,
-    calls: Slab<Call>,
+    requests: Slab<Request>,
     attempts: Slab<Attempt>,
-    notices: Vec<Notice>,
-    plan: Vec<Step>,
+    endpoint_updates: Vec<EndpointUpdate>,
+    fault_plan: Vec<FaultStep>,
     restart_order: Vec<usize>,
-    tier_fails: bool,
-    regions_cut: bool,
-    cuts: u32,
-    /// Front balancers that run, and those that clients call.
+    tier_failing: bool,
+    regions_partitioned: bool,
+    partition_count: u32,
+    /// Whether each front balancer runs.
     front_up: Vec<bool>,
-    front_called: Vec<bool>,
+    /// Whether clients send requests to each front balancer.
+    front_in_rotation: Vec<bool>,
     actions: Vec<Action>,
-    pending: VecDeque<(usize, RequestId, AttemptEnd)>,
+    pending_attempt_ends: VecDeque<(usize, RequestId, AttemptEnd)>,
     counts: Counts,
     latency: Histogram<u64>,
-    open_measured: u64,
-    measure_from: Time,
+    measured_in_flight: u64,
+    measurement_start: Time,
     arrivals_end: Time,
 }
 
 impl<'a> Fleet<'a> {
     fn new(config: &'a Config, seed: u64) -> Self {
-        let stream = |purpose| crate::random(seed, purpose);
-        let topology = Topology::new(config, &mut stream(1));
-        let mut rng = stream(2);
-        let servers: Vec<Server> = topology
+        let random_stream = |purpose| crate::random(seed, purpose);
+        let topology = Topology::new(config, &mut random_stream(1));
+        let mut rng = random_stream(2);
+        let upstream_states: Vec<UpstreamState> = topology
             .upstreams
             .iter()
-            .map(|_| Server {
-                life: Life::Up,
-                process: 0,
+            .map(|_| UpstreamState {
+                process_state: ProcessState::Up,
+                incarnation: 0,
                 started: rng.random_bool(config.cold_share).then_some(START),
-                busy: 0,
+                processing: 0,
                 queue: VecDeque::new(),
-                recent: [0; FALL_STEPS],
-                step: 0,
+                recent_attempts: [0; OVERLOAD_WINDOW_BUCKETS],
+                last_bucket: 0,
             })
             .collect();
         let entry = |upstream: usize| EndpointEntry {
@@ -257,41 +268,45 @@
             cell: 0,
             state: EndpointState::InService,
             capacity: 1.0,
-            started: servers[upstream].started,
+            started: upstream_states[upstream].started,
         };
         let lists =
             topology.services.iter().map(|service| service.upstreams.clone().map(entry).collect()).collect();
         let watchers = topology.instances.iter().map(|instance| instance.service);
-        let discovery = Discovery::new(config.discovery.clone(), stream(3), lists, watchers);
-        let entries = topology.entries.len();
-        let mut load = Load::new(config, topology.request_rate, entries, START, stream(4));
-        let next = load.next_arrival();
+        let discovery = Discovery::new(config.discovery.clone(), random_stream(3), lists, watchers);
+        let entry_services = topology.entry_services.len();
+        let mut load = Load::new(config, topology.request_rate, entry_services, START, random_stream(4));
+        let next_arrival = load.next_arrival();
         let classes = load::classes(config);
-        let nodes = topology
+        let instance_states = topology
             .instances
             .iter()
-            .map(|instance| Node {
-                balancer: balancer(config, &classes, &topology, instance, rng.random(), START),
+            .map(|instance| InstanceState {
+                balancer: new_balancer(config, &classes, &topology, instance, rng.random(), START),
                 alive: true,
                 next_id: 0,
-                calls: HashMap::new(),
-                idle: vec![Idle::default(); topology.services[instance.service].upstreams.len()],
+                requests: HashMap::new(),
+                idle_connections: vec![
+                    IdleConnections::default();
+                    topology.services[instance.service].upstreams.len()
+                ],
             })
             .collect();
-        let measure_from = START + seconds(config.warmup_s);
-        let arrivals_end = measure_from + seconds(config.duration_s);
+        let measurement_start = START + seconds(config.warmup_s);
+        let arrivals_end = measurement_start + seconds(config.duration_s);
         let faults = config.faults();
         let mut restart_order: Vec<usize> = (0..topology.upstreams.len()).collect();
         restart_order.shuffle(&mut rng);
         let mut queue = Queue::new(START);
         let steps = faults.plan(START, topology.upstreams.len());
-        for (at, &(time, _)) in steps.iter().enumerate() {
-            queue.push(time, Event::Fault(at as u32));
+        for (index, &(time, _)) in steps.iter().enumerate() {
+            queue.push(time, Event::Fault(index as u32));
         }
-        queue.push(next.at, Event::Arrival);
+        queue.push(next_arrival.at, Event::Arrival);
         let variance = (1.0 + config.work_variation * config.work_variation).ln();
         let mut fleet = Self {
-            work: LogNormal::new(-variance / 2.0, variance.sqrt()).expect("the variation has been checked"),
+            service_time_factor: LogNormal::new(-variance / 2.0, variance.sqrt())
+                .expect("the checked variation gives a finite deviation"),
             counts: Counts {
                 tiers: vec![TierCount::default(); config.depth as usize],
                 seconds: vec![
@@ -301,226 +316,261 @@
                 ..Counts::default()
             },
             front_up: vec![true; config.fronts],
-            front_called: vec![true; config.fronts],
+            front_in_rotation: vec![true; config.fronts],
             config,
             queue,
             rng,
             classes,
             load,
-            next,
-            nodes,
-            servers,
+            next_arrival,
+            instance_states,
+            upstream_states,
             discovery,
-            calls: Slab::default(),
+            requests: Slab::default(),
             attempts: Slab::default(),
-            notices: Vec::new(),
-            plan: steps.into_iter().map(|(_, step)| step).collect(),
+            endpoint_updates: Vec::new(),
+            fault_plan: steps.into_iter().map(|(_, step)| step).collect(),
             restart_order,
-            tier_fails: false,
-            regions_cut: false,
-            cuts: 0,
+            tier_failing: false,
+            regions_partitioned: false,
+            partition_count: 0,
             actions: Vec::new(),
-            pending: VecDeque::new(),
-            latency: Histogram::new_with_max(3_600 * SECOND, 3).expect("these bounds are allowed"),
-            open_measured: 0,
-            measure_from,
+            pending_attempt_ends: VecDeque::new(),
+            latency: Histogram::new_with_max(3_600 * SECOND, 3)
+                .expect("the bounds of the latency histogram are valid"),
+            measured_in_flight: 0,
+            measurement_start,
             arrivals_end,
             topology,
         };
-        fleet.next_change();
-        for instance in 0..fleet.nodes.len() {
-            fleet.tell_list(instance);
+        fleet.schedule_capacity_change();
+        for instance in 0..fleet.instance_states.len() {
+            fleet.send_endpoint_list(instance);
         }
         fleet
     }
 
     fn run(&mut self, progress: &dyn Fn(u64, u64)) {
-        let last = self.arrivals_end + millis(self.config.deadline_ms) + SECOND;
-        let length = self.arrivals_end - START;
-        let mut tell_at = START;
+        let latest_end = self.arrivals_end + millis(self.config.deadline_ms) + SECOND;
+        let run_length = self.arrivals_end - START;
+        let mut next_progress_at = START;
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            if now >= tell_at {
-                progress((now - START).min(length), length);
-                tell_at = now + PROGRESS_EVERY;
+            if now >= next_progress_at {
+                progress((now - START).min(run_length), run_length);
+                next_progress_at = now + PROGRESS_INTERVAL;
             }
-            if now >= self.arrivals_end && (self.open_measured == 0 || now >= last) {
+            if now >= self.arrivals_end && (self.measured_in_flight == 0 || now >= latest_end) {
                 break;
             }
             self.on_event(event);
         }
-        progress(length, length);
+        progress(run_length, run_length);
     }
 
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.on_arrival(),
-            Event::Reached(key) => self.on_reached(key),
-            Event::Worked(key) => self.on_worked(key),
-            Event::Answered(key) => self.on_answered(key),
-            Event::Expired(key) => self.on_expired(key),
-            Event::Withdrawn(key) => self.on_withdrawn(key),
-            Event::Timer(instance, token) => self.tell(instance as usize, ModuleEvent::Timer(token)),
+            Event::AttemptReceived(key) => self.on_attempt_received(key),
+            Event::ProcessingDone(key) => self.on_processing_done(key),
+            Event::ResponseReceived(key) => self.on_response_received(key),
+            Event::AttemptTimedOut(key) => self.on_attempt_timed_out(key),
+            Event::AttemptCancelled(key) => self.on_attempt_cancelled(key),
+            Event::Timer(instance, token) => {
+                self.notify_instance(instance as usize, ModuleEvent::Timer(token))
+            }
             Event::Discovery(event) => {
-                let (instance, told) = self.discovery.handle(event, &mut self.queue);
-                match told {
-                    Told::Nothing => {}
-                    Told::Changes(entries) if entries.is_empty() => {}
-                    Told::Changes(entries) => self.tell(instance, ModuleEvent::EndpointsChanged(&entries)),
-                    Told::Failed => self.tell(instance, ModuleEvent::DiscoveryFailed),
+                let (instance, notification) = self.discovery.handle(event, &mut self.queue);
+                match notification {
+                    Notification::Nothing => {}
+                    Notification::Changes(entries) if entries.is_empty() => {}
+                    Notification::Changes(entries) => {
+                        self.notify_instance(instance, ModuleEvent::EndpointsChanged(&entries))
+                    }
+                    Notification::Failed => self.notify_instance(instance, ModuleEvent::DiscoveryFailed),
                 }
             }
-            Event::Notice(notice) => self.on_notice(notice as usize),
-            Event::Fault(step) => self.on_fault(self.plan[step as usize]),
-            Event::Stop(upstream) if self.servers[upstream as usize].life != Life::Up => {} // its zone was lost
-            Event::Stop(upstream) => {
-                self.stop(upstream as usize, Life::Down);
-                let after = seconds(self.config.rolling_restart.down_s);
-                self.queue.push(self.queue.now() + after, Event::Start(upstream));
+            Event::EndpointUpdate(update) => self.on_endpoint_update(update as usize),
+            Event::Fault(step) => self.on_fault(self.fault_plan[step as usize]),
+            Event::UpstreamStop(upstream)
+                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // already down: its zone was lost
+            Event::UpstreamStop(upstream) => {
+                self.stop_upstream(upstream as usize, ProcessState::Down);
+                let downtime = seconds(self.config.rolling_restart.down_s);
+                self.queue.push(self.queue.now() + downtime, Event::UpstreamStart(upstream));
             }
-            Event::Start(upstream) => self.on_start(upstream as usize),
-            Event::Ready(upstream) => self.on_ready(upstream as usize),
-            Event::FrontLeft(front) => {
-                self.front_called[front as usize] = self.front_up[front as usize];
+            Event::UpstreamStart(upstream) => self.on_upstream_start(upstream as usize),
+            Event::UpstreamReady(upstream) => self.on_upstream_ready(upstream as usize),
+            Event::FrontRemoved(front) => {
+                self.front_in_rotation[front as usize] = self.front_up[front as usize];
             }
             Event::FrontReady(front) => {
                 let front = front as usize;
-                (self.front_up[front], self.front_called[front]) = (true, true);
-                self.renew(self.topology.fronts[front].instances.clone());
+                (self.front_up[front], self.front_in_rotation[front]) = (true, true);
+                self.restart_instances(self.topology.fronts[front].instances.clone());
             }
-            Event::Change => self.on_change(),
+            Event::CapacityChange => self.on_capacity_change(),
         }
     }
 
-    // ---- Clients ----
+    // ---- Client requests ----
 
+    /// Sends the next client request to a front balancer in rotation. It is lost if there is none, or if the
+    /// balancer is down.
     fn on_arrival(&mut self) {
-        let Arrival { at, class, entry } = self.next;
-        self.next = self.load.next_arrival();
-        if self.next.at < self.arrivals_end {
-            self.queue.push(self.next.at, Event::Arrival);
+        let Arrival { at, class, entry } = self.next_arrival;
+        self.next_arrival = self.load.next_arrival();
+        if self.next_arrival.at < self.arrivals_end {
+            self.queue.push(self.next_arrival.at, Event::Arrival);
         }
-        let measured = at >= self.measure_from;
-        self.count_request(at, measured, |count| &mut count.came);
-        let first = self.rng.random_range(0..self.front_called.len());
-        let fronts = (0..self.front_called.len()).map(|step| (first + step) % self.front_called.len());
-        let Some(front) = fronts.into_iter().find(|&front| self.front_called[front]) else {
+        let measured = at >= self.measurement_start;
+        self.count_request(at, measured, |count| &mut count.arrived);
+        let first_front = self.rng.random_range(0..self.front_in_rotation.len());
+        let fronts = (0..self.front_in_rotation.len())
+            .map(|offset| (first_front + offset) % self.front_in_rotation.len());
+        let Some(front) = fronts.into_iter().find(|&front| self.front_in_rotation[front]) else {
             return self.count_request(at, measured, |count| &mut count.lost);
         };
         if !self.front_up[front] {
             return self.count_request(at, measured, |count| &mut count.lost);
         }
-        self.open_measured += u64::from(measured);
+        self.measured_in_flight += u64::from(measured);
         let instance = self.topology.fronts[front].instances.start + entry;
         let deadline = at + self.classes[class].deadline;
-        self.call(instance, Caller::Client, class, deadline, measured);
+        self.start_request(instance, RequestSource::Client, class, deadline, measured);
     }
 
-    fn count_request(&mut self, came: Time, measured: bool, field: impl Fn(&mut RequestCount) -> &mut u64) {
-        let second = ((came - START) / SECOND) as usize;
-        if let Some(count) = self.counts.seconds.get_mut(second) {
+    /// Counts a client request for its second of arrival, and for the whole run if it is measured.
+    fn count_request(
+        &mut self,
+        arrived_at: Time,
+        measured: bool,
+        field: impl Fn(&mut RequestCount) -> &mut u64,
+    ) {
+        let second_index = ((arrived_at - START) / SECOND) as usize;
+        if let Some(count) = self.counts.seconds.get_mut(second_index) {
             *field(count) += 1;
         }
         if measured {
-            *field(&mut self.counts.requests) += 1;
+            *field(&mut self.counts.client_requests) += 1;
         }
     }
 
-    // ---- Calls ----
-
-    /// A request comes to a balancer.
-    fn call(&mut self, instance: usize, caller: Caller, class: usize, deadline: Time, measured: bool) -> Key {
+    // ---- Requests at a balancer ----
+
+    /// Hands a new request to a module instance.
+    fn start_request(
+        &mut self,
+        instance: usize,
+        source: RequestSource,
+        class: usize,
+        deadline: Time,
+        measured: bool,
+    ) -> Key {
         let now = self.queue.now();
-        let node = &mut self.nodes[instance];
-        let id = RequestId(node.next_id);
-        node.next_id = node.next_id.wrapping_add(1);
-        let call = Call {
+        let instance_state = &mut self.instance_states[instance];
+        let id = RequestId(instance_state.next_id);
+        instance_state.next_id = instance_state.next_id.wrapping_add(1);
+        let request = Request {
             instance,
             id,
-            caller,
+            source,
             class,
-            came: now,
+            arrived_at: now,
             deadline,
-            owed: true,
-            attempts: 0,
-            out: None,
+            awaiting_response: true,
+            attempt_count: 0,
+            active_attempt: None,
             measured,
         };
-        let key = self.calls.insert(call);
-        node.calls.insert(id, key);
-        self.counts.most_held = self.counts.most_held.max(node.calls.len());
+        let key = self.requests.insert(request);
+        instance_state.requests.insert(id, key);
+        self.counts.max_in_flight = self.counts.max_in_flight.max(instance_state.requests.len());
         let time_left = deadline.saturating_sub(now);
-        let demand = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
-        if let Caller::Attempt(caller) = caller
-            && let Some(attempt) = self.attempts.get_mut(caller)
+        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
+        if let RequestSource::Attempt(source) = source
+            && let Some(attempt) = self.attempts.get_mut(source)
         {
-            attempt.place = Place::Calling(key);
+            attempt.stage = AttemptStage::WaitingForCallee(key);
         }
-        self.tell(instance, ModuleEvent::Request(id, demand));
+        self.notify_instance(instance, ModuleEvent::Request(id, incoming));
         key
     }
 
-    /// Gives a request its final answer, if one is owed still.
-    fn answer(&mut self, key: Key, answer: Answer) {
-        let Some(call) = self.calls.get_mut(key) else { return };
-        if !std::mem::replace(&mut call.owed, false) {
+    /// Gives a request its final response, unless it already has one or its client disconnected.
+    fn respond(&mut self, key: Key, response: Response) {
+        let Some(request) = self.requests.get_mut(key) else { return };
+        if !std::mem::replace(&mut request.awaiting_response, false) {
             return;
         }
-        let (caller, came, measured) = (call.caller, call.came, call.measured);
-        self.counts.refused_calls += u64::from(answer == Answer::Refused);
-        self.forget_if_done(key);
-        match caller {
-            Caller::Client => {
-                self.open_measured -= u64::from(measured);
-                self.count_request(came, measured, |count| match answer {
-                    Answer::Served => &mut count.served,
-                    Answer::Refused => &mut count.refused,
-                    Answer::Failed => &mut count.failed,
+        let (source, arrived_at, measured) = (request.source, request.arrived_at, request.measured);
+        self.counts.refused_requests += u64::from(response == Response::Refused);
+        self.remove_if_done(key);
+        match source {
+            RequestSource::Client => {
+                self.measured_in_flight -= u64::from(measured);
+                self.count_request(arrived_at, measured, |count| match response {
+                    Response::Served => &mut count.served,
+                    Response::Refused => &mut count.refused,
+                    Response::Failed => &mut count.failed,
                 });
-                if measured && answer == Answer::Served {
-                    self.latency.saturating_record(self.queue.now() - came);
+                if measured && response == Response::Served {
+                    self.latency.saturating_record(self.queue.now() - arrived_at);
                 }
             }
-            Caller::Attempt(attempt) => match answer {
-                Answer::Served => self.call_on(attempt),
-                // An upstream fails if any of its calls does.
-                Answer::Refused | Answer::Failed => self.finish(attempt, AttemptOutcome::Error),
+            RequestSource::Attempt(attempt) => match response {
+                Response::Served => self.continue_attempt(attempt),
+                // An upstream responds with an error if any of its own requests fails.
+                Response::Refused | Response::Failed => self.finish_attempt(attempt, AttemptOutcome::Error),
             },
         }
     }
 
-    fn forget_if_done(&mut self, key: Key) {
-        if self.calls.get(key).is_some_and(|call| !call.owed && call.out.is_none())
-            && let Some(call) = self.calls.remove(key)
+    /// Removes a request that has its response and no active attempt.
+    fn remove_if_done(&mut self, key: Key) {
+        if self
+            .requests
+            .get(key)
+            .is_some_and(|request| !request.awaiting_response && request.active_attempt.is_none())
+            && let Some(request) = self.requests.remove(key)
         {
-            self.nodes[call.instance].calls.remove(&call.id);
+            self.instance_states[request.instance].requests.remove(&request.id);
         }
     }
 
-    // ---- Attempts, at the balancer ----
-
-    /// `times` are when the attempt is given up, and when it must have begun.
-    fn send(&mut self, instance: usize, id: RequestId, server: EndpointId, times: (Time, Option<Time>)) {
+    // ---- Attempts: balancer side ----
+
+    /// Sends an attempt, or reports it as not sent. `times` are its time limit and, if there is one, the time before
+    /// which it must reach the network.
+    fn send_attempt(
+        &mut self,
+        instance: usize,
+        id: RequestId,
+        endpoint: EndpointId,
+        times: (Time, Option<Time>),
+    ) {
         let now = self.queue.now();
         let (until, begin_by) = times;
-        let node = &mut self.nodes[instance];
-        let Some(&key) = node.calls.get(&id) else { return };
-        let Some(call) = self.calls.get_mut(key) else { return };
-        let (number, until) = (call.attempts, until.min(call.deadline));
-        call.attempts += 1;
-        let upstream = server.0 as usize;
-        let (zone, other) = (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
-        let way = way(self.config, zone, other);
-        let idle = &mut node.idle[self.topology.place(upstream)];
-        let connects = idle.count == 0 || now.saturating_sub(idle.used) >= seconds(self.config.conn_idle_s);
-        let handshake = if connects { 2 * way } else { 0 };
-        let begins = now + own_time(self.config) + handshake;
-        if !call.owed
+        let instance_state = &mut self.instance_states[instance];
+        let Some(&key) = instance_state.requests.get(&id) else { return };
+        let Some(request) = self.requests.get_mut(key) else { return };
+        let (number, until) = (request.attempt_count, until.min(request.deadline));
+        request.attempt_count += 1;
+        let upstream = endpoint.0 as usize;
+        let (zone, upstream_zone) =
+            (self.topology.instances[instance].zone, self.topology.upstreams[upstream].zone);
+        let delay = network_delay(self.config, zone, upstream_zone);
+        let idle_connections = &mut instance_state.idle_connections[self.topology.index_in_service(upstream)];
+        let opens_connection = idle_connections.count == 0
+            || now.saturating_sub(idle_connections.last_used) >= seconds(self.config.conn_idle_s);
+        let handshake = if opens_connection { 2 * delay } else { 0 };
+        let starts_at = now + balancer_service_time(self.config) + handshake;
+        if !request.awaiting_response
             || now >= until
-            || begin_by.is_some_and(|end| begins >= end)
+            || begin_by.is_some_and(|end| starts_at >= end)
             || number >= self.config.max_attempts
         {
-            let closed = !call.owed;
+            let closed = !request.awaiting_response;
             let end = AttemptEnd {
                 attempt: number,
                 outcome: AttemptOutcome::NotSent,
@@ -529,80 +579,86 @@
                 body_consumed: false,
                 load: None,
             };
-            return self.pending.push_back((instance, id, end));
+            return self.pending_attempt_ends.push_back((instance, id, end));
         }
-        idle.count = if connects { 0 } else { idle.count - 1 };
-        let stale = !connects && idle.process != self.servers[upstream].process;
+        idle_connections.count = if opens_connection { 0 } else { idle_connections.count - 1 };
+        let connection_stale =
+            !opens_connection && idle_connections.incarnation != self.upstream_states[upstream].incarnation;
         let attempt = Attempt {
-            call: key,
+            request: key,
             number,
             upstream,
-            class: call.class,
-            sent: now,
+            class: request.class,
+            sent_at: now,
             until,
-            connects,
-            stale,
-            waited: true,
-            place: Place::Coming,
+            opens_connection,
+            connection_stale,
+            awaited: true,
+            stage: AttemptStage::InTransit,
             outcome: AttemptOutcome::Success,
-            callee: 0,
-            measured: call.measured,
+            next_callee: 0,
+            measured: request.measured,
         };
         let tier = self.topology.service_of(upstream).tier as usize;
-        let out = self.attempts.insert(attempt);
-        call.out = Some(out);
-        self.counts.tiers[tier].calls += u64::from(call.measured);
-        self.counts.retries += u64::from(call.measured && number > 0);
-        self.counts.sends += 1;
-        self.counts.sends_in_time += u64::from(now >= self.measure_from && now < self.arrivals_end);
-        self.counts.connects += u64::from(connects);
-        self.counts.cross_zone += u64::from(zone != other);
-        self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, other));
-        self.queue.push(begins + way, Event::Reached(out));
-        self.queue.push(until, Event::Expired(out));
+        let active_attempt = self.attempts.insert(attempt);
+        request.active_attempt = Some(active_attempt);
+        self.counts.tiers[tier].attempts += u64::from(request.measured);
+        self.counts.retries += u64::from(request.measured && number > 0);
+        self.counts.attempts_sent += 1;
+        self.counts.attempts_in_window += u64::from(now >= self.measurement_start && now < self.arrivals_end);
+        self.counts.connections_opened += u64::from(opens_connection);
+        self.counts.cross_zone += u64::from(zone != upstream_zone);
+        self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, upstream_zone));
+        self.queue.push(starts_at + delay, Event::AttemptReceived(active_attempt));
+        self.queue.push(until, Event::AttemptTimedOut(active_attempt));
     }
 
-    /// Time from a balancer to the upstream of an attempt; `None` if nothing gets through.
-    fn way_of(&self, attempt: &Attempt) -> Option<Time> {
-        let zone = self.topology.instances[self.calls.get(attempt.call)?.instance].zone;
-        let other = self.topology.upstreams[attempt.upstream].zone;
-        let cut = self.regions_cut && Topology::regions_differ(self.config, zone, other);
-        (!cut).then(|| way(self.config, zone, other))
+    /// Network delay between a balancer and the upstream of its attempt; `None` while they are partitioned or if
+    /// the request was removed.
+    fn upstream_delay(&self, attempt: &Attempt) -> Option<Time> {
+        let zone = self.topology.instances[self.requests.get(attempt.request)?.instance].zone;
+        let upstream_zone = self.topology.upstreams[attempt.upstream].zone;
+        let partitioned =
+            self.regions_partitioned && Topology::regions_differ(self.config, zone, upstream_zone);
+        (!partitioned).then(|| network_delay(self.config, zone, upstream_zone))
     }
 
-    fn on_answered(&mut self, key: Key) {
+    fn on_response_received(&mut self, key: Key) {
         let Some(attempt) = self.attempts.remove(key) else { return };
-        if attempt.waited {
-            self.ended(&attempt, attempt.outcome);
+        if attempt.awaited {
+            self.on_attempt_ended(&attempt, attempt.outcome);
         }
     }
 
-    fn on_expired(&mut self, key: Key) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.waited) else { return };
-        let lost = attempt.place == Place::Lost;
-        let outcome =
-            if lost && attempt.connects { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Timeout };
-        let ended = *attempt;
-        self.give_up(key, false);
-        self.ended(&ended, outcome);
+    fn on_attempt_timed_out(&mut self, key: Key) {
+        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.awaited) else { return };
+        let lost = attempt.stage == AttemptStage::Lost;
+        let outcome = if lost && attempt.opens_connection {
+            AttemptOutcome::ConnectFailed
+        } else {
+            AttemptOutcome::Timeout
+        };
+        let timed_out = *attempt;
+        self.abandon_attempt(key, false);
+        self.on_attempt_ended(&timed_out, outcome);
     }
 
-    /// A balancer stops waiting for an attempt: it closes the connection, which the upstream sees unless its own
-    /// machine or the balancer's has fallen silent.
-    fn give_up(&mut self, key: Key, silent: bool) {
+    /// Stops waiting for an attempt and closes its connection. The upstream sees that, unless `silent` is set
+    /// because the balancer's machine vanished, or the regions are partitioned.
+    fn abandon_attempt(&mut self, key: Key, silent: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
-        attempt.waited = false;
-        let lost = attempt.place == Place::Lost;
-        let way = self.attempts.get(key).and_then(|attempt| self.way_of(attempt));
-        match way.filter(|_| !silent) {
+        attempt.awaited = false;
+        let lost = attempt.stage == AttemptStage::Lost;
+        let delay = self.attempts.get(key).and_then(|attempt| self.upstream_delay(attempt));
+        match delay.filter(|_| !silent) {
             _ if lost => drop(self.attempts.remove(key)),
-            Some(way) => self.queue.push(self.queue.now() + way, Event::Withdrawn(key)),
+            Some(delay) => self.queue.push(self.queue.now() + delay, Event::AttemptCancelled(key)),
             None => {}
         }
     }
 
-    /// The balancer of an attempt hears how it ended.
-    fn ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
+    /// Records the outcome of an attempt and notifies the module instance that sent it.
+    fn on_attempt_ended(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let now = self.queue.now();
         let tier = self.topology.service_of(attempt.upstream).tier as usize;
         if attempt.measured {
@@ -610,517 +666,591 @@
             *match outcome {
                 AttemptOutcome::Success | AttemptOutcome::InvalidRequest => &mut count.ok,
                 AttemptOutcome::Error => &mut count.errors,
-                AttemptOutcome::Rejected => &mut count.full,
+                AttemptOutcome::Rejected => &mut count.rejected,
                 AttemptOutcome::Timeout => &mut count.timeouts,
-                AttemptOutcome::ConnectFailed => &mut count.unconnected,
+                AttemptOutcome::ConnectFailed => &mut count.connect_failures,
                 AttemptOutcome::Reset => &mut count.resets,
-                AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.withdrawn,
+                AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut count.cancelled,
             } += 1;
         }
-        let key = attempt.call;
-        let Some(call) = self.calls.get_mut(key) else { return };
-        call.out = None;
-        let (instance, id, owed) = (call.instance, call.id, call.owed);
+        let key = attempt.request;
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.active_attempt = None;
+        let (instance, id, awaiting_response) = (request.instance, request.id, request.awaiting_response);
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::Rejected) {
-            let idle = &mut self.nodes[instance].idle[self.topology.place(attempt.upstream)];
-            let process = self.servers[attempt.upstream].process;
-            let count = if idle.process == process { idle.count + 1 } else { 1 };
-            *idle = Idle { count, used: now, process };
+            let idle_connections = &mut self.instance_states[instance].idle_connections
+                [self.topology.index_in_service(attempt.upstream)];
+            let incarnation = self.upstream_states[attempt.upstream].incarnation;
+            let count =
+                if idle_connections.incarnation == incarnation { idle_connections.count + 1 } else { 1 };
+            *idle_connections = IdleConnections { count, last_used: now, incarnation };
         }
-        let served = outcome == AttemptOutcome::Success && owed;
+        let served = outcome == AttemptOutcome::Success && awaiting_response;
         let end = AttemptEnd {
             attempt: attempt.number,
             outcome,
-            elapsed: now - attempt.sent,
-            request_closed: served || !owed,
+            elapsed: now - attempt.sent_at,
+            request_closed: served || !awaiting_response,
             body_consumed: false,
             load: None,
         };
-        self.tell(instance, ModuleEvent::AttemptEnded(id, end));
+        self.notify_instance(instance, ModuleEvent::AttemptEnded(id, end));
         if served {
-            self.answer(key, Answer::Served);
+            self.respond(key, Response::Served);
         } else {
-            self.forget_if_done(key);
+            self.remove_if_done(key);
         }
     }
 
-    // ---- Attempts, at the upstream ----
+    // ---- Attempts: upstream side ----
 
-    fn on_reached(&mut self, key: Key) {
+    fn on_attempt_received(&mut self, key: Key) {
         let now = self.queue.now();
         let Some(attempt) = self.attempts.get(key) else { return };
-        if !attempt.waited {
+        if !attempt.awaited {
             self.attempts.remove(key);
             return;
         }
-        let (upstream, connects, stale, sent) =
-            (attempt.upstream, attempt.connects, attempt.stale, attempt.sent);
-        let through = self.way_of(attempt).is_some();
-        let life = self.servers[upstream].life;
-        if !through || life == Life::Silent {
+        let (upstream, opens_connection, connection_stale, sent_at) =
+            (attempt.upstream, attempt.opens_connection, attempt.connection_stale, attempt.sent_at);
+        let reachable = self.upstream_delay(attempt).is_some();
+        let process_state = self.upstream_states[upstream].process_state;
+        if !reachable || process_state == ProcessState::Silent {
             let Some(attempt) = self.attempts.get_mut(key) else { return };
-            attempt.place = Place::Lost;
-            if connects {
-                (attempt.place, attempt.outcome) = (Place::Answering, AttemptOutcome::ConnectFailed);
-                self.queue.push(sent + millis(self.config.connect_timeout_ms), Event::Answered(key));
+            attempt.stage = AttemptStage::Lost;
+            if opens_connection {
+                (attempt.stage, attempt.outcome) = (AttemptStage::Responding, AttemptOutcome::ConnectFailed);
+                self.queue
+                    .push(sent_at + millis(self.config.connect_timeout_ms), Event::ResponseReceived(key));
             }
             return;
         }
-        if life == Life::Down {
-            return self.finish(key, AttemptOutcome::ConnectFailed);
+        if process_state == ProcessState::Down {
+            return self.finish_attempt(key, AttemptOutcome::ConnectFailed);
         }
-        if stale {
-            return self.finish(key, AttemptOutcome::Reset);
+        if connection_stale {
+            return self.finish_attempt(key, AttemptOutcome::Reset);
         }
-        if self.falls(upstream) {
-            self.counts.cold_falls += 1;
-            let process = self.servers[upstream].process;
-            self.stop(upstream, Life::Down);
-            self.notice(upstream, EndpointState::Removed, false, Holds::Process(process + 1));
-            return self.finish(key, AttemptOutcome::ConnectFailed);
+        if self.record_cold_attempt(upstream) {
+            self.counts.cold_crashes += 1;
+            let incarnation = self.upstream_states[upstream].incarnation;
+            self.stop_upstream(upstream, ProcessState::Down);
+            self.schedule_endpoint_update(
+                upstream,
+                EndpointState::Removed,
+                false,
+                ValidWhile::Incarnation(incarnation + 1),
+            );
+            return self.finish_attempt(key, AttemptOutcome::ConnectFailed);
         }
-        let slots = self.topology.service_of(upstream).slots;
-        let server = &mut self.servers[upstream];
-        if server.busy < slots {
-            self.begin(key);
-        } else if server.queue.len() < self.config.queue_limit {
-            server.queue.push_back(key);
+        let concurrency = self.topology.service_of(upstream).concurrency;
+        let state = &mut self.upstream_states[upstream];
+        if state.processing < concurrency {
+            self.start_processing(key);
+        } else if state.queue.len() < self.config.queue_limit {
+            state.queue.push_back(key);
             if let Some(attempt) = self.attempts.get_mut(key) {
-                attempt.place = Place::Queued;
+                attempt.stage = AttemptStage::Queued;
             }
         } else {
-            self.finish(key, AttemptOutcome::Rejected);
+            self.finish_attempt(key, AttemptOutcome::Rejected);
         }
-        debug_assert!(now >= sent);
+        debug_assert!(now >= sent_at);
     }
 
-    /// Part of its capacity that an upstream has: all of it once it is warm.
-    fn warmth(&self, upstream: usize) -> f64 {
-        let Some(started) = self.servers[upstream].started else { return 1.0 };
-        let age = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
-        (self.config.start_capacity + (1.0 - self.config.start_capacity) * age).min(1.0)
+    /// The fraction of its capacity that an upstream has reached; 1 once it is warm.
+    fn capacity_fraction(&self, upstream: usize) -> f64 {
+        let Some(started) = self.upstream_states[upstream].started else { return 1.0 };
+        let warm_up_progress = (self.queue.now() - started) as f64 / (self.config.ramp_s * 1e9).max(1.0);
+        (self.config.start_capacity + (1.0 - self.config.start_capacity) * warm_up_progress).min(1.0)
     }
 
-    /// Counts a call of a cold upstream, and tells whether it falls over: more came in the window than the
-    /// multiple of what it can do, and than chance adds to that.
-    fn falls(&mut self, upstream: usize) -> bool {
-        let warmth = self.warmth(upstream);
-        if warmth >= 1.0 {
+    /// Counts an attempt to a cold upstream and returns whether the upstream crashes: whether the attempts in the
+    /// window exceed the allowed multiple of its capacity, plus a margin for the variance of random arrivals.
+    fn record_cold_attempt(&mut self, upstream: usize) -> bool {
+        let capacity_fraction = self.capacity_fraction(upstream);
+        if capacity_fraction >= 1.0 {
             return false;
         }
-        self.counts.cold_calls += 1;
+        self.counts.cold_attempts += 1;
         let service = self.topology.service_of(upstream);
-        let capacity = f64::from(service.slots) / service.work * 1e9 * warmth;
-        let step = self.queue.now() / seconds(self.config.fall_s / FALL_STEPS as f64).max(1);
-        let server = &mut self.servers[upstream];
-        for passed in server.step + 1..=step.min(server.step + FALL_STEPS as Time) {
-            server.recent[(passed % FALL_STEPS as Time) as usize] = 0;
+        let capacity = f64::from(service.concurrency) / service.mean_service_time * 1e9 * capacity_fraction;
+        let bucket = self.queue.now() / seconds(self.config.fall_s / OVERLOAD_WINDOW_BUCKETS as f64).max(1);
+        let state = &mut self.upstream_states[upstream];
+        for skipped in state.last_bucket + 1..=bucket.min(state.last_bucket + OVERLOAD_WINDOW_BUCKETS as Time)
+        {
+            state.recent_attempts[(skipped % OVERLOAD_WINDOW_BUCKETS as Time) as usize] = 0;
         }
-        if step > server.step + FALL_STEPS as Time {
-            server.recent = [0; FALL_STEPS];
+        if bucket > state.last_bucket + OVERLOAD_WINDOW_BUCKETS as Time {
+            state.recent_attempts = [0; OVERLOAD_WINDOW_BUCKETS];
         }
-        server.step = step;
-        server.recent[(step % FALL_STEPS as Time) as usize] += 1;
-        let most = self.config.tip_multiple * capacity * self.config.fall_s;
-        f64::from(server.recent.iter().sum::<u32>()) > most + 2.0 * most.sqrt() + 2.0
+        state.last_bucket = bucket;
+        state.recent_attempts[(bucket % OVERLOAD_WINDOW_BUCKETS as Time) as usize] += 1;
+        let limit = self.config.tip_multiple * capacity * self.config.fall_s;
+        f64::from(state.recent_attempts.iter().sum::<u32>()) > limit + 2.0 * limit.sqrt() + 2.0
     }
 
-    fn begin(&mut self, key: Key) {
+    /// Starts to process an attempt and draws its service time.
+    fn start_processing(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
-        attempt.place = Place::Working;
+        attempt.stage = AttemptStage::Processing;
         let upstream = attempt.upstream;
-        self.servers[upstream].busy += 1;
-        let mean = self.topology.service_of(upstream).work;
-        let took = mean * self.work.sample(&mut self.rng) / self.warmth(upstream);
-        self.queue.push(self.queue.now() + took as Time, Event::Worked(key));
+        self.upstream_states[upstream].processing += 1;
+        let mean = self.topology.service_of(upstream).mean_service_time;
+        let service_time =
+            mean * self.service_time_factor.sample(&mut self.rng) / self.capacity_fraction(upstream);
+        self.queue.push(self.queue.now() + service_time as Time, Event::ProcessingDone(key));
     }
 
-    fn on_worked(&mut self, key: Key) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.place == Place::Working) else {
+    fn on_processing_done(&mut self, key: Key) {
+        let Some(attempt) =
+            self.attempts.get(key).filter(|attempt| attempt.stage == AttemptStage::Processing)
+        else {
             return;
         };
-        let (upstream, waited) = (attempt.upstream, attempt.waited);
-        self.servers[upstream].busy -= 1;
-        self.begin_next(upstream);
-        if !waited {
+        let (upstream, awaited) = (attempt.upstream, attempt.awaited);
+        self.upstream_states[upstream].processing -= 1;
+        self.start_next_queued(upstream);
+        if !awaited {
             self.attempts.remove(key);
             return;
         }
         let tier = self.topology.service_of(upstream).tier as usize;
         let fault = &self.config.tier_fault;
-        let failing = self.tier_fails && (fault.all_tiers || tier == self.config.watched_tier());
+        let failing = self.tier_failing && (fault.all_tiers || tier == self.config.watched_tier());
         if failing && self.rng.random_bool(fault.share) {
-            self.finish(key, AttemptOutcome::Error);
+            self.finish_attempt(key, AttemptOutcome::Error);
         } else {
-            self.call_on(key);
+            self.continue_attempt(key);
         }
     }
 
-    /// Takes the next call from an upstream's queue; one whose time is over is not begun any more.
-    fn begin_next(&mut self, upstream: usize) {
+    /// Starts to process the next attempt in an upstream's queue. Attempts that reached their time limit are rejected.
+    fn start_next_queued(&mut self, upstream: usize) {
         let now = self.queue.now();
-        while let Some(key) = self.servers[upstream].queue.pop_front() {
-            match self.attempts.get(key).map(|attempt| (attempt.waited, now < attempt.until)) {
-                Some((true, true)) => return self.begin(key),
-                Some((true, false)) => self.finish(key, AttemptOutcome::Rejected),
+        while let Some(key) = self.upstream_states[upstream].queue.pop_front() {
+            match self.attempts.get(key).map(|attempt| (attempt.awaited, now < attempt.until)) {
+                Some((true, true)) => return self.start_processing(key),
+                Some((true, false)) => self.finish_attempt(key, AttemptOutcome::Rejected),
                 Some((false, _)) => drop(self.attempts.remove(key)),
                 None => {}
             }
         }
     }
 
-    /// An upstream makes the next of its calls for an attempt, or has its answer.
-    fn call_on(&mut self, key: Key) {
+    /// Sends the upstream's next request for an attempt, or finishes the attempt if there is none.
+    fn continue_attempt(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         let (class, until, measured, upstream) =
             (attempt.class, attempt.until, attempt.measured, attempt.upstream);
-        let place = &self.topology.upstreams[upstream];
-        let callees = &self.topology.services[place.service].callees;
-        while let Some(callee) = callees.get(attempt.callee) {
-            let instance = place.instances.start + attempt.callee;
-            attempt.callee += 1;
-            if callee.chance >= 1.0 || self.rng.random_bool(callee.chance) {
-                self.call(instance, Caller::Attempt(key), class, until, measured);
+        let processing_upstream = &self.topology.upstreams[upstream];
+        let callees = &self.topology.services[processing_upstream.service].callees;
+        while let Some(callee) = callees.get(attempt.next_callee) {
+            let instance = processing_upstream.instances.start + attempt.next_callee;
+            attempt.next_callee += 1;
+            if callee.probability >= 1.0 || self.rng.random_bool(callee.probability) {
+                self.start_request(instance, RequestSource::Attempt(key), class, until, measured);
                 return;
             }
         }
-        self.finish(key, AttemptOutcome::Success);
+        self.finish_attempt(key, AttemptOutcome::Success);
     }
 
-    /// An upstream answers an attempt.
-    fn finish(&mut self, key: Key, outcome: AttemptOutcome) {
+    /// Sends the upstream's response to an attempt.
+    fn finish_attempt(&mut self, key: Key, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(key) else { return };
-        let way = self.way_of(attempt).filter(|_| attempt.waited);
-        let waited = attempt.waited;
-        match way {
-            Some(way) => {
-                let at = self.queue.now() + way + own_time(self.config);
-                self.queue.push(at, Event::Answered(key));
+        let delay = self.upstream_delay(attempt).filter(|_| attempt.awaited);
+        let awaited = attempt.awaited;
+        match delay {
+            Some(delay) => {
+                let at = self.queue.now() + delay + balancer_service_time(self.config);
+                self.queue.push(at, Event::ResponseReceived(key));
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    (attempt.place, attempt.outcome) = (Place::Answering, outcome);
+                    (attempt.stage, attempt.outcome) = (AttemptStage::Responding, outcome);
                 }
             }
-            None if waited => {
+            None if awaited => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    attempt.place = Place::Lost;
-                    attempt.connects = false; // it has reached the upstream: nothing says that it never ran
+                    attempt.stage = AttemptStage::Lost;
+                    attempt.opens_connection = false; // may have been processed: not a failed connect
                 }
             }
             None => drop(self.attempts.remove(key)),
         }
     }
 
-    fn on_withdrawn(&mut self, key: Key) {
+    fn on_attempt_cancelled(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(key) else { return };
-        match attempt.place {
-            Place::Queued => {
+        match attempt.stage {
+            AttemptStage::Queued => {
                 let upstream = attempt.upstream;
-                self.servers[upstream].queue.retain(|&queued| queued != key);
+                self.upstream_states[upstream].queue.retain(|&queued| queued != key);
                 self.attempts.remove(key);
             }
-            Place::Calling(call) => {
+            AttemptStage::WaitingForCallee(request) => {
                 self.attempts.remove(key);
-                self.caller_gone(call);
+                self.on_client_disconnected(request);
             }
-            Place::Lost => drop(self.attempts.remove(key)),
-            Place::Coming | Place::Working | Place::Answering => {} // seen when that is over
+            AttemptStage::Lost => drop(self.attempts.remove(key)),
+            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {} // handled when this stage ends
         }
     }
 
-    fn caller_gone(&mut self, key: Key) {
-        let Some(call) = self.calls.get_mut(key).filter(|call| call.owed) else { return };
-        call.owed = false;
-        let (instance, id) = (call.instance, call.id);
-        self.tell(instance, ModuleEvent::ClientDisconnected(id));
-        self.forget_if_done(key);
+    fn on_client_disconnected(&mut self, key: Key) {
+        let Some(request) = self.requests.get_mut(key).filter(|request| request.awaiting_response) else {
+            return;
+        };
+        request.awaiting_response = false;
+        let (instance, id) = (request.instance, request.id);
+        self.notify_instance(instance, ModuleEvent::ClientDisconnected(id));
+        self.remove_if_done(key);
     }
 
-    // ---- Lists ----
-
-    /// A change of an upstream's entry comes into the list once discovery has noticed it.
-    fn notice(&mut self, upstream: usize, lifecycle: EndpointState, silent: bool, holds: Holds) {
-        let happened = self.queue.now();
-        let at = self.discovery.notice(happened, silent);
-        self.queue.push(at, Event::Notice(self.notices.len() as u32));
-        self.notices.push(Notice { upstream, lifecycle, happened, holds });
+    // ---- Endpoint lists ----
+
+    /// Schedules a change of an endpoint's state, which discovery lists after a delay.
+    fn schedule_endpoint_update(
+        &mut self,
+        upstream: usize,
+        endpoint_state: EndpointState,
+        silent: bool,
+        valid_while: ValidWhile,
+    ) {
+        let changed_at = self.queue.now();
+        let at = self.discovery.listing_time(changed_at, silent);
+        self.queue.push(at, Event::EndpointUpdate(self.endpoint_updates.len() as u32));
+        self.endpoint_updates.push(EndpointUpdate { upstream, endpoint_state, changed_at, valid_while });
     }
 
-    fn on_notice(&mut self, notice: usize) {
-        let Notice { upstream, lifecycle, happened, holds } = self.notices[notice];
-        let holds = match holds {
-            Holds::Process(process) => self.servers[upstream].process == process,
-            Holds::Cut(cut) => self.regions_cut && self.cuts == cut,
+    fn on_endpoint_update(&mut self, update: usize) {
+        let EndpointUpdate { upstream, endpoint_state, changed_at, valid_while } =
+            self.endpoint_updates[update];
+        let still_valid = match valid_while {
+            ValidWhile::Incarnation(incarnation) => self.upstream_states[upstream].incarnation == incarnation,
+            ValidWhile::Partition(partition) => self.regions_partitioned && self.partition_count == partition,
         };
-        if holds {
-            self.list(upstream, lifecycle, happened);
+        if still_valid {
+            self.update_endpoint(upstream, endpoint_state, changed_at);
         }
     }
 
-    fn list(&mut self, upstream: usize, lifecycle: EndpointState, happened: Time) {
-        let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
-        let started = self.servers[upstream].started;
-        let change = |entry: &mut EndpointEntry| (entry.state, entry.started) = (lifecycle, started);
-        self.discovery.change(service, entry, change, happened, &mut self.queue);
-        self.counts.changes += 1;
+    /// Lists the state of an endpoint, with the start time of its latest process.
+    fn update_endpoint(&mut self, upstream: usize, endpoint_state: EndpointState, changed_at: Time) {
+        let (service, entry) =
+            (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
+        let started = self.upstream_states[upstream].started;
+        let change = |entry: &mut EndpointEntry| (entry.state, entry.started) = (endpoint_state, started);
+        self.discovery.change(service, entry, change, changed_at, &mut self.queue);
+        self.counts.list_changes += 1;
     }
 
-    /// Sets the time of the next change that no fault brings about.
-    fn next_change(&mut self) {
+    /// Schedules the next change of a listed capacity.
+    fn schedule_capacity_change(&mut self) {
         let rate = self.config.discovery.changes_per_day / 86_400.0;
         if rate > 0.0 {
             let wait: f64 = Exp1.sample(&mut self.rng);
-            self.queue.push(self.queue.now() + seconds(wait / rate), Event::Change);
+            self.queue.push(self.queue.now() + seconds(wait / rate), Event::CapacityChange);
         }
     }
 
-    /// An upstream is given another size, in turn a little less and all of it.
-    fn on_change(&mut self) {
-        self.next_change();
-        let upstream = self.rng.random_range(0..self.servers.len());
-        let (service, entry) = (self.topology.upstreams[upstream].service, self.topology.place(upstream));
+    /// Toggles the listed capacity of a random endpoint between 1 and 0.9.
+    fn on_capacity_change(&mut self) {
+        self.schedule_capacity_change();
+        let upstream = self.rng.random_range(0..self.upstream_states.len());
+        let (service, entry) =
+            (self.topology.upstreams[upstream].service, self.topology.index_in_service(upstream));
         let change =
             |entry: &mut EndpointEntry| entry.capacity = if entry.capacity < 1.0 { 1.0 } else { 0.9 };
         self.discovery.change(service, entry, change, self.queue.now(), &mut self.queue);
-        self.counts.changes += 1;
+        self.counts.list_changes += 1;
     }
 
     // ---- Faults ----
 
-    fn on_fault(&mut self, step: Step) {
+    fn on_fault(&mut self, step: FaultStep) {
         match step {
-            Step::TierFails(fails) => self.tier_fails = fails,
-            Step::ZoneLost(zone, lost) => self.on_zone(zone, lost),
-            Step::RegionsCut(cut) => self.on_regions(cut),
-            Step::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
-            Step::Restart(at) => {
-                let upstream = self.restart_order[at as usize];
-                if self.servers[upstream].life == Life::Up {
+            FaultStep::TierFailing(failing) => self.tier_failing = failing,
+            FaultStep::ZoneLost(zone, lost) => self.set_zone_lost(zone, lost),
+            FaultStep::RegionsPartitioned(partitioned) => self.set_regions_partitioned(partitioned),
+            FaultStep::DiscoveryDown(down) => self.discovery.set_down(down, &mut self.queue),
+            FaultStep::Restart(position) => {
+                let upstream = self.restart_order[position as usize];
+                if self.upstream_states[upstream].process_state == ProcessState::Up {
                     self.counts.restarts += 1;
-                    self.list(upstream, EndpointState::Draining, self.queue.now());
+                    self.update_endpoint(upstream, EndpointState::Draining, self.queue.now());
                     let at = self.queue.now() + seconds(self.config.rolling_restart.drain_s);
-                    self.queue.push(at, Event::Stop(upstream as u32));
+                    self.queue.push(at, Event::UpstreamStop(upstream as u32));
                 }
             }
         }
     }
 
-    fn on_zone(&mut self, zone: usize, lost: bool) {
+    /// Takes down all upstreams and front balancers of a zone, or starts new processes for them.
+    fn set_zone_lost(&mut self, zone: usize, lost: bool) {
         let now = self.queue.now();
-        for upstream in
-            (0..self.servers.len()).filter(|&at| self.topology.upstreams[at].zone == zone).collect::<Vec<_>>()
+        for upstream in (0..self.upstream_states.len())
+            .filter(|&upstream| self.topology.upstreams[upstream].zone == zone)
+            .collect::<Vec<_>>()
         {
             if lost {
-                self.stop(upstream, Life::Silent);
-                let process = self.servers[upstream].process;
-                self.notice(upstream, EndpointState::Removed, true, Holds::Process(process));
+                self.stop_upstream(upstream, ProcessState::Silent);
+                let incarnation = self.upstream_states[upstream].incarnation;
+                self.schedule_endpoint_update(
+                    upstream,
+                    EndpointState::Removed,
+                    true,
+                    ValidWhile::Incarnation(incarnation),
+                );
             } else {
-                self.on_start(upstream);
+                self.on_upstream_start(upstream);
             }
         }
-        for front in
-            (0..self.front_up.len()).filter(|&at| self.topology.fronts[at].zone == zone).collect::<Vec<_>>()
+        for front in (0..self.front_up.len())
+            .filter(|&front| self.topology.fronts[front].zone == zone)
+            .collect::<Vec<_>>()
         {
             let instances = self.topology.fronts[front].instances.clone();
             if lost {
                 self.front_up[front] = false;
-                self.end_instances(instances, true);
+                self.stop_instances(instances, true);
                 let at = now + seconds(self.config.front_notice_s);
-                self.queue.push(at, Event::FrontLeft(front as u32));
+                self.queue.push(at, Event::FrontRemoved(front as u32));
             } else {
-                let ready = self.first_lists(instances);
-                self.queue.push(ready, Event::FrontReady(front as u32));
+                let ready_at = self.first_lists_at(instances);
+                self.queue.push(ready_at, Event::FrontReady(front as u32));
             }
         }
     }
 
-    fn on_regions(&mut self, cut: bool) {
-        self.regions_cut = cut;
-        self.cuts += u32::from(cut);
-        for instance in 0..self.nodes.len() {
+    /// Starts or ends a partition between the regions. Discovery is in the first region, so it removes the endpoints
+    /// of the others, and lists them again after the partition.
+    fn set_regions_partitioned(&mut self, partitioned: bool) {
+        self.regions_partitioned = partitioned;
+        self.partition_count += u32::from(partitioned);
+        for instance in 0..self.instance_states.len() {
             if Topology::regions_differ(self.config, 0, self.topology.instances[instance].zone) {
-                self.discovery.set_cut(instance, cut, &mut self.queue);
+                self.discovery.set_partitioned(instance, partitioned, &mut self.queue);
             }
         }
-        for upstream in 0..self.servers.len() {
+        for upstream in 0..self.upstream_states.len() {
             if Topology::regions_differ(self.config, 0, self.topology.upstreams[upstream].zone) {
                 let list = self.discovery.list(self.topology.upstreams[upstream].service);
-                let gone = list[self.topology.place(upstream)].state == EndpointState::Removed;
-                if cut {
-                    self.notice(upstream, EndpointState::Removed, true, Holds::Cut(self.cuts));
-                } else if gone && self.servers[upstream].life == Life::Up {
-                    let process = self.servers[upstream].process;
-                    self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
+                let removed = list[self.topology.index_in_service(upstream)].state == EndpointState::Removed;
+                if partitioned {
+                    self.schedule_endpoint_update(
+                        upstream,
+                        EndpointState::Removed,
+                        true,
+                        ValidWhile::Partition(self.partition_count),
+                    );
+                } else if removed && self.upstream_states[upstream].process_state == ProcessState::Up {
+                    let incarnation = self.upstream_states[upstream].incarnation;
+                    self.schedule_endpoint_update(
+                        upstream,
+                        EndpointState::InService,
+                        false,
+                        ValidWhile::Incarnation(incarnation),
+                    );
                 }
             }
         }
     }
 
-    /// The process of an upstream ends, and with it its balancer. Connections to it are reset, unless its machine
-    /// is gone: then they are found out when they are used.
-    fn stop(&mut self, upstream: usize, life: Life) {
-        if life == Life::Down {
-            let place = self.topology.place(upstream);
+    /// Ends the process of an upstream and its balancer. If the machine is still up, connections are reset; if it
+    /// vanished, balancers only notice when they use a connection.
+    fn stop_upstream(&mut self, upstream: usize, process_state: ProcessState) {
+        if process_state == ProcessState::Down {
+            let index = self.topology.index_in_service(upstream);
             self.topology
                 .service_of(upstream)
-                .callers
+                .client_instances
                 .iter()
-                .for_each(|&caller| self.nodes[caller].idle[place].count = 0);
+                .for_each(|&instance| self.instance_states[instance].idle_connections[index].count = 0);
         }
-        let server = &mut self.servers[upstream];
-        server.life = life;
-        server.process += 1;
-        server.busy = 0;
-        server.queue.clear();
-        let held = |attempt: &Attempt| {
-            let there = matches!(attempt.place, Place::Queued | Place::Working | Place::Calling(_));
-            attempt.upstream == upstream && there
+        let state = &mut self.upstream_states[upstream];
+        state.process_state = process_state;
+        state.incarnation += 1;
+        state.processing = 0;
+        state.queue.clear();
+        let at_upstream = |attempt: &Attempt| {
+            let in_upstream = matches!(
+                attempt.stage,
+                AttemptStage::Queued | AttemptStage::Processing | AttemptStage::WaitingForCallee(_)
+            );
+            attempt.upstream == upstream && in_upstream
         };
-        for key in self.attempts.keys(held) {
-            if life == Life::Silent {
+        for key in self.attempts.keys(at_upstream) {
+            if process_state == ProcessState::Silent {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    (attempt.place, attempt.connects) = (Place::Lost, false);
+                    (attempt.stage, attempt.opens_connection) = (AttemptStage::Lost, false);
                 }
-                if self.attempts.get(key).is_some_and(|attempt| !attempt.waited) {
+                if self.attempts.get(key).is_some_and(|attempt| !attempt.awaited) {
                     self.attempts.remove(key);
                 }
             } else {
-                self.finish(key, AttemptOutcome::Reset);
+                self.finish_attempt(key, AttemptOutcome::Reset);
             }
         }
-        self.end_instances(self.topology.upstreams[upstream].instances.clone(), life == Life::Silent);
+        self.stop_instances(
+            self.topology.upstreams[upstream].instances.clone(),
+            process_state == ProcessState::Silent,
+        );
     }
 
-    /// Module instances end: nobody waits for their attempts any more, and clients' requests are lost.
-    fn end_instances(&mut self, instances: Range<usize>, silent: bool) {
-        for key in self.calls.keys(|call| instances.contains(&call.instance)) {
-            let Some(call) = self.calls.get(key) else { continue };
-            let (out, caller, came, measured, owed) =
-                (call.out, call.caller, call.came, call.measured, call.owed);
-            if owed && caller == Caller::Client {
-                self.open_measured -= u64::from(measured);
-                self.count_request(came, measured, |count| &mut count.lost);
+    /// Ends module instances: their attempts are abandoned, and pending client requests are lost.
+    fn stop_instances(&mut self, instances: Range<usize>, silent: bool) {
+        for key in self.requests.keys(|request| instances.contains(&request.instance)) {
+            let Some(request) = self.requests.get(key) else { continue };
+            let (active_attempt, source, arrived_at, measured, awaiting_response) = (
+                request.active_attempt,
+                request.source,
+                request.arrived_at,
+                request.measured,
+                request.awaiting_response,
+            );
+            if awaiting_response && source == RequestSource::Client {
+                self.measured_in_flight -= u64::from(measured);
+                self.count_request(arrived_at, measured, |count| &mut count.lost);
             }
-            if let Some(out) = out {
-                self.give_up(out, silent);
+            if let Some(active_attempt) = active_attempt {
+                self.abandon_attempt(active_attempt, silent);
             }
-            self.calls.remove(key);
+            self.requests.remove(key);
         }
         for instance in instances {
-            let node = &mut self.nodes[instance];
-            node.alive = false;
-            node.calls.clear();
-            node.idle.fill(Idle::default());
-            self.discovery.gone(instance);
+            let instance_state = &mut self.instance_states[instance];
+            instance_state.alive = false;
+            instance_state.requests.clear();
+            instance_state.idle_connections.fill(IdleConnections::default());
+            self.discovery.instance_stopped(instance);
         }
     }
 
-    /// A new process starts: cold, and of use once its balancer has its lists.
-    fn on_start(&mut self, upstream: usize) {
+    /// Starts a new process of an upstream. It is cold, and takes requests once its balancer has its lists.
+    fn on_upstream_start(&mut self, upstream: usize) {
         let now = self.queue.now();
-        self.servers[upstream].started = Some(now);
+        self.upstream_states[upstream].started = Some(now);
         let instances = self.topology.upstreams[upstream].instances.clone();
-        let ready = self.first_lists(instances);
-        self.counts.longest_start = self.counts.longest_start.max(ready - now);
-        self.queue.push(ready, Event::Ready(upstream as u32));
+        let ready_at = self.first_lists_at(instances);
+        self.counts.max_start_time = self.counts.max_start_time.max(ready_at - now);
+        self.queue.push(ready_at, Event::UpstreamReady(upstream as u32));
     }
 
-    /// When module instances that start now have their lists.
-    fn first_lists(&mut self, instances: Range<usize>) -> Time {
+    /// Returns when module instances that start now have their first lists.
+    fn first_lists_at(&mut self, instances: Range<usize>) -> Time {
         let now = self.queue.now();
-        instances.map(|at| self.discovery.first_list(at, now)).max().unwrap_or(now)
+        instances.map(|instance| self.discovery.first_list_at(instance, now)).max().unwrap_or(now)
     }
 
-    fn on_ready(&mut self, upstream: usize) {
-        let server = &mut self.servers[upstream];
-        if server.life == Life::Up {
-            return; // started twice: after a restart, and with its zone
+    /// Puts a started upstream in service, and schedules its listing.
+    fn on_upstream_ready(&mut self, upstream: usize) {
+        let state = &mut self.upstream_states[upstream];
+        if state.process_state == ProcessState::Up {
+            return; // started twice: by a restart and by the return of its zone
         }
-        server.life = Life::Up;
-        (server.recent, server.step) = ([0; FALL_STEPS], 0);
-        let process = server.process;
-        self.renew(self.topology.upstreams[upstream].instances.clone());
-        self.notice(upstream, EndpointState::InService, false, Holds::Process(process));
+        state.process_state = ProcessState::Up;
+        (state.recent_attempts, state.last_bucket) = ([0; OVERLOAD_WINDOW_BUCKETS], 0);
+        let incarnation = state.incarnation;
+        self.restart_instances(self.topology.upstreams[upstream].instances.clone());
+        self.schedule_endpoint_update(
+            upstream,
+            EndpointState::InService,
+            false,
+            ValidWhile::Incarnation(incarnation),
+        );
     }
 
-    /// Module instances start anew, and know their lists.
-    fn renew(&mut self, instances: Range<usize>) {
+    /// Replaces module instances by new ones and gives them their endpoint lists.
+    fn restart_instances(&mut self, instances: Range<usize>) {
         let now = self.queue.now();
         for instance in instances {
-            let of = &self.topology.instances[instance];
+            let topology_instance = &self.topology.instances[instance];
             let seed = self.rng.random();
-            let balancer = balancer(self.config, &self.classes, &self.topology, of, seed, now);
-            let node = &mut self.nodes[instance];
-            (node.balancer, node.alive) = (balancer, true);
-            self.tell_list(instance);
+            let balancer =
+                new_balancer(self.config, &self.classes, &self.topology, topology_instance, seed, now);
+            let instance_state = &mut self.instance_states[instance];
+            (instance_state.balancer, instance_state.alive) = (balancer, true);
+            self.send_endpoint_list(instance);
         }
     }
 
-    // ---- The module ----
+    // ---- Decision module ----
 
-    fn tell_list(&mut self, instance: usize) {
+    /// Gives a module instance the whole endpoint list of its service.
+    fn send_endpoint_list(&mut self, instance: usize) {
         let list = self.discovery.list(self.topology.instances[instance].service).to_vec();
-        self.tell(instance, ModuleEvent::EndpointList(&list));
+        self.notify_instance(instance, ModuleEvent::EndpointList(&list));
     }
 
-    /// Tells an instance of an event, does what it says, and tells it of what came of that at once.
-    fn tell(&mut self, instance: usize, event: ModuleEvent<'_>) {
-        self.handle(instance, event);
-        while let Some((instance, id, end)) = self.pending.pop_front() {
-            self.handle(instance, ModuleEvent::AttemptEnded(id, end));
-            if let Some(&key) = self.nodes[instance].calls.get(&id) {
-                self.forget_if_done(key);
+    /// Passes an event to a module instance and carries out its actions, then does the same for the attempt ends that
+    /// these actions caused.
+    fn notify_instance(&mut self, instance: usize, event: ModuleEvent<'_>) {
+        self.dispatch_event(instance, event);
+        while let Some((instance, id, end)) = self.pending_attempt_ends.pop_front() {
+            self.dispatch_event(instance, ModuleEvent::AttemptEnded(id, end));
+            if let Some(&key) = self.instance_states[instance].requests.get(&id) {
+                self.remove_if_done(key);
             }
         }
     }
 
-    fn handle(&mut self, instance: usize, event: ModuleEvent<'_>) {
-        let node = &mut self.nodes[instance];
-        if !node.alive {
+    /// Passes one event to a module instance and carries out its actions.
+    fn dispatch_event(&mut self, instance: usize, event: ModuleEvent<'_>) {
+        let instance_state = &mut self.instance_states[instance];
+        if !instance_state.alive {
             return;
         }
         self.counts.module_events += 1;
         let mut actions = std::mem::take(&mut self.actions);
-        node.balancer.handle(self.queue.now(), event, &mut actions);
-        actions.drain(..).for_each(|action| self.act(instance, action));
+        instance_state.balancer.handle(self.queue.now(), event, &mut actions);
+        actions.drain(..).for_each(|action| self.apply_action(instance, action));
         self.actions = actions;
     }
 
-    fn act(&mut self, instance: usize, action: Action) {
+    fn apply_action(&mut self, instance: usize, action: Action) {
         match action {
-            Action::Send { id, endpoint: server, until, begin_by } => {
-                self.send(instance, id, server, (until, begin_by))
+            Action::Send { id, endpoint, until, begin_by } => {
+                self.send_attempt(instance, id, endpoint, (until, begin_by))
             }
-            Action::Reject { id, .. } => self.answer_id(instance, id, Answer::Refused),
-            Action::Fail(id) => self.answer_id(instance, id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.withdraw(instance, id, attempt),
-            Action::CloseIdle(server) => {
-                self.nodes[instance].idle[self.topology.place(server.0 as usize)].count = 0;
+            Action::Reject { id, .. } => self.respond_by_id(instance, id, Response::Refused),
+            Action::Fail(id) => self.respond_by_id(instance, id, Response::Failed),
+            Action::Cancel { id, attempt } => self.cancel_attempt(instance, id, attempt),
+            Action::CloseIdle(endpoint) => {
+                self.instance_states[instance].idle_connections
+                    [self.topology.index_in_service(endpoint.0 as usize)]
+                .count = 0;
             }
             Action::SetTimer { after, token } => {
                 self.queue.push(self.queue.now().saturating_add(after), Event::Timer(instance as u32, token));
             }
-            Action::WatchEndpoints => self.discovery.watch(instance, &mut self.queue),
-            Action::QueryLoad(_) => self.counts.probes += 1, // the settings allow none
-            Action::Log(_) => self.counts.logs += 1,
+            Action::WatchEndpoints => self.discovery.start_watch(instance, &mut self.queue),
+            Action::QueryLoad(_) => self.counts.load_queries += 1, // not allowed by the settings
+            Action::Log(_) => self.counts.log_lines += 1,
         }
     }
 
-    fn answer_id(&mut self, instance: usize, id: RequestId, answer: Answer) {
-        if let Some(&key) = self.nodes[instance].calls.get(&id) {
-            self.answer(key, answer);
+    fn respond_by_id(&mut self, instance: usize, id: RequestId, response: Response) {
+        if let Some(&key) = self.instance_states[instance].requests.get(&id) {
+            self.respond(key, response);
         }
     }
 
-    fn withdraw(&mut self, instance: usize, id: RequestId, number: u32) {
-        let Some(&key) = self.nodes[instance].calls.get(&id) else { return };
-        let Some(out) = self.calls.get(key).and_then(|call| call.out) else { return };
-        let Some(attempt) = self.attempts.get(out).filter(|attempt| attempt.number == number) else { return };
-        let sent = attempt.sent;
-        self.counts.withdrawals += 1;
-        self.give_up(out, false);
-        let Some(call) = self.calls.get_mut(key) else { return };
-        call.out = None;
-        let (elapsed, closed) = (self.queue.now() - sent, !call.owed);
+    /// Cancels an attempt on behalf of the module and queues the notification of its end.
+    fn cancel_attempt(&mut self, instance: usize, id: RequestId, number: u32) {
+        let Some(&key) = self.instance_states[instance].requests.get(&id) else { return };
+        let Some(active_attempt) = self.requests.get(key).and_then(|request| request.active_attempt) else {
+            return;
+        };
+        let Some(attempt) = self.attempts.get(active_attempt).filter(|attempt| attempt.number == number)
+        else {
+            return;
+        };
+        let sent_at = attempt.sent_at;
+        self.counts.cancellations += 1;
+        self.abandon_attempt(active_attempt, false);
+        let Some(request) = self.requests.get_mut(key) else { return };
+        request.active_attempt = None;
+        let (elapsed, closed) = (self.queue.now() - sent_at, !request.awaiting_response);
         let end = AttemptEnd {
             attempt: number,
             outcome: AttemptOutcome::Cancelled,
@@ -1129,20 +1259,20 @@
             body_consumed: false,
             load: None,
         };
-        self.pending.push_back((instance, id, end));
+        self.pending_attempt_ends.push_back((instance, id, end));
     }
 }
 
-/// A final answer.
+/// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum Response {
     Served,
     Refused,
     Failed,
 }
 
-/// A module instance as its balancer starts it.
-fn balancer(
+/// Creates the decision module of a module instance.
+fn new_balancer(
     config: &Config,
     classes: &[RequestClass],
     topology: &Topology,
@@ -1161,7 +1291,7 @@
         weight_by_work: false,
         zone: ZoneId(instance.zone as u8),
         zones: config.zones,
-        replicas: topology.services[instance.service].callers.len() as u32,
+        replicas: topology.services[instance.service].client_instances.len() as u32,
         tier,
         propagates_deadline: true,
         polls_discovery: config.discovery.ask,
@@ -1178,17 +1308,17 @@
         cross_zone_price: config.cross_price,
         load_query_price: 1.0,
     };
-    LoadBalancer::new(settings, seed, now).expect("settings that come from a checked configuration hold")
+    LoadBalancer::new(settings, seed, now).expect("a checked configuration gives valid settings")
 }
 
-/// What a balancer adds to a call, or to its answer.
-fn own_time(config: &Config) -> Time {
+/// Time that a balancer adds to each request and to each response.
+fn balancer_service_time(config: &Config) -> Time {
     (config.balancer_us * 1e3) as Time
 }
 
-/// Time from one zone to another.
-fn way(config: &Config, zone: usize, other: usize) -> Time {
-    millis(match (zone == other, Topology::regions_differ(config, zone, other)) {
+/// One-way network delay between two zones.
+fn network_delay(config: &Config, from_zone: usize, to_zone: usize) -> Time {
+    millis(match (from_zone == to_zone, Topology::regions_differ(config, from_zone, to_zone)) {
         (true, _) => config.same_zone_ms,
         (_, true) => config.cross_region_ms,
         (_, false) => config.cross_zone_ms,
