--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -246,7 +246,7 @@
 
 impl<'a> Fleet<'a> {
     fn new(config: &'a Config, seed: u64) -> Self {
-        let random_stream = |purpose| crate::random(seed, purpose);
+        let random_stream = |purpose| crate::seeded_rng(seed, purpose);
         let topology = Topology::new(config, &mut random_stream(1));
         let mut rng = random_stream(2);
         let upstream_states: Vec<UpstreamState> = topology
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,4 +1,5 @@
-//! Emulates a fleet of balancers and what they serve: `hollow` on virtual time, `real` with real processes.
+//! Emulates a fleet of balancers with their clients and upstreams: mode `hollow` runs on virtual time,
+//! mode `real` starts real processes.
 
 #![forbid(unsafe_code)]
 
@@ -19,14 +20,15 @@
 use rand_chacha::ChaCha8Rng;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A generator for one of a run's purposes, so that more draws for one do not change another.
-fn random(seed: u64, purpose: u64) -> ChaCha8Rng {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    random.set_stream(purpose);
-    random
+/// Returns a random number generator for one purpose of a run. Each purpose has its own stream, so that
+/// additional draws for one purpose do not change the numbers of another.
+fn seeded_rng(seed: u64, stream: u64) -> ChaCha8Rng {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(stream);
+    rng
 }
 
-/// What a mutex holds, also where another thread panicked with it.
+/// Locks a mutex, also if a thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `fleet-emulator run SCENARIO` and `fleet-emulator sweep SCENARIO --over KEY=a,b,c`.
+//! The program: `fleet-emulator run SCENARIO` and `fleet-emulator sweep SCENARIO --over KEY=a,b,c`.
 
 use std::process::ExitCode;
 
--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -14,7 +14,7 @@
 use crate::experiment::Progress;
 use crate::interrupt::Interrupt;
 use crate::report::Outcome;
-use crate::{lock, random};
+use crate::{lock, seeded_rng};
 use anyhow::{Context, Result, bail};
 use client::{Clients, Front};
 use discovery::Discovery;
@@ -41,7 +41,7 @@
 const LOOK_EVERY: Duration = Duration::from_millis(5);
 
 /// The balancers' program: the one that is named, or the release build in the target folder of this program.
-pub fn program(named: Option<&Path>) -> Result<PathBuf> {
+pub fn find_program(named: Option<&Path>) -> Result<PathBuf> {
     let path = match named {
         Some(path) => path.to_owned(),
         None => {
@@ -223,7 +223,7 @@
     if config.change_rate == 0.0 {
         return std::future::pending().await;
     }
-    let mut random = random(seed, 3);
+    let mut random = seeded_rng(seed, 3);
     let mut draining: VecDeque<usize> = VecDeque::new();
     let mut next = Instant::now();
     loop {
--- a/emulator/src/real/balancer.rs
+++ b/emulator/src/real/balancer.rs
@@ -150,7 +150,7 @@
             ListsCome::Push => "push",
             ListsCome::Ask => "ask",
         };
-        let seed: u64 = crate::random(self.seed, (at as u64 + 1) << 16 | starts).random();
+        let seed: u64 = crate::seeded_rng(self.seed, (at as u64 + 1) << 16 | starts).random();
         json!({
             "name": format!("n{at}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
             "seed": format!("{seed:016x}"),
--- a/emulator/src/real/client.rs
+++ b/emulator/src/real/client.rs
@@ -5,7 +5,7 @@
 use super::config::Config;
 use super::pool::Pool;
 use super::upstream::DIRECT;
-use crate::{lock, random};
+use crate::{lock, seeded_rng};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::Full;
@@ -204,7 +204,7 @@
 impl Arrivals {
     fn run(self, start: Instant, length: Duration) {
         let Ok(gaps) = Exp::new(self.rate) else { return };
-        let mut random = random(self.seed, 4 + self.path as u64 + 2 * u64::from(self.measured));
+        let mut random = seeded_rng(self.seed, 4 + self.path as u64 + 2 * u64::from(self.measured));
         let mut due = Duration::ZERO;
         loop {
             due += Duration::from_secs_f64(random.sample::<f64, _>(gaps).min(1e6));
--- a/emulator/src/real/measure.rs
+++ b/emulator/src/real/measure.rs
@@ -6,7 +6,7 @@
 use super::discovery::{Cost, Discovery};
 use super::upstream::Upstreams;
 use crate::lock;
-use crate::report::{Outcome, Table, number, peak_memory};
+use crate::report::{Outcome, Table, format_figure, peak_memory_mb};
 use anyhow::{Result, bail};
 use std::collections::BTreeMap;
 use std::fs;
@@ -88,7 +88,7 @@
         let mut peaks = lock(&self.peaks);
         for process in self.fleet.processes().into_iter().flatten() {
             let peak = peaks.entry(process).or_default();
-            let memory = peak_memory(&process.to_string()).unwrap_or(0.0);
+            let memory = peak_memory_mb(&process.to_string()).unwrap_or(0.0);
             let descriptors = fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count);
             peak.memory_mb = peak.memory_mb.max(memory);
             peak.descriptors = peak.descriptors.max(descriptors);
@@ -99,7 +99,7 @@
     pub fn check_memory(&self) -> Result<()> {
         let peaks = lock(&self.peaks);
         let living = self.fleet.processes().into_iter().flatten().filter_map(|process| peaks.get(&process));
-        let memory = living.map(|peak| peak.memory_mb).sum::<f64>() + peak_memory("self").unwrap_or(0.0);
+        let memory = living.map(|peak| peak.memory_mb).sum::<f64>() + peak_memory_mb("self").unwrap_or(0.0);
         match memory > MOST_MEMORY as f64 {
             true => bail!("the run holds {memory:.0} MB, more than {MOST_MEMORY} MB"),
             false => Ok(()),
@@ -264,7 +264,7 @@
 
     /// A row for each balancer.
     fn balancers(&self) -> Table {
-        let cell = |figure: Option<f64>| figure.map_or("not measured".into(), number);
+        let cell = |figure: Option<f64>| figure.map_or("not measured".into(), format_figure);
         let row = |at: usize| {
             let cpu = |used: &Used| cell(used.cpu.get(at).copied().flatten().map(|part| 100.0 * part));
             vec![
@@ -289,9 +289,9 @@
 /// Times of the calls that were served, balanced and direct.
 fn latency(tallies: &Tallies) -> Table {
     let row = |(path, tally): (&str, &Tally)| {
-        let quantiles =
-            QUANTILES.map(|(_, quantile)| number(tally.times.value_at_quantile(quantile) as f64 / 1e3));
-        let most = number(tally.times.max() as f64 / 1e3);
+        let quantiles = QUANTILES
+            .map(|(_, quantile)| format_figure(tally.times.value_at_quantile(quantile) as f64 / 1e3));
+        let most = format_figure(tally.times.max() as f64 / 1e3);
         let cells = [path.to_owned(), tally.sent.to_string(), tally.served.to_string()];
         cells.into_iter().chain(quantiles).chain([most]).collect()
     };
--- a/emulator/src/real/upstream.rs
+++ b/emulator/src/real/upstream.rs
@@ -3,7 +3,7 @@
 use super::config::Config;
 use super::discovery::Listed;
 use super::listen;
-use crate::{lock, random};
+use crate::{lock, seeded_rng};
 use anyhow::Result;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -53,7 +53,7 @@
                 service: Duration::from_millis(config.service_ms),
                 error_share: config.error_share,
                 answer: Bytes::from(vec![b'a'; config.body_bytes]),
-                random: Mutex::new(random(seed, 1 << 32 | at as u64)),
+                random: Mutex::new(seeded_rng(seed, 1 << 32 | at as u64)),
                 attempts: AtomicU64::new(0),
                 drains: Mutex::default(),
             });
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: TOML files that say what is run, and what is expected of it.
+//! Scenarios: TOML files that describe a run and its expected figures.
 
 use crate::{hollow, real};
 use serde::{Deserialize, Serialize};
@@ -8,29 +8,33 @@
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
-/// What is run.
+/// A scenario: the configuration of a run and its expectations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Name of the scenario, printed in reports.
     pub name: String,
+    /// Whether the run is simulated or real.
     pub mode: Mode,
-    /// Seed of everything that is drawn at random.
+    /// Seed of all random numbers.
     #[serde(default)]
     pub seed: u64,
+    /// Configuration of a hollow run, for mode `hollow`.
     pub hollow: Option<hollow::Config>,
+    /// Configuration of a real run, for mode `real`.
     pub real: Option<real::Config>,
-    /// Bounds by the name of a figure.
+    /// Bounds by name of the figure.
     #[serde(default)]
     pub expect: BTreeMap<String, Bounds>,
 }
 
-/// What a scenario runs on.
+/// What a run consists of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Virtual time, in one process.
+    /// A simulation on virtual time, in one process.
     Hollow,
-    /// Real processes on loopback.
+    /// Real processes on the loopback interface.
     Real,
 }
 
@@ -43,28 +47,31 @@
     }
 }
 
-/// Bounds of a figure, in its unit; both belong to what is allowed.
+/// Inclusive bounds of a figure, in the unit of the figure.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
+    /// Lower bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub min: Option<f64>,
+    /// Upper bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max: Option<f64>,
 }
 
 impl Bounds {
-    /// Whether a figure lies within them.
-    pub fn hold(&self, figure: f64) -> bool {
+    /// Returns whether a figure lies within the bounds.
+    pub fn contains(&self, figure: f64) -> bool {
         figure.is_finite()
             && self.min.is_none_or(|min| figure >= min)
             && self.max.is_none_or(|max| figure <= max)
     }
 
+    /// Checks that at least one bound is set, and that they are finite and in order.
     fn check(&self) -> Result<(), String> {
         for (key, bound) in [("min", self.min), ("max", self.max)] {
             if let Some(bound) = bound.filter(|bound| !bound.is_finite()) {
-                return Err(format!("`{key}` is {bound}"));
+                return Err(format!("`{key}` is {bound}, which is not finite"));
             }
         }
         match (self.min, self.max) {
@@ -75,7 +82,7 @@
     }
 }
 
-/// What is wrong with a scenario: one line that names the file, the place, the key and the value.
+/// Error in a scenario: one line that names the file, the position, the key and the value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError(String);
 
@@ -87,18 +94,19 @@
 
 impl std::error::Error for ScenarioError {}
 
-/// A key of a scenario and the values that a sweep gives it.
+/// A key of a scenario and the values that a sweep sets it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Axis {
-    /// With dots between its parts: `real.balancers`.
+    /// Path of the key with dots between its parts: `real.balancers`.
     pub key: String,
+    /// Values, at least one and all different.
     pub values: Vec<Value>,
 }
 
 impl std::str::FromStr for Axis {
     type Err = String;
 
-    /// Reads `KEY=a,b,c`; a value that is not one of TOML is a string.
+    /// Parses `KEY=a,b,c`; a value that is not valid TOML is taken as a string.
     fn from_str(text: &str) -> Result<Self, String> {
         let (key, values) = text.split_once('=').ok_or("has no `=`")?;
         if key.split('.').any(str::is_empty) || !key.contains('.') {
@@ -109,9 +117,9 @@
             text => Ok(text.parse().unwrap_or_else(|_| Value::String(text.into()))),
         };
         let values = values.split(',').map(value).collect::<Result<Vec<_>, _>>()?;
-        let mut seen = values.iter();
-        while let Some(value) = seen.next() {
-            if seen.as_slice().contains(value) {
+        let mut remaining = values.iter();
+        while let Some(value) = remaining.next() {
+            if remaining.as_slice().contains(value) {
                 return Err(format!("`{key}` has the value {value} twice"));
             }
         }
@@ -119,51 +127,54 @@
     }
 }
 
-/// The text of a scenario's file, found sound as it stands.
+/// A scenario file that has been read and checked.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct ScenarioFile {
     path: PathBuf,
     table: Table,
-    /// As the file has it.
+    /// The scenario as written in the file.
     pub scenario: Scenario,
 }
 
-impl Source {
-    /// Reads and checks a file.
+impl ScenarioFile {
+    /// Reads and checks a scenario file.
     pub fn load(path: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ScenarioError(format!("{}: {error}", path.display())))?;
-        let at = |span: Option<Range<usize>>, message: String| {
-            let place = span.map_or(String::new(), |span| place(&text, span.start));
-            ScenarioError(format!("{}{place}: {}", path.display(), one_line(&message)))
+        let error_at = |span: Option<Range<usize>>, message: String| {
+            let position = span.map_or(String::new(), |span| line_and_column(&text, span.start));
+            ScenarioError(format!("{}{position}: {}", path.display(), one_line(&message)))
         };
         let table =
-            text.parse().map_err(|error: toml::de::Error| at(error.span(), error.message().into()))?;
-        let reader =
-            toml::Deserializer::parse(&text).map_err(|error| at(error.span(), error.message().into()))?;
+            text.parse().map_err(|error: toml::de::Error| error_at(error.span(), error.message().into()))?;
+        let reader = toml::Deserializer::parse(&text)
+            .map_err(|error| error_at(error.span(), error.message().into()))?;
         let scenario: Scenario = serde_path_to_error::deserialize(reader).map_err(|error| {
             let (key, inner) = (error.path().to_string(), error.inner());
-            at(inner.span(), describe(&key, inner.message(), inner.span().and_then(|span| text.get(span))))
+            error_at(
+                inner.span(),
+                describe(&key, inner.message(), inner.span().and_then(|span| text.get(span))),
+            )
         })?;
         check(&scenario).map_err(|(section, message)| {
-            let key = named(&message).into_iter().flat_map(|key| key.split('.'));
-            let span = section.split('.').chain(key).collect::<Vec<_>>();
-            at(find(&text, &span), format!("`{section}`: {message}"))
+            let key = leading_key(&message).into_iter().flat_map(|key| key.split('.'));
+            let key_path = section.split('.').chain(key).collect::<Vec<_>>();
+            error_at(find_key(&text, &key_path), format!("`{section}`: {message}"))
         })?;
         Ok(Self { path: path.into(), table, scenario })
     }
 
-    /// The scenario with other values for some keys, which must be its mode's.
-    pub fn with(&self, values: &[(String, Value)]) -> Result<Scenario, ScenarioError> {
-        // Names the value that a path leads to, or all of them where it leads to none.
+    /// Returns the scenario with other values for some keys, which must belong to the table of the scenario's mode.
+    pub fn with_values(&self, values: &[(String, Value)]) -> Result<Scenario, ScenarioError> {
+        // The message names the options whose key leads to `path`, or all of them if none does.
         let error = |path: &str, message: &str| {
-            let leads = |key: &str| {
+            let leads_to_path = |key: &str| {
                 path.strip_prefix(key).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
             };
-            let any = values.iter().any(|(key, _)| leads(key));
-            let at_fault = values.iter().filter(|(key, _)| !any || leads(key));
-            let over: String = at_fault.map(|(key, value)| format!("--over {key}={value} ")).collect();
-            ScenarioError(format!("{}: {}: {}", self.path.display(), over.trim_end(), one_line(message)))
+            let any_leads_to_path = values.iter().any(|(key, _)| leads_to_path(key));
+            let responsible = values.iter().filter(|(key, _)| !any_leads_to_path || leads_to_path(key));
+            let options: String = responsible.map(|(key, value)| format!("--over {key}={value} ")).collect();
+            ScenarioError(format!("{}: {}: {}", self.path.display(), options.trim_end(), one_line(message)))
         };
         let mode = self.scenario.mode.to_string();
         let mut table = self.table.clone();
@@ -176,25 +187,25 @@
             let mut inner = &mut table;
             for part in parts {
                 let next = inner.entry(part).or_insert_with(|| Value::Table(Table::new()));
-                inner = next.as_table_mut().ok_or_else(|| error(key, &format!("`{part}` is no table")))?;
+                inner = next.as_table_mut().ok_or_else(|| error(key, &format!("`{part}` is not a table")))?;
             }
             inner.insert(last.into(), value.clone());
         }
-        let scenario = serde_path_to_error::deserialize(Value::Table(table)).map_err(|fault| {
-            let path = fault.path().to_string();
-            error(&path, &describe(&path, fault.inner().message(), None))
+        let scenario = serde_path_to_error::deserialize(Value::Table(table)).map_err(|cause| {
+            let path = cause.path().to_string();
+            error(&path, &describe(&path, cause.inner().message(), None))
         })?;
         check(&scenario).map_err(|(section, message)| {
-            let path = named(&message).map_or(section.clone(), |key| format!("{section}.{key}"));
+            let path = leading_key(&message).map_or(section.clone(), |key| format!("{section}.{key}"));
             error(&path, &message)
         })?;
         Ok(scenario)
     }
 }
 
-/// Checks what the types do not say; the error comes with the table that it is in.
+/// Checks what deserialization cannot check. An error names the table it is in, then the message.
 fn check(scenario: &Scenario) -> Result<(), (String, String)> {
-    let (mine, other) = match scenario.mode {
+    let (result, other_table) = match scenario.mode {
         Mode::Hollow => {
             (scenario.hollow.as_ref().map(hollow::Config::check), scenario.real.as_ref().map(|_| "real"))
         }
@@ -203,10 +214,13 @@
         }
     };
     let mode = scenario.mode.to_string();
-    if let Some(other) = other {
-        return Err((other.into(), format!("a table of another mode than `mode`, \"{mode}\"")));
+    if let Some(other_table) = other_table {
+        return Err((
+            other_table.into(),
+            format!("this table belongs to another mode than `mode`, \"{mode}\""),
+        ));
     }
-    match mine {
+    match result {
         None => return Err(("mode".into(), format!("is \"{mode}\", but there is no table `{mode}`"))),
         Some(checked) => checked.map_err(|message| (mode, message))?,
     }
@@ -216,12 +230,12 @@
     Ok(())
 }
 
-/// The key in backquotes that a message begins with.
-fn named(message: &str) -> Option<&str> {
+/// Returns the key in backquotes that a message begins with.
+fn leading_key(message: &str) -> Option<&str> {
     message.strip_prefix('`')?.split('`').next()
 }
 
-/// A message that has the key and, where the message itself does not, the value.
+/// Prefixes a message with the key and appends the value, unless the message has it already.
 fn describe(key: &str, message: &str, value: Option<&str>) -> String {
     let value = value.filter(|value| !value.contains('\n') && !message.contains(value));
     let value = value.map_or(String::new(), |value| format!(" ({value})"));
@@ -231,19 +245,20 @@
     }
 }
 
+/// Joins the lines of a text into one line.
 fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// `:line:column` of a byte, both from 1.
-fn place(text: &str, at: usize) -> String {
-    let before = text.get(..at).unwrap_or(text);
-    let line_start = before.rfind('\n').map_or(0, |end| end + 1);
-    format!(":{}:{}", before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
+/// Formats a byte offset as `:line:column`, both counted from 1.
+fn line_and_column(text: &str, offset: usize) -> String {
+    let preceding = text.get(..offset).unwrap_or(text);
+    let line_start = preceding.rfind('\n').map_or(0, |end| end + 1);
+    format!(":{}:{}", preceding.matches('\n').count() + 1, preceding[line_start..].chars().count() + 1)
 }
 
-/// Where the key of a path stands, or the last of its tables that is there.
-fn find(text: &str, path: &[&str]) -> Option<Range<usize>> {
+/// Returns the position of a key by its path, or of the last table on the path that exists.
+fn find_key(text: &str, path: &[&str]) -> Option<Range<usize>> {
     let mut table = toml::de::DeTable::parse(text).ok()?.into_inner();
     let mut found = None;
     for part in path {
