--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -1,4 +1,4 @@
-//! Real balancers on loopback, beside upstreams, clients and discovery that share this process.
+//! Real mode: balancer processes on the loopback interface, with upstreams, clients and discovery in this process.
 
 mod balancer;
 mod client;
@@ -8,7 +8,7 @@
 mod pool;
 mod upstream;
 
-pub use config::{Config, DiscoveryDown, ListsCome, RollingRestart};
+pub use config::{Config, DiscoveryOutage, ListDelivery, RollingRestart};
 
 use self::balancer::{Balancer, Program};
 use crate::experiment::Progress;
@@ -18,7 +18,7 @@
 use anyhow::{Context, Result, bail};
 use client::{Clients, Front};
 use discovery::Discovery;
-use measure::{Measured, Watch};
+use measure::{Measurements, ProcessMonitor};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use rand_distr::Exp;
@@ -31,24 +31,26 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use upstream::Upstreams;
 
-/// How long the last changes are waited for after the calls have ended, until they count as not followed. Far more
-/// than is owed: how long each took is a figure of its own.
-const SETTLE: Duration = Duration::from_secs(30);
-/// How long a balancer may take to end after SIGTERM, beyond the longest deadline.
-const STOP_PATIENCE: Duration = Duration::from_secs(10);
+/// Time limit for the propagation of the last list changes after the requests have ended; later changes count as not
+/// followed. The limit is generous because the propagation delay of each change is reported as a figure.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit for a balancer to exit after SIGTERM, in addition to the longest deadline.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two looks whether a balancer has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval between checks whether a balancer has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The balancers' program: the one that is named, or the release build in the target folder of this program.
-pub fn find_program(named: Option<&Path>) -> Result<PathBuf> {
-    let path = match named {
+/// Returns the path of the balancer program: the requested one, or the release build in this program's target folder.
+pub fn find_program(requested: Option<&Path>) -> Result<PathBuf> {
+    let path = match requested {
         Some(path) => path.to_owned(),
         None => {
-            let own = std::env::current_exe().context("cannot find the folder of this program")?;
-            let target =
-                own.parent().and_then(Path::parent).context("this program is in no target folder")?;
-            target.join("release/balancer")
+            let executable = std::env::current_exe().context("cannot find the path of this program")?;
+            let target_folder = executable
+                .parent()
+                .and_then(Path::parent)
+                .context("this program is not in a target folder")?;
+            target_folder.join("release/balancer")
         }
     };
     match path.is_file() {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Runs a scenario. Its children are gone when this returns, and are killed where it unwinds.
+/// Runs a scenario. All balancer processes have ended when this returns, and are killed if it unwinds.
 pub fn run(
     config: &Config,
     seed: u64,
@@ -72,7 +74,7 @@
         .worker_threads(config.threads)
         .enable_all()
         .build()
-        .context("cannot start the runtime")?;
+        .context("cannot start the runtime of the emulation")?;
     runtime.block_on(async {
         let fleet = Fleet::default();
         let outcome = tokio::select! {
@@ -80,53 +82,55 @@
             interrupted = interrupt.wait() => Err(interrupted.into()),
             outcome = emulate(config, seed, program, &fleet, progress) => outcome,
         };
-        fleet.end().await;
+        fleet.kill_all().await;
         outcome
     })
 }
 
-/// The processes of the balancers, by the balancers' number. All that live are here at any time.
+/// The running balancer processes by index of the balancer.
 #[derive(Default)]
 struct Fleet(Mutex<Vec<Option<Balancer>>>);
 
 impl Fleet {
+    /// Locks the list of processes.
     fn lock(&self) -> MutexGuard<'_, Vec<Option<Balancer>>> {
         lock(&self.0)
     }
 
-    /// Takes a process in, in place of one that has ended.
-    fn put(&self, at: usize, balancer: Balancer) {
+    /// Adds the process of a balancer, replacing one that has ended.
+    fn insert(&self, index: usize, balancer: Balancer) {
         let mut balancers = self.lock();
-        if balancers.len() <= at {
-            balancers.resize_with(at + 1, || None);
+        if balancers.len() <= index {
+            balancers.resize_with(index + 1, || None);
         }
-        balancers[at] = Some(balancer);
+        balancers[index] = Some(balancer);
     }
 
-    /// Does something with the process of a balancer, if it has one.
-    fn with<T>(&self, at: usize, act: impl FnOnce(&mut Balancer) -> T) -> Option<T> {
-        self.lock().get_mut(at)?.as_mut().map(act)
+    /// Applies a function to the process of a balancer, if there is one.
+    fn with_balancer<T>(&self, index: usize, action: impl FnOnce(&mut Balancer) -> T) -> Option<T> {
+        self.lock().get_mut(index)?.as_mut().map(action)
     }
 
-    /// Kills all that still run and waits until they are gone.
-    async fn end(&self) {
+    /// Kills all processes that still run and waits for them.
+    async fn kill_all(&self) {
         let balancers: Vec<_> = self.lock().drain(..).flatten().collect();
         for mut balancer in balancers {
             balancer.kill().await;
         }
     }
 
-    /// The processes' numbers.
-    fn processes(&self) -> Vec<Option<u32>> {
-        self.lock().iter().map(|balancer| balancer.as_ref().map(Balancer::process)).collect()
+    /// Returns the process id of each balancer.
+    fn process_ids(&self) -> Vec<Option<u32>> {
+        self.lock().iter().map(|balancer| balancer.as_ref().map(Balancer::process_id)).collect()
     }
 
-    /// Fails if one has ended that was not told to.
-    fn check(&self) -> Result<()> {
-        self.lock().iter_mut().flatten().try_for_each(Balancer::check)
+    /// Fails if a ready balancer has exited without SIGTERM.
+    fn check_running(&self) -> Result<()> {
+        self.lock().iter_mut().flatten().try_for_each(Balancer::check_running)
     }
 }
 
+/// Starts all parts of the emulation, executes its phases and returns the outcome.
 async fn emulate(
     config: &Config,
     seed: u64,
@@ -135,123 +139,125 @@
     progress: Progress<'_>,
 ) -> Result<Outcome> {
     let start = Instant::now();
-    let length = config.warmup() + config.idle() + config.load();
-    let advance = || progress((start.elapsed().as_secs_f64() / length.as_secs_f64()).min(1.0));
+    let total_length = config.warmup() + config.idle() + config.load();
+    let advance = || progress((start.elapsed().as_secs_f64() / total_length.as_secs_f64()).min(1.0));
     let upstreams = Upstreams::start(config, seed).await?;
     let discovery = Discovery::start(config.balancers, upstreams.listed(config.zones)).await?;
     let program = Program::new(program, config, seed)?;
-    let mut measured = Measured::default();
+    let mut measurements = Measurements::default();
 
-    // All at once, as after a power cut.
-    let mut starting = JoinSet::new();
-    for at in 0..config.balancers {
-        let (balancer, start) = program.start(at, 0, discovery.agent(at), discovery.known_nothing())?;
-        fleet.put(at, balancer);
-        starting.spawn(async move { (at, start.ready().await) });
+    // All balancers start at once, as after a power failure.
+    let mut startups = JoinSet::new();
+    for index in 0..config.balancers {
+        let (balancer, startup) =
+            program.start(index, 0, discovery.agent_address(index), discovery.empty_list())?;
+        fleet.insert(index, balancer);
+        startups.spawn(async move { (index, startup.wait_until_ready().await) });
     }
     let mut addresses = vec![None; config.balancers];
-    while let Some(joined) = starting.join_next().await {
-        let (at, ready) = joined.context("a start was not finished")?;
+    while let Some(joined) = startups.join_next().await {
+        let (index, ready) = joined.context("the startup task of a balancer failed")?;
         let ready = ready?;
-        fleet.with(at, Balancer::serves);
-        discovery.start_tracking(at);
-        measured.ready.push(ready.after);
-        addresses[at] = Some(ready.address);
+        fleet.with_balancer(index, Balancer::mark_serving);
+        discovery.start_tracking(index);
+        measurements.startup_times.push(ready.startup_time);
+        addresses[index] = Some(ready.address);
     }
 
     let front = Arc::new(Front::new(addresses));
     let clients = Clients::new(config, seed, front.clone(), upstreams.addresses());
-    let watch = Watch::new(fleet, &discovery);
+    let monitor = ProcessMonitor::new(fleet, &discovery);
 
-    let body = async {
+    let phases_and_changes = async {
         clients.send_requests(config.warmup(), false).await;
-        let changing = change(config, seed, &discovery, &upstreams);
+        let list_changes = change_list(config, seed, &discovery, &upstreams);
         let phases = async {
-            // Control alone first, and then the same with calls: the difference is what calls cost.
-            let from = watch.look();
+            // First the control traffic alone, then with requests: the difference is the cost of the requests.
+            let baseline = monitor.sample();
             sleep(config.idle()).await;
-            measured.idle = watch.since(&from);
-            let (from, attempts) = (watch.look(), upstreams.attempts());
+            measurements.idle = monitor.usage_since(&baseline);
+            let (baseline, attempts) = (monitor.sample(), upstreams.attempts());
             let faults = async {
                 tokio::join!(
-                    discovery_down(config, &discovery),
+                    run_discovery_outage(config, &discovery),
                     rolling_restart(config, &program, fleet, &front, &discovery)
                 )
             };
-            // Restarts that the calls do not see to their end are waited for.
+            // Waits for both: restarts may take longer than the requests.
             let (((), restarts), ()) = tokio::join!(faults, clients.send_requests(config.load(), true));
-            measured.load = watch.since(&from);
-            measured.attempts = upstreams.attempts() - attempts;
+            measurements.load = monitor.usage_since(&baseline);
+            measurements.attempts = upstreams.attempts() - attempts;
             restarts
         };
         tokio::select! {
             biased;
             restarts = phases => restarts,
-            never = changing => match never {},
+            never = list_changes => match never {},
         }
     };
-    let ticking = async {
+    let monitoring = async {
         loop {
             advance();
-            watch.peaks();
-            if let Err(error) = fleet.check().and_then(|()| watch.check_memory()) {
+            monitor.update_peaks();
+            if let Err(error) = fleet.check_running().and_then(|()| monitor.check_memory()) {
                 return error;
             }
             sleep(Duration::from_millis(200)).await;
         }
     };
-    measured.restarts = tokio::select! {
-        restarts = body => restarts?,
-        error = ticking => return Err(error),
+    measurements.restart_times = tokio::select! {
+        restarts = phases_and_changes => restarts?,
+        error = monitoring => return Err(error),
     };
-    timeout(SETTLE, discovery.all_changes_propagated()).await.ok();
-    watch.peaks();
-    fleet.check()?;
-    measured.peaks = watch.into_peaks();
-    Ok(measured.outcome(config, &clients.tallies(), &upstreams, &discovery))
+    timeout(PROPAGATION_TIMEOUT, discovery.all_changes_propagated()).await.ok();
+    monitor.update_peaks();
+    fleet.check_running()?;
+    measurements.peaks = monitor.into_peaks();
+    Ok(measurements.outcome(config, &clients.tallies(), &upstreams, &discovery))
 }
 
-/// Changes the list for as long as it is polled: an upstream starts to drain, or the one that has drained for
-/// longest is back in service.
-async fn change(
+/// Changes the endpoint list at random times for as long as the future is polled: an upstream starts draining, or the
+/// one that has been draining longest returns to service.
+async fn change_list(
     config: &Config,
     seed: u64,
     discovery: &Discovery,
     upstreams: &Upstreams,
 ) -> std::convert::Infallible {
-    let Ok(gaps) = Exp::new(config.change_rate) else { return std::future::pending().await };
+    let Ok(intervals) = Exp::new(config.change_rate) else { return std::future::pending().await };
     if config.change_rate == 0.0 {
         return std::future::pending().await;
     }
-    let mut random = seeded_rng(seed, 3);
+    let mut rng = seeded_rng(seed, 3);
     let mut draining: VecDeque<usize> = VecDeque::new();
-    let mut next = Instant::now();
+    let mut next_change = Instant::now();
     loop {
-        next += Duration::from_secs_f64(random.sample::<f64, _>(gaps).min(1e6));
-        sleep_until(next).await;
-        if draining.len() < config.most_draining() && (draining.is_empty() || random.random_bool(0.5)) {
-            let serving: Vec<usize> = (0..config.targets).filter(|at| !draining.contains(at)).collect();
-            let Some(&at) = serving.choose(&mut random) else { continue };
-            draining.push_back(at);
-            discovery.change(at, true);
-            upstreams.drains(at, true);
-        } else if let Some(at) = draining.pop_front() {
-            upstreams.drains(at, false);
-            discovery.change(at, false);
+        next_change += Duration::from_secs_f64(rng.sample::<f64, _>(intervals).min(1e6));
+        sleep_until(next_change).await;
+        if draining.len() < config.max_draining() && (draining.is_empty() || rng.random_bool(0.5)) {
+            let serving: Vec<usize> = (0..config.targets).filter(|index| !draining.contains(index)).collect();
+            let Some(&index) = serving.choose(&mut rng) else { continue };
+            draining.push_back(index);
+            discovery.set_draining(index, true);
+            upstreams.set_draining(index, true);
+        } else if let Some(index) = draining.pop_front() {
+            upstreams.set_draining(index, false);
+            discovery.set_draining(index, false);
         }
     }
 }
 
-async fn discovery_down(config: &Config, discovery: &Discovery) {
-    let Some(down) = &config.discovery_down else { return };
-    sleep(Duration::from_secs_f64(down.at_s)).await;
+/// Makes discovery unreachable for the configured time.
+async fn run_discovery_outage(config: &Config, discovery: &Discovery) {
+    let Some(outage) = &config.discovery_down else { return };
+    sleep(Duration::from_secs_f64(outage.at_s)).await;
     discovery.set_down(true);
-    sleep(Duration::from_secs_f64(down.for_s)).await;
+    sleep(Duration::from_secs_f64(outage.for_s)).await;
     discovery.set_down(false);
 }
 
-/// Replaces every balancer, one after another: SIGTERM, calls for as long as the front has not heard of it, the
-/// end of the process, and a new one that is put to use once it is ready. Gives the times that the new ones took.
+/// Replaces every balancer, one after another: sends SIGTERM, lets the front route requests to it for the front lag,
+/// waits for its exit, and adds the new process to the front once it is ready. Returns the startup times.
 async fn rolling_restart(
     config: &Config,
     program: &Program<'_>,
@@ -260,54 +266,56 @@
     discovery: &Discovery,
 ) -> Result<Vec<Duration>> {
     let Some(restart) = &config.rolling_restart else { return Ok(Vec::new()) };
-    let mut ready = Vec::new();
+    let mut startup_times = Vec::new();
     sleep(Duration::from_secs_f64(restart.at_s)).await;
-    for at in 0..config.balancers {
-        discovery.stop_tracking(at);
-        let known = discovery.known();
-        fleet.with(at, Balancer::terminate);
+    for index in 0..config.balancers {
+        discovery.stop_tracking(index);
+        let list = discovery.current_list();
+        fleet.with_balancer(index, Balancer::terminate);
         sleep(Duration::from_secs_f64(restart.front_lag_s)).await;
-        front.remove(at);
-        let ended = async {
-            while fleet.with(at, Balancer::has_ended) == Some(false) {
-                sleep(LOOK_EVERY).await;
+        front.remove(index);
+        let exited = async {
+            while fleet.with_balancer(index, Balancer::has_exited) == Some(false) {
+                sleep(EXIT_POLL_INTERVAL).await;
             }
         };
-        let patience = config.deadline() + STOP_PATIENCE;
-        if timeout(patience, ended).await.is_err() {
-            bail!("balancer {at} did not end within {patience:?} of SIGTERM");
+        let stop_timeout = config.deadline() + STOP_TIMEOUT;
+        if timeout(stop_timeout, exited).await.is_err() {
+            bail!("balancer {index} did not exit within {stop_timeout:?} of SIGTERM");
         }
-        let (balancer, start) = program.start(at, 1, discovery.agent(at), known)?;
-        fleet.put(at, balancer);
-        let new = start.ready().await?;
-        fleet.with(at, Balancer::serves);
-        ready.push(new.after);
-        discovery.start_tracking(at);
-        front.admit(at, new.address);
+        let (balancer, startup) = program.start(index, 1, discovery.agent_address(index), list)?;
+        fleet.insert(index, balancer);
+        let ready_balancer = startup.wait_until_ready().await?;
+        fleet.with_balancer(index, Balancer::mark_serving);
+        startup_times.push(ready_balancer.startup_time);
+        discovery.start_tracking(index);
+        front.add(index, ready_balancer.address);
         sleep(Duration::from_secs_f64(restart.pause_s)).await;
     }
-    Ok(ready)
+    Ok(startup_times)
 }
 
-/// Serves each connection to a free port of the loopback address for as long as the runtime lives.
+/// Accepts connections on a free port of the loopback address for as long as the runtime lives, and returns the
+/// address.
 async fn listen<F>(
     serve: impl Fn(tokio::net::TcpStream) -> F + Send + 'static,
 ) -> Result<std::net::SocketAddr>
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let listener =
-        tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.context("no free port on 127.0.0.1")?;
-    let address = listener.local_addr().context("no address of a listener")?;
+    let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0))
+        .await
+        .context("cannot listen on a port of 127.0.0.1")?;
+    let address = listener.local_addr().context("cannot read the address of the listener")?;
     tokio::spawn(async move {
         loop {
             match listener.accept().await {
-                Ok((tcp, _)) => {
-                    tcp.set_nodelay(true).ok();
-                    tokio::spawn(serve(tcp));
+                Ok((connection, _)) => {
+                    connection.set_nodelay(true).ok();
+                    tokio::spawn(serve(connection));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "cannot take a connection");
+                    tracing::warn!(%error, "cannot accept a connection");
                     sleep(Duration::from_millis(5)).await;
                 }
             }
--- a/emulator/src/real/balancer.rs
+++ b/emulator/src/real/balancer.rs
@@ -1,6 +1,6 @@
-//! A real balancer: its configuration, its start, its end.
+//! A real balancer process: configuration, start and end.
 
-use super::config::{Config, ListsCome};
+use super::config::{Config, ListDelivery};
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use http_body_util::Empty;
@@ -18,12 +18,12 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a balancer may take until it is ready: nine in ten are owed within 10 s.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
-/// Pause between two looks whether it is ready.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Time limit for a balancer to become ready. The requirement is 10 s for nine starts in ten.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The balancers' program, and the folder that holds their files.
+/// The balancer program, and the folder with the files of all balancers.
 pub struct Program<'a> {
     path: &'a Path,
     config: &'a Config,
@@ -31,64 +31,71 @@
     folder: TempDir,
 }
 
-/// The process of a balancer. Dropping it kills it.
+/// A balancer process, which is killed on drop.
 #[derive(Debug)]
 pub struct Balancer {
-    at: usize,
+    index: usize,
     child: Child,
-    process: u32,
+    process_id: u32,
     phase: Phase,
 }
 
-/// How far a process is.
+/// Lifecycle phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// Started, but not ready.
     Starting,
+    /// Ready.
     Serving,
-    /// It was told to end.
-    Leaving,
+    /// SIGTERM was sent.
+    Stopping,
 }
 
-/// A balancer that has been started, as its log and its address show it.
-pub struct Starting {
-    at: usize,
-    since: Instant,
+/// A balancer process that is not ready yet.
+pub struct StartingBalancer {
+    index: usize,
+    started_at: Instant,
     log: Lines<BufReader<ChildStderr>>,
 }
 
-/// A balancer that is ready.
+/// Address and startup time of a balancer that is ready.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct ReadyBalancer {
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// From the start of the process to the first 200 of `/healthz`.
-    pub after: Duration,
+    /// Time from the start of the process to the first 200 of `/healthz`.
+    pub startup_time: Duration,
 }
 
-/// The name of a class.
+/// Returns the name of a request class by its index.
 pub fn class_name(class: usize) -> String {
     format!("c-{class}")
 }
 
-/// The name of a zone.
+/// Returns the name of a zone by its index.
 pub fn zone_name(zone: usize) -> String {
     format!("z-{zone}")
 }
 
-/// What repeating a call of a class does.
+/// Idempotency of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// May be repeated freely.
     Safe,
+    /// May be repeated with an idempotency key.
     Keyed,
+    /// Must not be repeated.
     Unsafe,
 }
 
 impl Effect {
-    /// That of a class, by its number.
-    pub fn of(class: usize) -> Self {
+    /// Returns the idempotency of a request class: safe, keyed and unsafe in turn.
+    pub fn of_class(class: usize) -> Self {
         [Self::Safe, Self::Keyed, Self::Unsafe][class % 3]
     }
 
-    fn in_settings(self) -> &'static str {
+    /// Returns the value of the setting `Effect`.
+    fn settings_value(self) -> &'static str {
         match self {
             Self::Safe => "read_like",
             Self::Keyed => "idempotency_key",
@@ -98,144 +105,157 @@
 }
 
 impl<'a> Program<'a> {
+    /// Creates the folder for the files of the balancers.
     pub fn new(path: &'a Path, config: &'a Config, seed: u64) -> Result<Self> {
-        let folder = TempDir::with_prefix("fleet-emulator-").context("no folder for the balancers' files")?;
+        let folder = TempDir::with_prefix("fleet-emulator-")
+            .context("cannot create the folder for the balancers' files")?;
         Ok(Self { path, config, seed, folder })
     }
 
-    /// Starts the process of a balancer. `starts` counts those it had before, `known` is the list it last had.
+    /// Starts a balancer process. `restarts` counts the earlier processes of this balancer, `known_list` is the
+    /// endpoint list that the previous one has stored.
     pub fn start(
         &self,
-        at: usize,
-        starts: u64,
+        index: usize,
+        restarts: u64,
         discovery: SocketAddr,
-        known: Value,
-    ) -> Result<(Balancer, Starting)> {
-        let own = self.folder.path().join(format!("n{at}-{starts}"));
-        let scratch = own.join("tmp");
-        let file = own.join("config.json");
-        std::fs::create_dir_all(&scratch)
+        known_list: Value,
+    ) -> Result<(Balancer, StartingBalancer)> {
+        let balancer_folder = self.folder.path().join(format!("n{index}-{restarts}"));
+        let temporary_folder = balancer_folder.join("tmp");
+        let config_file = balancer_folder.join("config.json");
+        std::fs::create_dir_all(&temporary_folder)
             .and_then(|()| {
-                std::fs::write(&file, self.configuration(at, starts, discovery, known).to_string())
+                std::fs::write(
+                    &config_file,
+                    self.configuration(index, restarts, discovery, known_list).to_string(),
+                )
             })
-            .with_context(|| format!("{}", file.display()))?;
-        let since = Instant::now();
+            .with_context(|| format!("cannot write {}", config_file.display()))?;
+        let started_at = Instant::now();
         let mut child = Command::new(self.path)
             .env_clear()
-            .env("LB_NAME", format!("n{at}"))
-            .env("LB_CONFIG", file)
-            .env("TMPDIR", scratch)
+            .env("LB_NAME", format!("n{index}"))
+            .env("LB_CONFIG", config_file)
+            .env("TMPDIR", temporary_folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("cannot start {}", self.path.display()))?;
-        let log = BufReader::new(child.stderr.take().context("a balancer without a log")?).lines();
-        let process = child.id().context("a balancer without a number")?;
-        Ok((Balancer { at, child, process, phase: Phase::Starting }, Starting { at, since, log }))
+        let log =
+            BufReader::new(child.stderr.take().context("the standard error of a balancer is not piped")?)
+                .lines();
+        let process_id = child.id().context("a balancer has no process id")?;
+        Ok((
+            Balancer { index, child, process_id, phase: Phase::Starting },
+            StartingBalancer { index, started_at, log },
+        ))
     }
 
-    /// The configuration file, in the form that the deployment has.
-    fn configuration(&self, at: usize, starts: u64, discovery: SocketAddr, known: Value) -> Value {
-        const SECOND: u64 = 1_000_000_000;
+    /// Returns the configuration file, in the format used in deployments.
+    fn configuration(&self, index: usize, restarts: u64, discovery: SocketAddr, known_list: Value) -> Value {
+        const SECOND_NS: u64 = 1_000_000_000;
         let config = self.config;
         let deadline = config.deadline_ms * 1_000_000;
-        let class = |class: usize| {
-            json!({"Name": class_name(class), "Effect": Effect::of(class).in_settings(), "Group": "all",
-                "WindowNs": 60 * SECOND, "AimNs": deadline / 2, "DeadlineNs": deadline, "LateWorth": 0.5,
+        let class_settings = |class: usize| {
+            json!({"Name": class_name(class), "Effect": Effect::of_class(class).settings_value(), "Group": "all",
+                "WindowNs": 60 * SECOND_NS, "AimNs": deadline / 2, "DeadlineNs": deadline, "LateWorth": 0.5,
                 "Value": 1.0, "Stream": false})
         };
-        let lists = match config.lists {
-            ListsCome::Push => "push",
-            ListsCome::Ask => "ask",
+        let delivery = match config.lists {
+            ListDelivery::Push => "push",
+            ListDelivery::Ask => "ask",
         };
-        let seed: u64 = crate::seeded_rng(self.seed, (at as u64 + 1) << 16 | starts).random();
+        let seed: u64 = crate::seeded_rng(self.seed, (index as u64 + 1) << 16 | restarts).random();
         json!({
-            "name": format!("n{at}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+            "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": config.memory_mb, "sockets": config.sockets},
-            "known": known,
+            "known": known_list,
             "settings": {
-                "Classes": (0..config.classes).map(class).collect::<Vec<_>>(),
-                "Discovery": lists, "Layer": 0, "Layers": ["one"],
-                "Siblings": config.balancers, "Ordinal": at,
-                "Limits": {"Cancelling": true, "ConnIdleNs": 60 * SECOND, "ConnectTimeoutNs": SECOND,
-                    "RetryAfter": true, "MaxRetryAfterNs": SECOND, "TryLimit": config.attempts,
+                "Classes": (0..config.classes).map(class_settings).collect::<Vec<_>>(),
+                "Discovery": delivery, "Layer": 0, "Layers": ["one"],
+                "Siblings": config.balancers, "Ordinal": index,
+                "Limits": {"Cancelling": true, "ConnIdleNs": 60 * SECOND_NS, "ConnectTimeoutNs": SECOND_NS,
+                    "RetryAfter": true, "MaxRetryAfterNs": SECOND_NS, "TryLimit": config.attempts,
                     "MayDuplicate": true},
-                "Safety": {"AnswerSlackNs": 16_000_000, "DrainGraceNs": SECOND, "StartCapacity": 0.3,
-                    "TipMultiple": 2.5, "RampTimeNs": 8 * SECOND, "AskWithinNs": 6 * SECOND},
+                "Safety": {"AnswerSlackNs": 16_000_000, "DrainGraceNs": SECOND_NS, "StartCapacity": 0.3,
+                    "TipMultiple": 2.5, "RampTimeNs": 8 * SECOND_NS, "AskWithinNs": 6 * SECOND_NS},
                 "Tenants": [{"Name": "acme", "QuotaRps": 1e6, "Share": 1.0}],
-                "ValueBy": "request", "Zone": at % config.zones,
+                "ValueBy": "request", "Zone": index % config.zones,
                 "Zones": (0..config.zones).map(zone_name).collect::<Vec<_>>(),
             },
         })
     }
 }
 
-impl Starting {
-    /// Waits until it is ready.
-    pub async fn ready(self) -> Result<Ready> {
-        let (at, since) = (self.at, self.since);
-        match timeout(READY_PATIENCE, self.serves()).await {
-            Ok(address) => Ok(Ready { address: address?, after: since.elapsed() }),
-            Err(_) => bail!("balancer {at} is not ready after {READY_PATIENCE:?}"),
+impl StartingBalancer {
+    /// Waits until the balancer is ready.
+    pub async fn wait_until_ready(self) -> Result<ReadyBalancer> {
+        let (index, started_at) = (self.index, self.started_at);
+        match timeout(READY_TIMEOUT, self.wait_until_serving()).await {
+            Ok(address) => Ok(ReadyBalancer { address: address?, startup_time: started_at.elapsed() }),
+            Err(_) => bail!("balancer {index} is not ready after {READY_TIMEOUT:?}"),
         }
     }
 
-    async fn serves(self) -> Result<SocketAddr> {
-        let Self { at, mut log, .. } = self;
+    /// Reads the address from the log and waits until `/healthz` answers 200.
+    async fn wait_until_serving(self) -> Result<SocketAddr> {
+        let Self { index, mut log, .. } = self;
         let line = log.next_line().await.ok().flatten().unwrap_or_default();
         let address = line.split_once("listening on ").and_then(|(_, address)| address.trim().parse().ok());
-        let Some(address) = address else { bail!("balancer {at} did not start: {line}") };
-        let ended = pass_on(at, log);
-        let is_ready = async {
+        let Some(address) = address else { bail!("balancer {index} did not start: {line}") };
+        let log_forwarding = forward_log(index, log);
+        let ready = async {
             while !is_ready(address).await.unwrap_or(false) {
-                sleep(LOOK_EVERY).await;
+                sleep(READY_POLL_INTERVAL).await;
             }
         };
-        let mut ended = tokio::spawn(ended);
+        let mut log_forwarding = tokio::spawn(log_forwarding);
         tokio::select! {
             biased;
-            () = is_ready => Ok(address),
-            _ = &mut ended => bail!("balancer {at} ended before it was ready"),
+            () = ready => Ok(address),
+            _ = &mut log_forwarding => bail!("balancer {index} closed its log before it was ready"),
         }
     }
 }
 
-/// Whether a balancer's `/healthz` answers 200. It takes no connection before the first list.
+/// Returns whether `/healthz` answers 200. The balancer accepts no connection before it has an endpoint list.
 async fn is_ready(address: SocketAddr) -> Result<bool> {
-    let tcp = TcpStream::connect(address).await?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(tcp)).await?;
-    let serving = tokio::spawn(connection);
+    let stream = TcpStream::connect(address).await?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let connection_task = tokio::spawn(connection);
     let request = Request::get("/healthz").header("Host", "balancer").body(Empty::<Bytes>::new())?;
-    let status = sender.send_request(request).await.map(|answer| answer.status());
-    serving.abort();
+    let status = sender.send_request(request).await.map(|response| response.status());
+    connection_task.abort();
     Ok(status?.is_success())
 }
 
-/// Passes its log on until it ends, as it does with the process.
-async fn pass_on(at: usize, mut log: Lines<BufReader<ChildStderr>>) {
+/// Forwards the log of a balancer to the own log until it is closed, at the latest when the process exits.
+async fn forward_log(index: usize, mut log: Lines<BufReader<ChildStderr>>) {
     while let Ok(Some(line)) = log.next_line().await {
-        tracing::info!(balancer = at, "{line}");
+        tracing::info!(balancer = index, "{line}");
     }
 }
 
 impl Balancer {
-    pub fn process(&self) -> u32 {
-        self.process
+    /// Returns the process id.
+    pub fn process_id(&self) -> u32 {
+        self.process_id
     }
 
-    /// It is ready, and from now on may not end by itself.
-    pub fn serves(&mut self) {
+    /// Marks the balancer as ready; from now on an exit without SIGTERM is an error.
+    pub fn mark_serving(&mut self) {
         self.phase = Phase::Serving;
     }
 
-    /// Fails if it has ended by itself.
-    pub fn check(&mut self) -> Result<()> {
-        match self.child.try_wait().context("cannot look at a balancer")? {
+    /// Fails if the balancer was ready and has exited without SIGTERM.
+    pub fn check_running(&mut self) -> Result<()> {
+        match self.child.try_wait().context("cannot read the exit status of a balancer")? {
             Some(status) if self.phase == Phase::Serving => {
-                bail!("balancer {} ended by itself: {status}", self.at)
+                bail!("balancer {} exited without SIGTERM: {status}", self.index)
             }
             _ => Ok(()),
         }
@@ -243,20 +263,20 @@
 
     /// Sends SIGTERM.
     pub fn terminate(&mut self) {
-        self.phase = Phase::Leaving;
-        // Not reaped yet, so the number is still its own.
-        let process = self.child.id().and_then(|id| rustix::process::Pid::from_raw(id.cast_signed()));
-        if let Some(process) = process {
-            rustix::process::kill_process(process, rustix::process::Signal::TERM).ok();
+        self.phase = Phase::Stopping;
+        // The process has not been reaped, so its id has not been reused.
+        let process_id = self.child.id().and_then(|id| rustix::process::Pid::from_raw(id.cast_signed()));
+        if let Some(process_id) = process_id {
+            rustix::process::kill_process(process_id, rustix::process::Signal::TERM).ok();
         }
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits for its exit.
     pub async fn kill(&mut self) {
         self.child.kill().await.ok();
     }
--- a/emulator/src/real/client.rs
+++ b/emulator/src/real/client.rs
@@ -1,10 +1,10 @@
-//! Clients in an open loop: a call is due at its time, whatever became of those before it, and its time runs from
-//! then on. So a balancer that stalls is not spared the calls it kept from being sent.
+//! Open-loop clients: each request is due at its own time, independent of earlier requests, and its latency is measured
+//! from that time. A stalled balancer thus also pays for the requests that it delayed.
 
 use super::balancer::{Effect, class_name};
 use super::config::Config;
 use super::pool::Pool;
-use super::upstream::DIRECT;
+use super::upstream::DIRECT_HEADER;
 use crate::{lock, seeded_rng};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -20,82 +20,86 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How much longer than its deadline a client waits for an answer: every limit on sockets is longer by this.
-const SLACK: Duration = Duration::from_millis(50);
-/// Calls that may be open at a time, at most.
-const MOST_OPEN: usize = 4096;
-/// Descriptors of this process that are for no call.
-const OTHER_DESCRIPTORS: u64 = 256;
-/// Descriptors that a call may take in this process: its own, those of its attempts, one that is just closed.
-const DESCRIPTORS: u64 = 4;
-/// Bounds of the times that are recorded, in nanoseconds, and the digits that count.
-const RECORDED: (u64, u64, u8) = (1_000, 120_000_000_000, 3);
+/// Time beyond the deadline for which a client waits for a response; all socket time limits include it.
+const DEADLINE_SLACK: Duration = Duration::from_millis(50);
+/// Maximum number of open requests.
+const MAX_OPEN_REQUESTS: usize = 4096;
+/// File descriptors of this process that are not used for requests.
+const RESERVED_DESCRIPTORS: u64 = 256;
+/// File descriptors that one request may use in this process: its own, those of its attempts, and one just closed.
+const DESCRIPTORS_PER_REQUEST: u64 = 4;
+/// Minimum and maximum of the recorded latencies in nanoseconds, and their significant digits.
+const RECORDED_LATENCIES: (u64, u64, u8) = (1_000, 120_000_000_000, 3);
 
-/// Spreads the calls over the balancers that it knows to be in use.
+/// Distributes requests over the balancers that are in use, in turn.
 pub struct Front {
     balancers: Mutex<Vec<Option<SocketAddr>>>,
-    next: AtomicUsize,
+    next_index: AtomicUsize,
     pool: Pool,
 }
 
 impl Front {
+    /// Creates a front for the balancers with these addresses.
     pub fn new(balancers: Vec<Option<SocketAddr>>) -> Self {
-        Self { balancers: Mutex::new(balancers), next: AtomicUsize::new(0), pool: Pool::default() }
+        Self { balancers: Mutex::new(balancers), next_index: AtomicUsize::new(0), pool: Pool::default() }
     }
 
-    /// A balancer is put to use.
-    pub fn admit(&self, at: usize, address: SocketAddr) {
-        lock(&self.balancers)[at] = Some(address);
+    /// Adds a balancer to the rotation.
+    pub fn add(&self, index: usize, address: SocketAddr) {
+        lock(&self.balancers)[index] = Some(address);
     }
 
-    /// A balancer is found to be gone.
-    pub fn remove(&self, at: usize) {
-        let address = lock(&self.balancers)[at].take();
+    /// Removes a balancer from the rotation and closes the idle connections to it.
+    pub fn remove(&self, index: usize) {
+        let address = lock(&self.balancers)[index].take();
         if let Some(address) = address {
-            self.pool.forget(address);
+            self.pool.remove(address);
         }
     }
 
-    fn next(&self) -> Option<SocketAddr> {
+    /// Returns the address of the next balancer in turn.
+    fn next_balancer(&self) -> Option<SocketAddr> {
         let balancers = lock(&self.balancers);
-        let turn = self.next.fetch_add(1, Ordering::Relaxed);
-        let in_turn = (0..balancers.len()).map(|more| balancers[(turn + more) % balancers.len()]);
+        let turn = self.next_index.fetch_add(1, Ordering::Relaxed);
+        let in_turn = (0..balancers.len()).map(|offset| balancers[(turn + offset) % balancers.len()]);
         in_turn.flatten().next()
     }
 }
 
-/// What became of the measured calls of one kind.
+/// Counts of the measured requests on one route, by outcome.
 #[derive(Debug)]
 pub struct Tally {
+    /// Sent, whatever the outcome.
     pub sent: u64,
+    /// Answered with 200.
     pub served: u64,
     /// Answered with 429 or 503.
     pub refused: u64,
-    /// All other ends, and none.
+    /// Other errors and timeouts.
     pub failed: u64,
-    /// Due while too many were open; a limit of the clients, not of what they call.
+    /// Skipped because too many requests were open: a limit of the clients, not of the balancers or upstreams.
     pub not_sent: u64,
-    /// Times of the served ones, in nanoseconds, from when each was due to its last byte.
-    pub times: Histogram<u64>,
+    /// Latencies of the served requests in nanoseconds, from the due time to the last byte.
+    pub latencies: Histogram<u64>,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        let (least, most, digits) = RECORDED;
-        let mut times = Histogram::new_with_bounds(least, most, digits)
+        let (min, max, digits) = RECORDED_LATENCIES;
+        let mut latencies = Histogram::new_with_bounds(min, max, digits)
             .or_else(|_| Histogram::new(digits))
-            .expect("three digits are allowed");
-        times.auto(true);
-        Self { sent: 0, served: 0, refused: 0, failed: 0, not_sent: 0, times }
+            .expect("the histogram accepts three significant digits");
+        latencies.auto(true);
+        Self { sent: 0, served: 0, refused: 0, failed: 0, not_sent: 0, latencies }
     }
 }
 
-/// The tallies of a run.
+/// Counts of a run by route.
 #[derive(Debug, Default)]
 pub struct Tallies {
-    /// Calls through the balancers.
+    /// Requests through the balancers.
     pub balanced: Tally,
-    /// Calls straight to the upstreams.
+    /// Requests sent directly to the upstreams.
     pub direct: Tally,
 }
 
@@ -106,39 +110,47 @@
     shared: Arc<Shared>,
 }
 
+/// State shared by the arrival threads and the requests.
 struct Shared {
     front: Arc<Front>,
     upstreams: Vec<SocketAddr>,
     direct_pool: Pool,
     next_upstream: AtomicUsize,
     next_id: AtomicU64,
-    open: AtomicUsize,
-    most_open: usize,
-    ended: Notify,
+    open_requests: AtomicUsize,
+    max_open_requests: usize,
+    request_ended: Notify,
     body: Bytes,
     deadline: Duration,
     tallies: Mutex<Tallies>,
 }
 
+/// Route of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Path {
+enum Route {
+    /// Through a balancer.
     Balanced,
+    /// Directly to an upstream.
     Direct,
 }
 
 impl<'a> Clients<'a> {
+    /// Creates the clients. The limit of open requests follows from this process's limit of file descriptors.
     pub fn new(config: &'a Config, seed: u64, front: Arc<Front>, upstreams: Vec<SocketAddr>) -> Self {
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-        let most_open = descriptors.saturating_sub(OTHER_DESCRIPTORS + upstreams.len() as u64) / DESCRIPTORS;
+        let max_open_requests = descriptors.saturating_sub(RESERVED_DESCRIPTORS + upstreams.len() as u64)
+            / DESCRIPTORS_PER_REQUEST;
         let shared = Shared {
             front,
             upstreams,
             direct_pool: Pool::default(),
             next_upstream: AtomicUsize::new(0),
             next_id: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
-            most_open: usize::try_from(most_open).unwrap_or(usize::MAX).clamp(16, MOST_OPEN),
-            ended: Notify::new(),
+            open_requests: AtomicUsize::new(0),
+            max_open_requests: usize::try_from(max_open_requests)
+                .unwrap_or(usize::MAX)
+                .clamp(16, MAX_OPEN_REQUESTS),
+            request_ended: Notify::new(),
             body: Bytes::from(vec![b'q'; config.body_bytes]),
             deadline: config.deadline(),
             tallies: Mutex::default(),
@@ -146,16 +158,16 @@
         Self { config, seed, shared: Arc::new(shared) }
     }
 
-    /// Sends calls for so long, and waits until all have ended.
+    /// Sends requests for `length`, then waits until all have ended.
     pub async fn send_requests(&self, length: Duration, measured: bool) {
         let stop = StopOnDrop::default();
         let start = Instant::now();
-        for (path, rate) in [(Path::Balanced, self.config.rate), (Path::Direct, self.config.direct_rate)] {
+        for (route, rate) in [(Route::Balanced, self.config.rate), (Route::Direct, self.config.direct_rate)] {
             let arrivals = Arrivals {
                 shared: self.shared.clone(),
                 runtime: tokio::runtime::Handle::current(),
                 stop: stop.0.clone(),
-                path,
+                route,
                 rate,
                 seed: self.seed,
                 classes: self.config.classes,
@@ -167,19 +179,20 @@
         }
         tokio::time::sleep(length).await;
         let all_ended = async {
-            while self.shared.open.load(Ordering::Acquire) > 0 {
-                self.shared.ended.notified().await;
+            while self.shared.open_requests.load(Ordering::Acquire) > 0 {
+                self.shared.request_ended.notified().await;
             }
         };
-        timeout(self.shared.deadline + 2 * SLACK, all_ended).await.ok();
+        timeout(self.shared.deadline + 2 * DEADLINE_SLACK, all_ended).await.ok();
     }
 
+    /// Locks the counts of the measured requests.
     pub fn tallies(&self) -> std::sync::MutexGuard<'_, Tallies> {
         lock(&self.shared.tallies)
     }
 }
 
-/// Ends the threads of arrivals when their caller is dropped.
+/// Stops the arrival threads when the future that started them is dropped.
 #[derive(Default)]
 struct StopOnDrop(Arc<AtomicBool>);
 
@@ -189,12 +202,13 @@
     }
 }
 
-/// A Poisson process of calls, on a thread of its own: the runtime's timers are too coarse to compare times with.
+/// Poisson arrivals of requests. They run on their own thread, because the runtime's timers are too coarse for the
+/// latencies that are compared.
 struct Arrivals {
     shared: Arc<Shared>,
     runtime: tokio::runtime::Handle,
     stop: Arc<AtomicBool>,
-    path: Path,
+    route: Route,
     rate: f64,
     seed: u64,
     classes: usize,
@@ -202,12 +216,13 @@
 }
 
 impl Arrivals {
+    /// Starts requests at random times until `length` after `start`.
     fn run(self, start: Instant, length: Duration) {
-        let Ok(gaps) = Exp::new(self.rate) else { return };
-        let mut random = seeded_rng(self.seed, 4 + self.path as u64 + 2 * u64::from(self.measured));
+        let Ok(intervals) = Exp::new(self.rate) else { return };
+        let mut rng = seeded_rng(self.seed, 4 + self.route as u64 + 2 * u64::from(self.measured));
         let mut due = Duration::ZERO;
         loop {
-            due += Duration::from_secs_f64(random.sample::<f64, _>(gaps).min(1e6));
+            due += Duration::from_secs_f64(rng.sample::<f64, _>(intervals).min(1e6));
             if due >= length {
                 return;
             }
@@ -215,58 +230,59 @@
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
-            let class = random.random_range(0..self.classes);
-            let (shared, path, measured) = (self.shared.clone(), self.path, self.measured);
-            if shared.open.fetch_add(1, Ordering::AcqRel) >= shared.most_open {
-                shared.end(path, measured, |tally| tally.not_sent += 1);
+            let class = rng.random_range(0..self.classes);
+            let (shared, route, measured) = (self.shared.clone(), self.route, self.measured);
+            if shared.open_requests.fetch_add(1, Ordering::AcqRel) >= shared.max_open_requests {
+                shared.finish(route, measured, |tally| tally.not_sent += 1);
                 continue;
             }
             let due = start + due;
-            self.runtime.spawn(async move { shared.call(path, class, due, measured).await });
+            self.runtime.spawn(async move { shared.execute(route, class, due, measured).await });
         }
     }
 }
 
 impl Shared {
-    /// A call has ended, or is not begun.
-    fn end(&self, path: Path, measured: bool, count: impl FnOnce(&mut Tally)) {
+    /// Counts a request that has ended or was skipped.
+    fn finish(&self, route: Route, measured: bool, update: impl FnOnce(&mut Tally)) {
         if measured {
             let mut tallies = lock(&self.tallies);
-            count(match path {
-                Path::Balanced => &mut tallies.balanced,
-                Path::Direct => &mut tallies.direct,
+            update(match route {
+                Route::Balanced => &mut tallies.balanced,
+                Route::Direct => &mut tallies.direct,
             });
         }
-        if self.open.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.ended.notify_one();
+        if self.open_requests.fetch_sub(1, Ordering::AcqRel) == 1 {
+            self.request_ended.notify_one();
         }
     }
 
-    async fn call(&self, path: Path, class: usize, due: Instant, measured: bool) {
-        let status = match self.request(path, class) {
+    /// Sends a request, waits for its response and counts the outcome.
+    async fn execute(&self, route: Route, class: usize, due: Instant, measured: bool) {
+        let status = match self.build_request(route, class) {
             None => None,
             Some((address, request)) => {
-                let pool = match path {
-                    Path::Balanced => &self.front.pool,
-                    Path::Direct => &self.direct_pool,
+                let pool = match route {
+                    Route::Balanced => &self.front.pool,
+                    Route::Direct => &self.direct_pool,
                 };
-                let until = (due + self.deadline + SLACK).into();
-                tokio::time::timeout_at(until, pool.send(address, request)).await.ok()
+                let give_up_at = (due + self.deadline + DEADLINE_SLACK).into();
+                tokio::time::timeout_at(give_up_at, pool.send(address, request)).await.ok()
             }
         };
-        let taken = due.elapsed();
+        let elapsed = due.elapsed();
         match &status {
             Some(Ok(StatusCode::OK)) => {}
-            Some(Ok(status)) => tracing::debug!(%status, class, ?taken, "call not served"),
-            Some(Err(error)) => tracing::debug!(%error, class, ?taken, "call failed"),
-            None => tracing::debug!(class, ?taken, "call not answered"),
+            Some(Ok(status)) => tracing::debug!(%status, class, ?elapsed, "request not served"),
+            Some(Err(error)) => tracing::debug!(%error, class, ?elapsed, "request failed"),
+            None => tracing::debug!(class, ?elapsed, "request not answered in time"),
         }
-        self.end(path, measured, |tally| {
+        self.finish(route, measured, |tally| {
             tally.sent += 1;
             match status {
                 Some(Ok(StatusCode::OK)) => {
                     tally.served += 1;
-                    tally.times.saturating_record(u64::try_from(taken.as_nanos()).unwrap_or(u64::MAX));
+                    tally.latencies.saturating_record(u64::try_from(elapsed.as_nanos()).unwrap_or(u64::MAX));
                 }
                 Some(Ok(StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)) => {
                     tally.refused += 1
@@ -276,16 +292,16 @@
         });
     }
 
-    /// Where a call goes, and what it says; `None` where there is nobody to call.
-    fn request(&self, path: Path, class: usize) -> Option<(SocketAddr, Request<Full<Bytes>>)> {
-        let address = match path {
-            Path::Balanced => self.front.next()?,
-            Path::Direct => {
+    /// Builds a request and selects its destination; `None` if no balancer is in use.
+    fn build_request(&self, route: Route, class: usize) -> Option<(SocketAddr, Request<Full<Bytes>>)> {
+        let address = match route {
+            Route::Balanced => self.front.next_balancer()?,
+            Route::Direct => {
                 let next = self.next_upstream.fetch_add(1, Ordering::Relaxed);
                 *self.upstreams.get(next % self.upstreams.len())?
             }
         };
-        let effect = Effect::of(class);
+        let effect = Effect::of_class(class);
         let id = format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let name = class_name(class);
         let mut request = Request::builder()
@@ -299,8 +315,8 @@
         if effect == Effect::Keyed {
             request = request.header("Idempotency-Key", format!("{id}{id}"));
         }
-        if path == Path::Direct {
-            request = request.header(DIRECT, "1");
+        if route == Route::Direct {
+            request = request.header(DIRECT_HEADER, "1");
         }
         let body = if effect == Effect::Safe { Bytes::new() } else { self.body.clone() };
         Some((address, request.body(Full::new(body)).ok()?))
--- a/emulator/src/real/config.rs
+++ b/emulator/src/real/config.rs
@@ -1,101 +1,105 @@
-//! The `[real]` table of a scenario.
+//! Configuration of a real run: the `[real]` table of a scenario.
 
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Most balancers of a run, and most processes that a run may have.
-const MOST_BALANCERS: usize = 32;
-const MOST_TARGETS: usize = 1024;
-const MOST_CLASSES: usize = 1024;
-/// Memory that all balancers may have together, in MB.
-pub(super) const MOST_MEMORY: usize = 12_000;
-/// Calls of a run, direct ones included: bounds the request loop.
-const MOST_CALLS: f64 = 10e6;
-/// Length of a phase, in seconds.
-const MOST_SECONDS: f64 = 600.0;
+/// Maximum number of balancers, and so of processes.
+const MAX_BALANCERS: usize = 32;
+/// Maximum number of upstreams.
+const MAX_TARGETS: usize = 1024;
+/// Maximum number of request classes.
+const MAX_CLASSES: usize = 1024;
+/// Maximum memory of all balancers together, in MB.
+pub(super) const MAX_MEMORY_MB: usize = 12_000;
+/// Maximum number of requests of a run, including direct ones; bounds the request loop.
+const MAX_REQUESTS: f64 = 10e6;
+/// Maximum length of a phase, in seconds.
+const MAX_PHASE_S: f64 = 600.0;
 
-/// What is started, and what it goes through. Times are in seconds unless the name says otherwise.
+/// Configuration of a real run. Times are in seconds unless the name says otherwise.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// Real balancers, 1 to 32.
+    /// Number of balancers, 1 to 32.
     pub balancers: usize,
-    /// Upstreams that discovery lists to each of them.
+    /// Number of upstreams that discovery lists to each balancer.
     pub targets: usize,
-    /// Request classes: safe, keyed and unsafe in turn.
+    /// Number of request classes: safe, keyed and unsafe in turn.
     pub classes: usize,
-    /// Zones, to which balancers and upstreams belong in turn.
+    /// Number of zones, to which balancers and upstreams belong in turn.
     pub zones: usize,
-    /// Calls a second through all balancers together.
+    /// Requests per second through all balancers together.
     pub rate: f64,
-    /// Calls a second that go to the upstreams directly, to compare with.
+    /// Requests per second sent directly to the upstreams, as a baseline.
     pub direct_rate: f64,
-    /// Changes of the list a second.
+    /// Changes of the endpoint list per second.
     pub change_rate: f64,
-    /// How long calls go on before anything is measured.
+    /// Length of the warm-up, in which requests are not measured.
     pub warmup_s: f64,
-    /// How long control alone is measured, without calls.
+    /// Length of the phase in which control traffic is measured without requests.
     pub idle_s: f64,
-    /// How long calls are measured.
+    /// Length of the phase in which requests are measured.
     pub load_s: f64,
-    /// How long an upstream takes over a call, in whole milliseconds.
+    /// Service time of an upstream, in whole milliseconds.
     pub service_ms: u64,
-    /// Part of the calls that an upstream answers with an error.
+    /// Fraction of requests that an upstream answers with an error.
     pub error_share: f64,
-    /// Bytes of an answer, and of the body of a call that has one.
+    /// Size of a response body, and of a request body where the class has one, in bytes.
     pub body_bytes: usize,
-    /// How long a client waits, in milliseconds.
+    /// Time that clients wait for a response, in milliseconds.
     pub deadline_ms: u64,
-    /// How lists come to the balancers.
-    pub lists: ListsCome,
-    /// Attempts at most for one call.
+    /// How endpoint lists reach the balancers.
+    pub lists: ListDelivery,
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
     /// Memory limit of a balancer, in MB.
     pub memory_mb: usize,
-    /// Limit on a balancer's file descriptors.
+    /// Limit of a balancer's file descriptors.
     pub sockets: usize,
-    /// Threads that upstreams, clients and discovery share.
+    /// Number of threads that upstreams, clients and discovery share.
     pub threads: usize,
-    pub discovery_down: Option<DiscoveryDown>,
+    /// Outage of discovery, if there is one.
+    pub discovery_down: Option<DiscoveryOutage>,
+    /// Restart of all balancers, if there is one.
     pub rolling_restart: Option<RollingRestart>,
 }
 
-/// How lists come to a balancer.
+/// How endpoint lists reach a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListsCome {
-    /// An agent beside it has them at once.
+pub enum ListDelivery {
+    /// Pushed to an agent beside the balancer.
     Push,
-    /// It asks for them.
+    /// Requested by the balancer.
     Ask,
 }
 
-/// Discovery falls silent for a while.
+/// Temporary outage of discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DiscoveryDown {
-    /// Seconds after the measured calls begin.
+pub struct DiscoveryOutage {
+    /// Start, in seconds after the start of the measured requests.
     pub at_s: f64,
-    /// Seconds that it lasts.
+    /// Length, in seconds.
     pub for_s: f64,
 }
 
-/// Each balancer is stopped by SIGTERM and replaced, one after another.
+/// Restart of all balancers, one after another: each is stopped by SIGTERM and replaced.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RollingRestart {
-    /// Seconds after the measured calls begin.
+    /// Start, in seconds after the start of the measured requests.
     pub at_s: f64,
-    /// Seconds between one that is ready and the next that is stopped.
+    /// Pause between the readiness of a new balancer and the stop of the next, in seconds.
     #[serde(default)]
     pub pause_s: f64,
-    /// Seconds for which the front still sends to one that was told to stop.
-    #[serde(default = "front_lag")]
+    /// Time for which the front still sends requests to a balancer that is being stopped, in seconds.
+    #[serde(default = "default_front_lag")]
     pub front_lag_s: f64,
 }
 
-/// The front of the protocol takes 0.2 to 0.4 s.
-fn front_lag() -> f64 {
+/// Default of `front_lag_s`: the front of the protocol takes 0.2 to 0.4 s to notice.
+fn default_front_lag() -> f64 {
     0.3
 }
 
@@ -116,7 +120,7 @@
             error_share: 0.0,
             body_bytes: 256,
             deadline_ms: 1000,
-            lists: ListsCome::Push,
+            lists: ListDelivery::Push,
             attempts: 3,
             memory_mb: 192,
             sockets: 1024,
@@ -128,91 +132,96 @@
 }
 
 impl Config {
-    /// Refuses figures that make no sense or that this machine is not for; the error names the key.
+    /// Refuses values that are invalid or exceed the limits of a run; the error names the key.
     pub fn check(&self) -> Result<(), String> {
-        let counts = [
-            ("balancers", self.balancers, 1, MOST_BALANCERS),
-            ("targets", self.targets, 1, MOST_TARGETS),
-            ("classes", self.classes, 1, MOST_CLASSES),
+        let count_limits = [
+            ("balancers", self.balancers, 1, MAX_BALANCERS),
+            ("targets", self.targets, 1, MAX_TARGETS),
+            ("classes", self.classes, 1, MAX_CLASSES),
             ("zones", self.zones, 1, 64),
             ("body_bytes", self.body_bytes, 0, 64 << 10),
             ("attempts", self.attempts as usize, 1, 16),
-            ("memory_mb", self.memory_mb, 32, MOST_MEMORY),
+            ("memory_mb", self.memory_mb, 32, MAX_MEMORY_MB),
             ("sockets", self.sockets, 128, 1 << 16),
             ("threads", self.threads, 1, 64),
             ("deadline_ms", usize::try_from(self.deadline_ms).unwrap_or(usize::MAX), 10, 60_000),
             ("service_ms", usize::try_from(self.service_ms).unwrap_or(usize::MAX), 0, 60_000),
         ];
-        for (key, value, least, most) in counts {
-            if !(least..=most).contains(&value) {
-                return Err(format!("`{key}` is {value}, not {least} to {most}"));
+        for (key, value, min, max) in count_limits {
+            if !(min..=max).contains(&value) {
+                return Err(format!("`{key}` is {value}, not {min} to {max}"));
             }
         }
-        let figures = [
+        let limits = [
             ("rate", self.rate, 100_000.0),
             ("direct_rate", self.direct_rate, 100_000.0),
             ("change_rate", self.change_rate, 1000.0),
-            ("warmup_s", self.warmup_s, MOST_SECONDS),
-            ("idle_s", self.idle_s, MOST_SECONDS),
-            ("load_s", self.load_s, MOST_SECONDS),
+            ("warmup_s", self.warmup_s, MAX_PHASE_S),
+            ("idle_s", self.idle_s, MAX_PHASE_S),
+            ("load_s", self.load_s, MAX_PHASE_S),
             ("error_share", self.error_share, 1.0),
         ];
-        within("", &figures)?;
-        let seconds = |table: &str, figures: &[(&str, f64)]| {
-            let figures: Vec<_> = figures.iter().map(|&(key, value)| (key, value, self.load_s)).collect();
-            within(table, &figures)
+        check_limits("", &limits)?;
+        let check_seconds = |table: &str, limits: &[(&str, f64)]| {
+            let limits: Vec<_> = limits.iter().map(|&(key, value)| (key, value, self.load_s)).collect();
+            check_limits(table, &limits)
         };
-        if let Some(down) = &self.discovery_down {
-            seconds("discovery_down.", &[("at_s", down.at_s), ("for_s", down.for_s)])?;
+        if let Some(outage) = &self.discovery_down {
+            check_seconds("discovery_down.", &[("at_s", outage.at_s), ("for_s", outage.for_s)])?;
         }
         if let Some(restart) = &self.rolling_restart {
-            let figures =
+            let limits =
                 [("at_s", restart.at_s), ("pause_s", restart.pause_s), ("front_lag_s", restart.front_lag_s)];
-            seconds("rolling_restart.", &figures)?;
+            check_seconds("rolling_restart.", &limits)?;
             if self.balancers < 2 {
-                return Err("`balancers` is 1: nobody would serve during `rolling_restart`".into());
+                return Err("`balancers` is 1: no balancer would serve during `rolling_restart`".into());
             }
         }
-        if self.balancers * self.memory_mb > MOST_MEMORY {
+        if self.balancers * self.memory_mb > MAX_MEMORY_MB {
             return Err(format!(
-                "`memory_mb` is {}: {} balancers may hold more than {MOST_MEMORY} MB together",
+                "`memory_mb` is {}: {} balancers may use more than {MAX_MEMORY_MB} MB together",
                 self.memory_mb, self.balancers
             ));
         }
         if self.change_rate > 0.0 && self.targets < 2 {
-            return Err(format!("`targets` is {}: there is nothing to change", self.targets));
+            return Err(format!("`targets` is {}: with `change_rate`, at least 2 are needed", self.targets));
         }
-        if (self.rate + self.direct_rate) * (self.warmup_s + self.load_s) > MOST_CALLS {
-            return Err(format!("`rate` is {}: more than {MOST_CALLS} calls in all", self.rate));
+        if (self.rate + self.direct_rate) * (self.warmup_s + self.load_s) > MAX_REQUESTS {
+            return Err(format!("`rate` is {}: more than {MAX_REQUESTS} requests in total", self.rate));
         }
         Ok(())
     }
 
-    /// Upstreams that may drain at a time.
-    pub(super) fn most_draining(&self) -> usize {
+    /// Returns the maximum number of upstreams that drain at a time.
+    pub(super) fn max_draining(&self) -> usize {
         (self.targets / 4).max(1)
     }
 
+    /// Returns the length of the warm-up.
     pub(super) fn warmup(&self) -> Duration {
         Duration::from_secs_f64(self.warmup_s)
     }
 
+    /// Returns the length of the phase without requests.
     pub(super) fn idle(&self) -> Duration {
         Duration::from_secs_f64(self.idle_s)
     }
 
+    /// Returns the length of the phase with measured requests.
     pub(super) fn load(&self) -> Duration {
         Duration::from_secs_f64(self.load_s)
     }
 
+    /// Returns the time that clients wait for a response.
     pub(super) fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 }
 
-fn within(table: &str, figures: &[(&str, f64, f64)]) -> Result<(), String> {
-    match figures.iter().find(|(_, value, most)| !(0.0..=*most).contains(value)) {
-        Some((key, value, most)) => Err(format!("`{table}{key}` is {value}, not 0 to {most}")),
+/// Checks that each value is between 0 and its maximum; the error names the key within `table`.
+fn check_limits(table: &str, limits: &[(&str, f64, f64)]) -> Result<(), String> {
+    match limits.iter().find(|(_, value, max)| !(0.0..=*max).contains(value)) {
+        Some((key, value, max)) => Err(format!("`{table}{key}` is {value}, not 0 to {max}")),
         None => Ok(()),
     }
 }
--- a/emulator/src/real/discovery.rs
+++ b/emulator/src/real/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery and the agents on the balancers' machines: one address for each balancer, one list.
+//! Emulated discovery, including the agents beside the balancers: one address per balancer, one list for all.
 
 use super::balancer::zone_name;
 use super::listen;
@@ -23,261 +23,283 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-/// The longest wait of a watch.
-const MOST_WAIT: Duration = Duration::from_secs(60);
-/// Version of the first list.
-const FIRST: u64 = 1;
+/// Maximum wait of a watch.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// Version of the initial list.
+const FIRST_VERSION: u64 = 1;
 
-/// An upstream as it is listed.
+/// Address and zone of an upstream in the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedUpstream {
+    /// Address of the upstream.
     pub endpoint: SocketAddr,
+    /// Index of its zone.
     pub zone: usize,
 }
 
-/// The service, and what its callers have cost.
+/// The discovery service, which also measures its traffic and the propagation of changes.
 pub struct Discovery {
     shared: Arc<Shared>,
-    agents: Vec<SocketAddr>,
+    agent_addresses: Vec<SocketAddr>,
 }
 
+/// State shared by the listeners.
 struct Shared {
     state: Mutex<State>,
-    /// Changes whenever a watch may have something to tell.
+    /// Notified whenever the list, its availability or the propagation of a change may have changed.
     changed: watch::Sender<()>,
     meters: Vec<Meter>,
 }
 
+/// The list and the propagation of its changes.
 struct State {
     rev: u64,
     targets: Vec<Target>,
     down: bool,
-    /// Changes that someone was missing when it came up again.
-    kept_back: usize,
+    /// Number of changes that an outage has delayed for some balancer.
+    delayed_changes: usize,
     /// One for each version after the first.
     changes: Vec<Change>,
     subscribers: Vec<Subscriber>,
 }
 
+/// Entry of the list.
 struct Target {
-    listed: Listed,
+    upstream: ListedUpstream,
     draining: bool,
-    /// Version of its last change.
+    /// Version of the last change of this upstream.
     rev: u64,
 }
 
 /// A change of the list.
 struct Change {
-    /// When discovery had it and could be reached.
-    since: Instant,
-    /// Balancers that have not taken it.
-    missing: usize,
-    /// Time until the last of them had.
+    /// Time of the change, or of the end of the outage that delayed it.
+    available_since: Instant,
+    /// Number of balancers that have not acknowledged the change.
+    pending_balancers: usize,
+    /// Time until the last balancer acknowledged the change.
     propagation_delay: Option<Duration>,
 }
 
-/// What a balancer has.
+/// Version known to a balancer.
 #[derive(Clone, Default)]
 struct Subscriber {
-    /// The version it last asked beyond.
+    /// Highest version acknowledged by the balancer, which requests what is newer.
     rev: u64,
-    /// Changes beyond this version are counted, if it is to follow at all.
-    counted_from: Option<u64>,
+    /// The propagation of changes after this version is tracked; `None` while the balancer is not tracked.
+    tracked_from: Option<u64>,
 }
 
-/// What a balancer's calls have cost, since the beginning.
+/// Counters of a balancer's control traffic since the start.
 #[derive(Clone, Debug, Default)]
 struct Meter {
     bytes: Arc<AtomicU64>,
     requests: Arc<AtomicU64>,
 }
 
-/// What control has cost one balancer, since the beginning.
+/// Control traffic of one balancer since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cost {
-    /// Bytes on the connections, both ways, without what TCP adds.
+pub struct ControlTraffic {
+    /// Bytes in both directions, without the overhead of TCP.
     pub bytes: u64,
+    /// Number of requests.
     pub requests: u64,
 }
 
 impl Discovery {
-    /// Listens for so many balancers.
-    pub async fn start(balancers: usize, listed: Vec<Listed>) -> Result<Self> {
-        let targets =
-            listed.into_iter().map(|listed| Target { listed, draining: false, rev: FIRST }).collect();
+    /// Starts one listener for each balancer.
+    pub async fn start(balancers: usize, upstreams: Vec<ListedUpstream>) -> Result<Self> {
+        let targets = upstreams
+            .into_iter()
+            .map(|upstream| Target { upstream, draining: false, rev: FIRST_VERSION })
+            .collect();
         let subscribers = vec![Subscriber::default(); balancers];
-        let state =
-            State { rev: FIRST, targets, down: false, kept_back: 0, changes: Vec::new(), subscribers };
+        let state = State {
+            rev: FIRST_VERSION,
+            targets,
+            down: false,
+            delayed_changes: 0,
+            changes: Vec::new(),
+            subscribers,
+        };
         let meters = (0..balancers).map(|_| Meter::default()).collect();
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: watch::Sender::new(()), meters });
-        let mut agents = Vec::new();
-        for at in 0..balancers {
+        let mut agent_addresses = Vec::new();
+        for balancer in 0..balancers {
             let shared = shared.clone();
-            agents.push(listen(move |tcp| serve(shared.clone(), at, tcp)).await?);
+            agent_addresses.push(listen(move |stream| serve(shared.clone(), balancer, stream)).await?);
         }
-        Ok(Self { shared, agents })
+        Ok(Self { shared, agent_addresses })
     }
 
-    /// Where a balancer calls.
-    pub fn agent(&self, at: usize) -> SocketAddr {
-        self.agents[at]
+    /// Returns the address that a balancer requests its list from.
+    pub fn agent_address(&self, balancer: usize) -> SocketAddr {
+        self.agent_addresses[balancer]
     }
 
-    /// The list of a balancer that never had one.
-    pub fn known_nothing(&self) -> Value {
+    /// Returns the stored list of a balancer that has never received one.
+    pub fn empty_list(&self) -> Value {
         json!({"rev": 0, "all": true, "targets": []})
     }
 
-    /// The list as it is now, for a balancer that will have been told of it last.
-    pub fn known(&self) -> Value {
+    /// Returns the current list, in the form that a balancer stores.
+    pub fn current_list(&self) -> Value {
         lock(&self.shared.state).list(0)
     }
 
-    /// From now on a balancer is to follow changes.
-    pub fn start_tracking(&self, at: usize) {
+    /// Starts tracking the propagation of changes to a balancer.
+    pub fn start_tracking(&self, balancer: usize) {
         let mut state = lock(&self.shared.state);
-        state.subscribers[at].counted_from = Some(state.rev);
+        state.subscribers[balancer].tracked_from = Some(state.rev);
     }
 
-    /// A balancer is about to end: what it has not taken, it need not.
-    pub fn stop_tracking(&self, at: usize) {
+    /// Stops tracking a balancer that is about to end: pending changes no longer wait for it.
+    pub fn stop_tracking(&self, balancer: usize) {
         let mut state = lock(&self.shared.state);
         let rev = state.rev;
-        state.has_taken(at, rev);
-        state.subscribers[at].counted_from = None;
+        state.acknowledge(balancer, rev);
+        state.subscribers[balancer].tracked_from = None;
     }
 
-    /// An upstream starts to drain, or is back in service.
-    pub fn change(&self, at: usize, draining: bool) {
+    /// Lists an upstream as draining or as in service.
+    pub fn set_draining(&self, upstream: usize, draining: bool) {
         let mut state = lock(&self.shared.state);
         state.rev += 1;
         let rev = state.rev;
-        state.targets[at].draining = draining;
-        state.targets[at].rev = rev;
-        let missing = state.subscribers.iter().filter(|subscriber| subscriber.counted_from.is_some()).count();
-        state.changes.push(Change { since: Instant::now(), missing, propagation_delay: None });
+        state.targets[upstream].draining = draining;
+        state.targets[upstream].rev = rev;
+        let pending_balancers =
+            state.subscribers.iter().filter(|subscriber| subscriber.tracked_from.is_some()).count();
+        state.changes.push(Change {
+            available_since: Instant::now(),
+            pending_balancers,
+            propagation_delay: None,
+        });
         drop(state);
         self.shared.changed.send_replace(());
     }
 
-    /// While it is down, it says nothing at all.
+    /// Starts or ends an outage, in which discovery does not respond.
     pub fn set_down(&self, down: bool) {
         let mut state = lock(&self.shared.state);
         state.down = down;
         if !down {
-            // Nobody could have known before.
+            // The delay of pending changes is measured from now on, as they could not propagate during the outage.
             let now = Instant::now();
-            let mut kept_back = 0;
-            for change in state.changes.iter_mut().filter(|change| change.missing > 0) {
-                change.since = now;
-                kept_back += 1;
+            let mut delayed_changes = 0;
+            for change in state.changes.iter_mut().filter(|change| change.pending_balancers > 0) {
+                change.available_since = now;
+                delayed_changes += 1;
             }
-            state.kept_back += kept_back;
+            state.delayed_changes += delayed_changes;
         }
         drop(state);
         self.shared.changed.send_replace(());
     }
 
-    /// Waits until every change is followed by everyone.
+    /// Waits until every change has reached all balancers.
     pub async fn all_changes_propagated(&self) {
         let mut changed = self.shared.changed.subscribe();
-        let all = |shared: &Shared| lock(&shared.state).changes.iter().all(|change| change.missing == 0);
-        while !all(&self.shared) {
+        let all_propagated =
+            |shared: &Shared| lock(&shared.state).changes.iter().all(|change| change.pending_balancers == 0);
+        while !all_propagated(&self.shared) {
             if changed.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Time from each change, or from when discovery could be reached again, to the last balancer that had taken
-    /// it; `None` where one has not.
+    /// Returns the propagation delay of each change: from the change, or the end of the outage that delayed it, until
+    /// the last balancer acknowledged it; `None` if one has not.
     pub fn propagation_delays(&self) -> Vec<Option<Duration>> {
         lock(&self.shared.state).changes.iter().map(|change| change.propagation_delay).collect()
     }
 
-    /// Changes that a time without discovery has kept from someone.
-    pub fn kept_back(&self) -> usize {
-        lock(&self.shared.state).kept_back
+    /// Returns the number of changes that an outage has delayed for some balancer.
+    pub fn delayed_changes(&self) -> usize {
+        lock(&self.shared.state).delayed_changes
     }
 
-    /// What each balancer's calls have cost so far.
-    pub fn costs(&self) -> Vec<Cost> {
-        let cost = |meter: &Meter| Cost {
+    /// Returns each balancer's control traffic since the start.
+    pub fn control_traffic(&self) -> Vec<ControlTraffic> {
+        let traffic = |meter: &Meter| ControlTraffic {
             bytes: meter.bytes.load(Ordering::Relaxed),
             requests: meter.requests.load(Ordering::Relaxed),
         };
-        self.shared.meters.iter().map(cost).collect()
+        self.shared.meters.iter().map(traffic).collect()
     }
 }
 
 impl State {
-    /// The whole list, or what has changed since a version.
+    /// Returns the complete list, or the changes after a version.
     fn list(&self, after: u64) -> Value {
-        let whole = after == 0 || after > self.rev;
-        let targets = self.targets.iter().enumerate().filter(|(_, target)| whole || target.rev > after);
-        let entry = |(at, target): (usize, &Target)| {
-            json!({"uid": format!("s-{at:08x}"), "endpoint": target.listed.endpoint.to_string(),
-                "az": zone_name(target.listed.zone), "model": "m", "pod_group": 0,
+        let complete = after == 0 || after > self.rev;
+        let targets = self.targets.iter().enumerate().filter(|(_, target)| complete || target.rev > after);
+        let target_json = |(index, target): (usize, &Target)| {
+            json!({"uid": format!("s-{index:08x}"), "endpoint": target.upstream.endpoint.to_string(),
+                "az": zone_name(target.upstream.zone), "model": "m", "pod_group": 0,
                 "state": if target.draining { "terminating" } else { "in_service" },
                 "capacity_hint": 1.0, "boot_ms": 0})
         };
-        json!({"rev": self.rev, "all": whole, "targets": targets.map(entry).collect::<Vec<_>>()})
+        json!({"rev": self.rev, "all": complete, "targets": targets.map(target_json).collect::<Vec<_>>()})
     }
 
-    /// A balancer has asked for what is newer than a version, so it has taken all up to that. Tells whether it was
-    /// the last to take some change.
-    fn has_taken(&mut self, at: usize, rev: u64) -> bool {
+    /// Records that a balancer has acknowledged all versions up to `rev` by requesting newer ones. Returns whether
+    /// this completed the propagation of a change.
+    fn acknowledge(&mut self, balancer: usize, rev: u64) -> bool {
         let rev = rev.min(self.rev);
-        let subscriber = &mut self.subscribers[at];
-        let had = subscriber.rev.max(subscriber.counted_from.unwrap_or(u64::MAX)).min(rev);
+        let subscriber = &mut self.subscribers[balancer];
+        let previous = subscriber.rev.max(subscriber.tracked_from.unwrap_or(u64::MAX)).min(rev);
         subscriber.rev = subscriber.rev.max(rev);
-        let change_at = |rev: u64| (rev.max(FIRST) - FIRST) as usize;
-        let mut was_last = false;
-        for change in &mut self.changes[change_at(had)..change_at(rev)] {
-            change.missing = change.missing.saturating_sub(1);
-            if change.missing == 0 {
-                change.propagation_delay = Some(change.since.elapsed());
-                was_last = true;
+        let change_index = |rev: u64| (rev.max(FIRST_VERSION) - FIRST_VERSION) as usize;
+        let mut completed_change = false;
+        for change in &mut self.changes[change_index(previous)..change_index(rev)] {
+            change.pending_balancers = change.pending_balancers.saturating_sub(1);
+            if change.pending_balancers == 0 {
+                change.propagation_delay = Some(change.available_since.elapsed());
+                completed_change = true;
             }
         }
-        was_last
+        completed_change
     }
 }
 
-async fn serve(shared: Arc<Shared>, at: usize, tcp: TcpStream) {
-    let meter = shared.meters[at].clone();
+/// Serves a connection of a balancer.
+async fn serve(shared: Arc<Shared>, balancer: usize, stream: TcpStream) {
+    let meter = shared.meters[balancer].clone();
     let requests = meter.requests.clone();
     let service = service_fn(|request: Request<Incoming>| {
         requests.fetch_add(1, Ordering::Relaxed);
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(answer(&shared, at, &request).await) }
+        async move { Ok::<_, Infallible>(respond(&shared, balancer, &request).await) }
     });
-    let metered = TokioIo::new(Metered { tcp, bytes: meter.bytes });
-    // A balancer that gives up or ends breaks its connection: nothing is wrong.
+    let metered = TokioIo::new(MeteredStream { stream, bytes: meter.bytes });
+    // Balancers close connections on timeouts and when they end: such errors are expected.
     hyper::server::conn::http1::Builder::new().serve_connection(metered, service).await.ok();
 }
 
-async fn answer(shared: &Shared, at: usize, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let reply = |status, text: String| {
-        let mut reply = Response::new(Full::new(Bytes::from(text)));
-        *reply.status_mut() = status;
-        reply
+/// Answers `/v1/servers`, waiting for a newer version if the request asks for it.
+async fn respond(shared: &Shared, balancer: usize, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let response = |status, text: String| {
+        let mut response = Response::new(Full::new(Bytes::from(text)));
+        *response.status_mut() = status;
+        response
     };
     if request.uri().path() != "/v1/servers" {
-        return reply(StatusCode::NOT_FOUND, String::new());
+        return response(StatusCode::NOT_FOUND, String::new());
     }
     let parameter = |name: &str| {
         let pairs = request.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse::<u64>().ok())
     };
     let after = parameter("after").unwrap_or(0);
-    let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0)).min(MOST_WAIT);
+    let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
     let mut changed = shared.changed.subscribe();
-    let was_last = lock(&shared.state).has_taken(at, after);
-    if was_last {
+    let completed_change = lock(&shared.state).acknowledge(balancer, after);
+    if completed_change {
         shared.changed.send_replace(());
     }
-    let newer = async {
+    let newer_list = async {
         loop {
             let (down, rev) = {
                 let state = lock(&shared.state);
@@ -291,8 +313,8 @@
             }
         }
     };
-    timeout(wait, newer).await.ok();
-    // The wait may be over while discovery is down, and a call without one may come then.
+    timeout(wait, newer_list).await.ok();
+    // The wait may time out during an outage, and a request without a wait may arrive in one: both wait for its end.
     let mut changed = shared.changed.subscribe();
     loop {
         let list = {
@@ -300,39 +322,39 @@
             (!state.down).then(|| state.list(after))
         };
         match list {
-            Some(list) => return reply(StatusCode::OK, list.to_string()),
+            Some(list) => return response(StatusCode::OK, list.to_string()),
             None if changed.changed().await.is_ok() => {}
-            None => return reply(StatusCode::SERVICE_UNAVAILABLE, String::new()),
+            None => return response(StatusCode::SERVICE_UNAVAILABLE, String::new()),
         }
     }
 }
 
-/// A connection whose bytes are counted.
-struct Metered {
-    tcp: TcpStream,
+/// A connection that counts its bytes.
+struct MeteredStream {
+    stream: TcpStream,
     bytes: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let before = into.filled().len();
-        let read = Pin::new(&mut self.tcp).poll_read(context, into);
-        self.bytes.fetch_add((into.filled().len() - before) as u64, Ordering::Relaxed);
+        let before = buffer.filled().len();
+        let read = Pin::new(&mut self.stream).poll_read(context, buffer);
+        self.bytes.fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
         read
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        from: &[u8],
+        data: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        let written = Pin::new(&mut self.tcp).poll_write(context, from);
+        let written = Pin::new(&mut self.stream).poll_write(context, data);
         if let Poll::Ready(Ok(bytes)) = written {
             self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         }
@@ -340,10 +362,10 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        Pin::new(&mut self.tcp).poll_flush(context)
+        Pin::new(&mut self.stream).poll_flush(context)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        Pin::new(&mut self.tcp).poll_shutdown(context)
+        Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
--- a/emulator/src/real/upstream.rs
+++ b/emulator/src/real/upstream.rs
@@ -1,7 +1,7 @@
-//! Hollow upstreams: they take a call, wait, and answer.
+//! Emulated upstreams, which read a request, wait for the service time and respond.
 
 use super::config::Config;
-use super::discovery::Listed;
+use super::discovery::ListedUpstream;
 use super::listen;
 use crate::{lock, seeded_rng};
 use anyhow::Result;
@@ -21,109 +21,117 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// Marks a call that comes from no balancer.
-pub const DIRECT: &str = "x-direct";
+/// Header of requests that were sent without a balancer.
+pub const DIRECT_HEADER: &str = "x-direct";
 
-/// All upstreams of a run.
+/// All upstreams of a run, with their addresses.
 pub struct Upstreams(Vec<(SocketAddr, Arc<Upstream>)>);
 
+/// An emulated upstream.
 struct Upstream {
-    service: Duration,
+    service_time: Duration,
     error_share: f64,
-    answer: Bytes,
-    random: Mutex<ChaCha8Rng>,
-    /// Attempts that balancers have sent, since the beginning.
+    body: Bytes,
+    rng: Mutex<ChaCha8Rng>,
+    /// Number of attempts from balancers since the start.
     attempts: AtomicU64,
-    drains: Mutex<Drains>,
+    drains: Mutex<DrainTimes>,
 }
 
+/// Attempts during the drains of an upstream.
 #[derive(Default)]
-struct Drains {
-    /// Since when it drains, and how long after that the latest attempt came.
-    present: Option<(Instant, Duration)>,
-    /// How long after its beginning the latest attempt of each past drain came.
+struct DrainTimes {
+    /// Start of the current drain, and the time from then until the last attempt.
+    current: Option<(Instant, Duration)>,
+    /// Time from the start of each past drain until its last attempt.
     past: Vec<Duration>,
 }
 
 impl Upstreams {
+    /// Starts all upstreams.
     pub async fn start(config: &Config, seed: u64) -> Result<Self> {
         let mut upstreams = Vec::new();
-        for at in 0..config.targets {
+        for index in 0..config.targets {
             let upstream = Arc::new(Upstream {
-                service: Duration::from_millis(config.service_ms),
+                service_time: Duration::from_millis(config.service_ms),
                 error_share: config.error_share,
-                answer: Bytes::from(vec![b'a'; config.body_bytes]),
-                random: Mutex::new(seeded_rng(seed, 1 << 32 | at as u64)),
+                body: Bytes::from(vec![b'a'; config.body_bytes]),
+                rng: Mutex::new(seeded_rng(seed, 1 << 32 | index as u64)),
                 attempts: AtomicU64::new(0),
                 drains: Mutex::default(),
             });
-            let serving = upstream.clone();
-            upstreams.push((listen(move |tcp| serving.clone().serve(tcp)).await?, upstream));
+            let shared = upstream.clone();
+            upstreams.push((listen(move |stream| shared.clone().serve(stream)).await?, upstream));
         }
         Ok(Self(upstreams))
     }
 
+    /// Returns the addresses of all upstreams.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.0.iter().map(|(address, _)| *address).collect()
     }
 
-    /// All of them as discovery lists them, in zones in turn.
-    pub fn listed(&self, zones: usize) -> Vec<Listed> {
-        let listed =
-            |(at, (endpoint, _)): (usize, &(SocketAddr, _))| Listed { endpoint: *endpoint, zone: at % zones };
-        self.0.iter().enumerate().map(listed).collect()
+    /// Returns all upstreams as discovery lists them, in zones in turn.
+    pub fn listed(&self, zones: usize) -> Vec<ListedUpstream> {
+        let listed_upstream = |(index, (endpoint, _)): (usize, &(SocketAddr, _))| ListedUpstream {
+            endpoint: *endpoint,
+            zone: index % zones,
+        };
+        self.0.iter().enumerate().map(listed_upstream).collect()
     }
 
-    /// From now on one is to get nothing new, or again something.
-    pub fn drains(&self, at: usize, draining: bool) {
-        let mut drains = lock(&self.0[at].1.drains);
-        let ended = drains.present.take().map(|(_, latest)| latest);
-        drains.past.extend(ended);
-        drains.present = draining.then(|| (Instant::now(), Duration::ZERO));
+    /// Starts or ends a drain of an upstream, in which it should receive no new requests.
+    pub fn set_draining(&self, index: usize, draining: bool) {
+        let mut drains = lock(&self.0[index].1.drains);
+        let last_attempt = drains.current.take().map(|(_, last_attempt)| last_attempt);
+        drains.past.extend(last_attempt);
+        drains.current = draining.then(|| (Instant::now(), Duration::ZERO));
     }
 
-    /// How long after the beginning of each drain the latest attempt came.
-    pub fn latest_in_drains(&self) -> Vec<Duration> {
-        let of = |(_, upstream): &(_, Arc<Upstream>)| {
+    /// Returns the time from the start of each drain until its last attempt.
+    pub fn last_attempts_in_drains(&self) -> Vec<Duration> {
+        let drains_of = |(_, upstream): &(_, Arc<Upstream>)| {
             let drains = lock(&upstream.drains);
-            let present = drains.present.map(|(_, latest)| latest);
-            drains.past.iter().copied().chain(present).collect::<Vec<_>>()
+            let current = drains.current.map(|(_, last_attempt)| last_attempt);
+            drains.past.iter().copied().chain(current).collect::<Vec<_>>()
         };
-        self.0.iter().flat_map(of).collect()
+        self.0.iter().flat_map(drains_of).collect()
     }
 
-    /// Attempts that balancers have sent to all of them so far.
+    /// Returns the number of attempts from balancers since the start.
     pub fn attempts(&self) -> u64 {
         self.0.iter().map(|(_, upstream)| upstream.attempts.load(Ordering::Relaxed)).sum()
     }
 }
 
 impl Upstream {
-    async fn serve(self: Arc<Self>, tcp: TcpStream) {
+    /// Serves a connection.
+    async fn serve(self: Arc<Self>, stream: TcpStream) {
         let service =
-            service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(self.answer(request).await));
-        // A connection that its balancer closes is no fault.
-        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(tcp), service).await.ok();
+            service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(self.respond(request).await));
+        // Balancers may close connections at any time: such errors are expected.
+        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await.ok();
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        if !request.headers().contains_key(DIRECT) {
+    /// Counts an attempt, waits for the service time and returns the body or an error.
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        if !request.headers().contains_key(DIRECT_HEADER) {
             self.attempts.fetch_add(1, Ordering::Relaxed);
-            if let Some((since, latest)) = &mut lock(&self.drains).present {
-                *latest = since.elapsed();
+            if let Some((started_at, last_attempt)) = &mut lock(&self.drains).current {
+                *last_attempt = started_at.elapsed();
             }
         }
-        let mut reply = Response::new(Full::new(self.answer.clone()));
+        let mut response = Response::new(Full::new(self.body.clone()));
         if request.into_body().collect().await.is_err() {
-            *reply.status_mut() = StatusCode::BAD_REQUEST;
-            return reply;
+            *response.status_mut() = StatusCode::BAD_REQUEST;
+            return response;
         }
-        if !self.service.is_zero() {
-            sleep(self.service).await;
+        if !self.service_time.is_zero() {
+            sleep(self.service_time).await;
         }
-        if self.error_share > 0.0 && lock(&self.random).random_bool(self.error_share) {
-            *reply.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+        if self.error_share > 0.0 && lock(&self.rng).random_bool(self.error_share) {
+            *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
-        reply
+        response
     }
 }
