--- a/emulator/tests/real.rs
+++ b/emulator/tests/real.rs
@@ -1,18 +1,18 @@
-//! Real balancers of the build that the tests are of, on loopback.
+//! Real mode, with the balancers of the same build on the loopback interface.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// The balancer beside the emulator that is tested.
+/// Returns the path of the balancer program beside the emulator under test.
 fn balancer() -> PathBuf {
     let balancer = Path::new(env!("CARGO_BIN_EXE_fleet-emulator")).with_file_name("balancer");
-    assert!(balancer.is_file(), "no {}: test with --workspace", balancer.display());
+    assert!(balancer.is_file(), "{} does not exist: run the tests with --workspace", balancer.display());
     balancer
 }
 
-/// A folder with a scenario of two balancers, with these keys beside.
+/// Creates a folder with a scenario of two balancers and these additional keys.
 fn scenario(keys: &str) -> TempDir {
     let folder = TempDir::new().unwrap();
     let text = format!(
@@ -23,64 +23,66 @@
     folder
 }
 
-fn scale(folder: &Path, arguments: &[&str]) -> Command {
+/// Returns a command that runs the emulator in a folder with the balancers of the same build.
+fn emulator_command(folder: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-emulator"));
     command.current_dir(folder).args(arguments).arg("--balancer").arg(balancer());
-    // Of its own, so that what it leaves there is seen.
+    // A separate temporary folder, so that a test can check that the emulator leaves no files there.
     std::fs::create_dir_all(folder.join("tmp")).unwrap();
     command.env("TMPDIR", folder.join("tmp")).stdin(Stdio::null());
     command
 }
 
-/// Asserts that a run was sound, and gives its figures.
+/// Asserts that a run succeeded, and returns its figures.
 fn figures(output: &Output) -> serde_json::Map<String, serde_json::Value> {
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     report["run"]["outcome"]["figures"].as_object().unwrap().clone()
 }
 
-/// Asserts that some calls were served and that each had one end. Not that all were served: where a busy machine
-/// holds all upstreams up at once, a balancer gives attempts up, and refuses or fails what it has no attempts left
-/// for, long before the deadline.
-fn each_call_ended(figures: &serde_json::Map<String, serde_json::Value>) {
+/// Asserts that some requests were served and that each had exactly one outcome. Not all need be served: if a busy
+/// machine delays all upstreams at once, a balancer abandons attempts, and rejects or fails the requests that have no
+/// attempts left, long before the deadline.
+fn assert_each_request_ended(figures: &serde_json::Map<String, serde_json::Value>) {
     let ratio = |name: &str| figures[name].as_f64().unwrap();
-    let ends = ["served_ratio", "refused_ratio", "failed_ratio"].map(ratio);
-    assert!(ends[0] > 0.0, "{ends:?}");
-    assert!((ends.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{ends:?}");
+    let ratios = ["served_ratio", "refused_ratio", "failed_ratio"].map(ratio);
+    assert!(ratios[0] > 0.0, "{ratios:?}");
+    assert!((ratios.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{ratios:?}");
     assert_eq!(figures["calls_not_sent"], 0.0);
 }
 
-/// Processes whose environment points into a folder: the balancers that an emulator with that folder has started.
+/// Returns the processes whose environment refers to a folder: the balancers started by an emulator in that folder.
 fn balancers_of(folder: &Path) -> Vec<u32> {
-    let needle = format!("LB_CONFIG={}", folder.join("tmp").display());
-    let mut found = Vec::new();
+    let config_prefix = format!("LB_CONFIG={}", folder.join("tmp").display());
+    let mut process_ids = Vec::new();
     for entry in std::fs::read_dir("/proc").unwrap().filter_map(Result::ok) {
-        let Ok(process) = entry.file_name().to_string_lossy().parse() else { continue };
-        // Empty for one that has ended, and unreadable for another user's.
+        let Ok(process_id) = entry.file_name().to_string_lossy().parse() else { continue };
+        // Empty for a process that has ended, and unreadable for another user's.
         let environment = std::fs::read(entry.path().join("environ")).unwrap_or_default();
-        if environment.split(|byte| *byte == 0).any(|entry| entry.starts_with(needle.as_bytes())) {
-            found.push(process);
+        if environment.split(|byte| *byte == 0).any(|variable| variable.starts_with(config_prefix.as_bytes()))
+        {
+            process_ids.push(process_id);
         }
     }
-    found
+    process_ids
 }
 
-/// Waits until so many balancers run.
+/// Waits until `count` balancers run.
 fn wait_for_balancers(folder: &Path, count: usize, emulator: &mut Child) {
     while balancers_of(folder).len() < count {
-        assert_eq!(emulator.try_wait().unwrap(), None, "the run ended by itself");
+        assert_eq!(emulator.try_wait().unwrap(), None, "the run ended before {count} balancers had started");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn calls_are_served_and_changes_are_followed() {
+fn requests_are_served_and_changes_are_followed() {
     let folder = scenario("rate = 200\ndirect_rate = 200\nchange_rate = 10\nload_s = 1\n");
-    let figures = figures(&scale(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
+    let figures = figures(&emulator_command(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
     let figure = |name: &str| figures[name].as_f64().unwrap();
     assert!(figure("calls") > 100.0 && figure("direct_calls") > 100.0);
     assert_eq!(figure("direct_served_ratio"), 1.0);
-    each_call_ended(&figures);
+    assert_each_request_ended(&figures);
     assert!(figure("attempts_per_call") > 0.0);
     assert!(figure("changes") >= 1.0);
     assert_eq!(figure("changes_not_followed"), 0.0);
@@ -99,65 +101,73 @@
     }
     assert!(figures.contains_key("latency_added_p50_us"));
     assert!(balancers_of(folder.path()).is_empty());
-    assert_eq!(std::fs::read_dir(folder.path().join("tmp")).unwrap().count(), 0, "files are left");
+    assert_eq!(
+        std::fs::read_dir(folder.path().join("tmp")).unwrap().count(),
+        0,
+        "the emulator left temporary files"
+    );
 }
 
 #[test]
-fn a_change_that_discovery_kept_to_itself_is_followed_after() {
-    let down = "[real.discovery_down]\nat_s = 0.3\nfor_s = 1\n";
-    let folder = scenario(&format!("rate = 50\ndirect_rate = 0\nchange_rate = 10\nload_s = 1.5\n{down}"));
-    let figures = figures(&scale(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
+fn a_change_during_a_discovery_outage_is_followed_afterwards() {
+    let outage = "[real.discovery_down]\nat_s = 0.3\nfor_s = 1\n";
+    let folder = scenario(&format!("rate = 50\ndirect_rate = 0\nchange_rate = 10\nload_s = 1.5\n{outage}"));
+    let figures = figures(&emulator_command(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
     assert!(figures["changes_kept_back"].as_f64().unwrap() >= 1.0);
     assert_eq!(figures["changes_not_followed"], 0.0);
-    each_call_ended(&figures);
-    // There was nothing to compare with.
+    assert_each_request_ended(&figures);
+    // Without direct requests there is no baseline to compare with.
     assert!(!figures.contains_key("latency_added_p50_us"));
 }
 
 #[test]
 fn a_rolling_restart_replaces_every_balancer() {
-    // The front hears of it at once: how long a busy machine takes over its lag is no matter here.
+    // Without a front lag, the test does not depend on how long a busy machine takes for it.
     let restart = "[real.rolling_restart]\nat_s = 0.1\nfront_lag_s = 0\n";
     let folder = scenario(&format!("rate = 50\ndirect_rate = 0\nload_s = 2\n{restart}"));
-    let figures = figures(&scale(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
+    let figures = figures(&emulator_command(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
     assert_eq!(figures["restarts"], 2.0);
-    each_call_ended(&figures);
+    assert_each_request_ended(&figures);
     assert!(figures["time_to_ready_again_max_ms"].as_f64().unwrap() > 0.0);
     assert!(balancers_of(folder.path()).is_empty());
 }
 
 #[test]
-fn its_balancers_end_with_it_after_a_signal() {
-    for (signal, status) in [("-INT", 130), ("-TERM", 143)] {
+fn the_balancers_end_with_the_emulator_after_a_signal() {
+    for (signal, exit_status) in [("-INT", 130), ("-TERM", 143)] {
         let folder = scenario("rate = 50\nload_s = 300\n");
-        let mut emulator = scale(folder.path(), &["run", "s.toml"]);
+        let mut emulator = emulator_command(folder.path(), &["run", "s.toml"]);
         let mut emulator = emulator.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
         wait_for_balancers(folder.path(), 2, &mut emulator);
         assert!(Command::new("kill").args([signal, &emulator.id().to_string()]).status().unwrap().success());
-        let ended = emulator.wait_with_output().unwrap();
-        assert_eq!(ended.status.code(), Some(status), "{}", String::from_utf8_lossy(&ended.stderr));
+        let output = emulator.wait_with_output().unwrap();
+        assert_eq!(output.status.code(), Some(exit_status), "{}", String::from_utf8_lossy(&output.stderr));
         assert!(balancers_of(folder.path()).is_empty());
-        assert_eq!(std::fs::read_dir(folder.path().join("tmp")).unwrap().count(), 0, "files are left");
+        assert_eq!(
+            std::fs::read_dir(folder.path().join("tmp")).unwrap().count(),
+            0,
+            "the emulator left temporary files"
+        );
     }
 }
 
 #[test]
-fn the_others_end_after_one_ended_by_itself() {
+fn the_other_balancers_end_after_one_was_killed() {
     let folder = scenario("rate = 50\nload_s = 300\n");
-    let mut emulator = scale(folder.path(), &["run", "s.toml"]);
+    let mut emulator = emulator_command(folder.path(), &["run", "s.toml"]);
     let mut emulator = emulator.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
     wait_for_balancers(folder.path(), 2, &mut emulator);
-    let one = balancers_of(folder.path())[0];
-    assert!(Command::new("kill").args(["-KILL", &one.to_string()]).status().unwrap().success());
-    let ended = emulator.wait_with_output().unwrap();
-    let line = String::from_utf8(ended.stderr).unwrap();
-    assert_eq!(ended.status.code(), Some(2), "{line}");
-    assert!(line.lines().count() == 1 && line.contains("balancer"), "{line}");
+    let process_id = balancers_of(folder.path())[0];
+    assert!(Command::new("kill").args(["-KILL", &process_id.to_string()]).status().unwrap().success());
+    let output = emulator.wait_with_output().unwrap();
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2), "{error}");
+    assert!(error.lines().count() == 1 && error.contains("balancer"), "{error}");
     assert!(balancers_of(folder.path()).is_empty());
 }
 
 #[test]
-fn a_program_that_is_no_balancer_is_one_clear_line() {
+fn a_program_that_is_not_a_balancer_is_reported_in_one_line() {
     let folder = scenario("rate = 50\nload_s = 1\n");
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-emulator"));
     let output = command
@@ -165,7 +175,7 @@
         .args(["run", "s.toml", "--balancer", "/bin/true"])
         .output()
         .unwrap();
-    let line = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(2), "{line}");
-    assert!(line.lines().count() == 1 && line.contains("did not start"), "{line}");
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2), "{error}");
+    assert!(error.lines().count() == 1 && error.contains("did not start"), "{error}");
 }
