--- a/emulator/src/real/client.rs
+++ b/emulator/src/real/client.rs
@@ -275,7 +275,7 @@
             Some(Ok(StatusCode::OK)) => {}
             Some(Ok(status)) => tracing::debug!(%status, class, ?elapsed, "request not served"),
             Some(Err(error)) => tracing::debug!(%error, class, ?elapsed, "request failed"),
-            None => tracing::debug!(class, ?elapsed, "request not answered in time"),
+            None => tracing::debug!(class, ?elapsed, "request not answered"),
         }
         self.finish(route, measured, |tally| {
             tally.sent += 1;
