--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -46,17 +46,18 @@
 }
 
 impl ResponseBody {
-    /// Creates a body from its buffered start and the rest that is received over a connection. After `deadline` it is
-    /// aborted if it is slower than the minimum rate. `on_end` is called with the result of the attempt.
+    /// Creates a body from its buffered start and the rest that is received over a connection. It is aborted if it stops,
+    /// or if it is slower than the minimum rate after `request_deadline`. `on_end` is called with the result of the
+    /// attempt.
     pub fn streamed(
         buffered: Bytes,
         body: Incoming,
         connection: Connection,
         memory_permit: Option<MemoryPermit>,
-        deadline: Option<Instant>,
+        request_deadline: Option<Instant>,
         on_end: EndCallback,
     ) -> Self {
-        let rate = MinimumRate::new(deadline);
+        let rate = MinimumRate::new(request_deadline);
         let streamed = StreamedResponse {
             body,
             connection: Some(connection),
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -29,20 +29,22 @@
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
-        until: Time,
+        attempt_deadline: Time,
         begin_by: Option<Time>,
     ) {
         let now = self.clock.now();
         let Some(pending_request) = self.requests.get_mut(&id) else { return };
-        let (number, until) = (
+        let (number, attempt_deadline) = (
             pending_request.attempts,
-            pending_request.deadline.map_or(until, |deadline| until.min(deadline)),
+            pending_request
+                .request_deadline
+                .map_or(attempt_deadline, |deadline| attempt_deadline.min(deadline)),
         );
         pending_request.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = pending_request.client_deadline;
         let has_budget = upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
-        let in_time = has_budget && now < until && begin_by.is_none_or(|begin_by| now < begin_by);
+        let in_time = has_budget && now < attempt_deadline && begin_by.is_none_or(|begin_by| now < begin_by);
         let is_allowed = in_time && number < self.config.settings.max_attempts;
         let can_send = pending_request.response_sender.is_some()
             && is_allowed
@@ -65,23 +67,31 @@
             write_started,
             cancel: Some(cancel),
         });
-        let remainder =
-            pending_request.request.body().remainder.clone().filter(|_| pending_request.deadline.is_none());
+        let remainder = pending_request
+            .request
+            .body()
+            .remainder
+            .clone()
+            .filter(|_| pending_request.request_deadline.is_none());
         let expiry = wait_for_expiry(
-            self.clock.instant(until),
+            self.clock.instant(attempt_deadline),
             remainder.map(|remainder| (pending_request.received_at.subscribe(), remainder)),
         );
         let (messages, client) = (self.messages.clone(), Some(pending_request.client.clone()));
         let attempt_counter = Some(self.counters.attempt_counter());
         let begin_by = begin_by.map(|begin_by| self.clock.instant(begin_by));
-        let deadline = pending_request.deadline.map(|deadline| self.clock.instant(deadline));
-        let context =
-            self.exchange_context(connection_source, address, self.clock.instant(until), attempt_counter);
+        let request_deadline = pending_request.request_deadline.map(|deadline| self.clock.instant(deadline));
+        let context = self.exchange_context(
+            connection_source,
+            address,
+            self.clock.instant(attempt_deadline),
+            attempt_counter,
+        );
         let local_failure = context.local_failure.clone();
         let client_deadline = Some(self.clock.instant(client_deadline));
         let context = ExchangeContext {
             write_started: write_started_flag.clone(),
-            request_deadline: deadline,
+            request_deadline,
             begin_by,
             client,
             client_deadline,
@@ -91,7 +101,7 @@
         let expiry = async move {
             expiry.await;
             // An attempt that was delayed by local connection errors may use the rest of its request's time.
-            if let Some(deadline) = deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
+            if let Some(deadline) = request_deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
                 sleep_until(deadline).await;
             }
         };
@@ -127,14 +137,14 @@
         &self,
         connection_source: ConnectionSource,
         address: SocketAddr,
-        until: Instant,
+        attempt_deadline: Instant,
         attempt_counter: Option<Arc<AtomicU64>>,
     ) -> ExchangeContext {
         ExchangeContext {
             connection_source,
             address,
             connect_timeout: self.config.proxy_settings.connect_timeout,
-            attempt_deadline: until,
+            attempt_deadline,
             request_deadline: None,
             local_failure: Arc::default(),
             begin_by: None,
@@ -167,8 +177,9 @@
     /// Streams a response to the client while it is received, even past the request's deadline as long as its rate
     /// suffices.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, started: StartedResponse) {
-        let deadline = self.requests.get(&id).and_then(|pending_request| pending_request.deadline);
-        let deadline = deadline.map(|deadline| self.clock.instant(deadline));
+        let request_deadline =
+            self.requests.get(&id).and_then(|pending_request| pending_request.request_deadline);
+        let request_deadline = request_deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_response_sender(id) else {
             return self.on_attempt_ended(id, number, AttemptOutcome::Cancelled.into());
         };
@@ -182,8 +193,9 @@
             messages.send(DispatcherMessage::AttemptEnded(id, number, result)).ok();
         });
         let StartedResponse { head, body, connection, memory_permit } = started;
-        let streamed =
-            |buffered| ResponseBody::streamed(buffered, body, connection, memory_permit, deadline, on_end);
+        let streamed = |buffered| {
+            ResponseBody::streamed(buffered, body, connection, memory_permit, request_deadline, on_end)
+        };
         let response = FinalResponse::Served(head.map(streamed));
         if let Some(attempt) = attempt {
             attempt.started_response = Some((response.outcome(), load));
@@ -249,15 +261,17 @@
     }
 }
 
-/// Completes when an attempt must be given up. That is at `until`; but for a request that is still being received, the
-/// time from now to `until` is counted from its last byte, and the attempt is also given up when no part of the request
-/// has arrived for [`IDLE_TIMEOUT`].
+/// Completes when an attempt times out, which is at `attempt_deadline` if its request is complete.
+///
+/// While the request is still being received, only the duration from now to `attempt_deadline` applies: it is counted
+/// from the last byte of the request. Until then, the attempt times out if no part of the request has arrived for
+/// [`IDLE_TIMEOUT`].
 pub(super) async fn wait_for_expiry(
-    until: Instant,
+    attempt_deadline: Instant,
     receiving: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
 ) {
-    let Some((mut received_at, remainder)) = receiving else { return sleep_until(until).await };
-    let time_limit = until.saturating_duration_since(Instant::now());
+    let Some((mut received_at, remainder)) = receiving else { return sleep_until(attempt_deadline).await };
+    let time_limit = attempt_deadline.saturating_duration_since(Instant::now());
     let (mut last_remaining, mut last_progress) = (remainder.remaining(), Instant::now());
     loop {
         let received = timeout(IDLE_TIMEOUT / 10, received_at.wait_for(Option::is_some)).await;
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -58,10 +58,10 @@
     request: Request<RequestBody>,
     client: ClientLiveness,
     class: usize,
-    /// The client's deadline; `None` while the request is still being received.
-    deadline: Option<Time>,
-    /// The client's deadline as known when the request was accepted: for a request that was still being received, it is
-    /// counted from the end of the buffered part.
+    /// When the request times out; `None` while its body is still being received, as its time runs from the last byte.
+    request_deadline: Option<Time>,
+    /// When the client stops waiting, as known when the request was accepted: the same as `request_deadline`, or, if the
+    /// body was still being received, counted from the end of its buffered part.
     client_deadline: Time,
     /// When the request was received completely; the expiry of attempts that started earlier is counted from then on.
     received_at: watch::Sender<Option<Instant>>,
@@ -240,7 +240,9 @@
         match message {
             DispatcherMessage::Request(request) => self.on_request(*request),
             DispatcherMessage::ClientDisconnected(id) => self.on_client_disconnected(id),
-            DispatcherMessage::RequestReceived(id, deadline) => self.on_request_received(id, deadline),
+            DispatcherMessage::RequestReceived(id, request_deadline) => {
+                self.on_request_received(id, request_deadline)
+            }
             DispatcherMessage::ResponseStarted(id, number, started) => {
                 self.on_response_started(id, number, *started)
             }
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -21,14 +21,14 @@
             streaming,
         };
         let client_deadline = deadline;
-        let deadline = Some(deadline).filter(|_| !streaming);
+        let request_deadline = Some(deadline).filter(|_| !streaming);
         self.requests.insert(
             id,
             PendingRequest {
                 request: client_request.request,
                 client: client_request.client,
                 class: client_request.class,
-                deadline,
+                request_deadline,
                 client_deadline,
                 received_at: watch::Sender::new(None),
                 response_sender: Some(client_request.response_sender),
@@ -37,21 +37,21 @@
             },
         );
         self.deadline_guards
-            .extend(deadline.map(|deadline| (deadline.saturating_add(DEADLINE_GUARD_DELAY), id)));
+            .extend(request_deadline.map(|deadline| (deadline.saturating_add(DEADLINE_GUARD_DELAY), id)));
         self.handle_event(Event::Request(id, incoming));
     }
 
     /// Sets the deadline of a streamed request, whose time runs from its last byte.
-    pub(super) fn on_request_received(&mut self, id: RequestId, deadline: Instant) {
-        let deadline = self.clock.time(deadline);
+    pub(super) fn on_request_received(&mut self, id: RequestId, request_deadline: Instant) {
+        let request_deadline = self.clock.time(request_deadline);
         let Some(pending_request) =
             self.requests.get_mut(&id).filter(|pending_request| pending_request.response_sender.is_some())
         else {
             return;
         };
-        pending_request.deadline = Some(deadline);
+        pending_request.request_deadline = Some(request_deadline);
         pending_request.received_at.send_replace(Some(Instant::now()));
-        self.deadline_guards.insert((deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
+        self.deadline_guards.insert((request_deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
     }
 
     /// Ends a request whose client has disconnected.
@@ -72,8 +72,8 @@
         let pending_request = self.requests.get_mut(&id)?;
         let sender = pending_request.response_sender.take()?;
         pending_request.attempts_in_flight.iter_mut().for_each(AttemptInFlight::cancel_if_unwritten);
-        if let Some(deadline) = pending_request.deadline {
-            self.deadline_guards.remove(&(deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
+        if let Some(request_deadline) = pending_request.request_deadline {
+            self.deadline_guards.remove(&(request_deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
         }
         Some((sender, pending_request.class))
     }
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -80,14 +80,14 @@
         // An attempt past its own deadline is ended by its timer, not here.
         let attempt_time_left = self.attempt_deadline.saturating_duration_since(now);
         let client_budget = match self.client_deadline {
-            Some(end) => upstream_budget(end.saturating_duration_since(now))?,
+            Some(client_deadline) => upstream_budget(client_deadline.saturating_duration_since(now))?,
             None => attempt_time_left,
         };
         self.is_before_begin_by(now).then_some(attempt_time_left.min(client_budget))
     }
 
     fn is_before_begin_by(&self, now: Instant) -> bool {
-        self.begin_by.is_none_or(|end| now < end)
+        self.begin_by.is_none_or(|begin_by| now < begin_by)
     }
 
     /// Fails if the client has disconnected. `request_received` says that all of its request has been received.
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -92,7 +92,7 @@
 /// Sends a request on an idle or a new connection. Returns when the response is complete, when enough of a long
 /// response has been received to start forwarding it, or when the attempt has failed.
 pub async fn exchange(mut request: Request<RequestBody>, context: ExchangeContext) -> ExchangeOutcome {
-    let is_past_begin_by = || context.begin_by.is_some_and(|end| Instant::now() >= end);
+    let is_past_begin_by = || context.begin_by.is_some_and(|begin_by| Instant::now() >= begin_by);
     let mut connection = match context.connection_source {
         ConnectionSource::Idle(connection) => connection,
         ConnectionSource::New(permit) => {
