--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -185,8 +185,11 @@
     /// Connects to discovery.
     async fn new(address: SocketAddr) -> Result<Self, DiscoveryError> {
         let end = Instant::now() + CONNECT_TIMEOUT;
-        let connect_deadline =
-            ConnectDeadline { end, end_after_local_failure: end, local_failure: &AtomicBool::default() };
+        let connect_deadline = ConnectDeadline {
+            end,
+            end_after_possible_local_failure: end,
+            possible_local_failure: &AtomicBool::default(),
+        };
         // There are no other peers whose reachability could be compared.
         let tcp = connect(address, connect_deadline, &Reachability::default()).await?;
         let (notify_received, received) = watch::channel(());
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -87,7 +87,7 @@
             self.clock.instant(attempt_deadline),
             attempt_counter,
         );
-        let local_failure = context.local_failure.clone();
+        let possible_local_failure = context.possible_local_failure.clone();
         let client_deadline = Some(self.clock.instant(client_deadline));
         let context = ExchangeContext {
             write_started: write_started_flag.clone(),
@@ -100,8 +100,10 @@
         let exchange = exchange(request, context);
         let expiry = async move {
             expiry.await;
-            // An attempt that was delayed by local connection errors may use the rest of its request's time.
-            if let Some(deadline) = request_deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
+            // An attempt that was delayed by possibly local connect errors may use the rest of its request's time.
+            if let Some(deadline) =
+                request_deadline.filter(|_| possible_local_failure.load(Ordering::Relaxed))
+            {
                 sleep_until(deadline).await;
             }
         };
@@ -146,7 +148,7 @@
             connect_timeout: self.config.proxy_settings.connect_timeout,
             attempt_deadline,
             request_deadline: None,
-            local_failure: Arc::default(),
+            possible_local_failure: Arc::default(),
             begin_by: None,
             attempt_counter,
             body_memory: self.body_memory.clone(),
--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Connects to peers. Failures of the local machine are retried and not attributed to the peer.
+//! Connects to peers. Failures of the local machine or network are retried and not attributed to the peer.
 
 use crate::proxy::sync::lock;
 use crate::transient_errors::{Backoff, ErrorOrigin, error_origin};
@@ -18,11 +18,11 @@
 /// Why a connection could not be established.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// A failure of the local machine or network, not of the peer.
+    /// A failure that is attributed to the local machine or network.
     Local(io::Error),
-    /// The peer refused the connection or is unreachable.
+    /// A failure that is attributed to the peer: it refused the connection or is unreachable.
     Peer(io::Error),
-    /// The peer did not accept the connection before the deadline.
+    /// The peer did not accept the connection before the deadline, and no local failure took up part of that time.
     TimedOut,
 }
 
@@ -38,20 +38,20 @@
 
 impl Error for ConnectError {}
 
-/// The peers that were reached last. Distinguishes an unreachable peer from a local network that is down.
+/// Remembers which peers were reached last, to tell an unreachable peer from a local network that is down.
 #[derive(Default)]
 pub struct Reachability(Mutex<LatestContacts>);
 
-/// The last contact with a peer, and the last contact with any other peer.
+/// The last contact with any peer, and the last contact with a different one.
 #[derive(Default)]
 struct LatestContacts {
     latest: Option<(SocketAddr, Instant)>,
-    /// The latest contact with a peer other than the one in `latest`.
+    /// The last contact with a peer other than the one in `latest`.
     latest_other: Option<(SocketAddr, Instant)>,
 }
 
 impl Reachability {
-    /// Records that a peer was reached: it accepted a connection or sent a response.
+    /// Records that a peer was reached: it accepted a connection, or sent the head of a response.
     pub fn record_contact(&self, peer: SocketAddr) {
         let mut contacts = lock(&self.0);
         if contacts.latest.is_some_and(|(latest, _)| latest != peer) {
@@ -60,7 +60,7 @@
         contacts.latest = Some((peer, Instant::now()));
     }
 
-    /// Whether a peer other than `peer` was reached since the given time.
+    /// Whether a peer other than `peer` was reached at or after `since`.
     fn other_peer_reached(&self, peer: SocketAddr, since: Instant) -> bool {
         let contacts = lock(&self.0);
         let mut contacts = [contacts.latest, contacts.latest_other].into_iter().flatten();
@@ -70,20 +70,21 @@
 
 /// When connecting is given up.
 pub struct ConnectDeadline<'a> {
-    /// Applies while there has been no failure that may be local.
+    /// Applies until a try fails for a reason that may be local.
     pub end: Instant,
-    /// Replaces `end` after such a failure: the time it took is not counted as the peer's.
-    pub end_after_local_failure: Instant,
-    /// Set when connecting fails and this machine or its network may be the cause.
-    pub local_failure: &'a AtomicBool,
+    /// Replaces `end` after such a failure, as the time lost by it is not the peer's.
+    pub end_after_possible_local_failure: Instant,
+    /// Set when a try to connect fails and this machine or its network may be the cause, even if later tries show that
+    /// the peer is at fault.
+    pub possible_local_failure: &'a AtomicBool,
 }
 
-/// Connects to a peer before the deadline. Errors that are or may be local are retried until then, with increasing
-/// pauses.
+/// Connects to a peer before the deadline. A certain failure of the peer is returned at once. Errors that are or may be
+/// local are retried until the deadline, with increasing pauses.
 ///
-/// While other peers are reached, a persistent error that concerns the route to this peer or may be the peer's returns
-/// early, so that another peer can be used. An error that may be the peer's is attributed to the peer if others are
-/// reached, and to the local network if all of them fail.
+/// If other peers have been reached since the first failure, a persistent error of the route or of ambiguous origin is
+/// returned before the deadline, so that another peer can be used. An ambiguous error is then attributed to this peer.
+/// If no other peer has been reached, it is attributed to the local network.
 pub async fn connect(
     peer: SocketAddr,
     connect_deadline: ConnectDeadline<'_>,
@@ -99,14 +100,14 @@
                 return Ok(tcp);
             }
             Ok(Err(failure)) => failure,
-            // After a local failure the peer did not have all the time to accept: it is not at fault.
+            // After a failure that may be local, the peer did not have all the time to accept: it is not at fault.
             Err(_) => return Err(last_error.map_or(ConnectError::TimedOut, ConnectError::Local)),
         };
         if origin == ErrorOrigin::Peer {
             return Err(ConnectError::Peer(error));
         }
-        connect_deadline.local_failure.store(true, Ordering::Relaxed);
-        end = connect_deadline.end_after_local_failure;
+        connect_deadline.possible_local_failure.store(true, Ordering::Relaxed);
+        end = connect_deadline.end_after_possible_local_failure;
         failures += 1;
         let now = Instant::now();
         let next_try = now + backoff.pause();
@@ -130,10 +131,11 @@
     error: io::Error,
 }
 
+/// Makes one try to connect.
 async fn open_socket(peer: SocketAddr) -> Result<TcpStream, ConnectFailure> {
     let connect_failure = |error| ConnectFailure { origin: error_origin(&error), error };
     let tcp = TcpStream::connect(peer).await.map_err(connect_failure)?;
-    // The peer cannot cause any error of this call.
+    // The peer cannot cause an error of this call.
     tcp.set_nodelay(true).map_err(|error| ConnectFailure { origin: ErrorOrigin::LocalMachine, error })?;
     Ok(tcp)
 }
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -73,9 +73,9 @@
     pub attempt_deadline: Instant,
     /// When the request times out; `None` while its body is still being received.
     pub request_deadline: Option<Instant>,
-    /// Set when connecting fails and this machine or its network may be the cause. The attempt then has until
-    /// `request_deadline`.
-    pub local_failure: Arc<AtomicBool>,
+    /// Set when a try to connect fails and this machine or its network may be the cause. If `request_deadline` is known,
+    /// the attempt then times out at that time instead of `attempt_deadline`.
+    pub possible_local_failure: Arc<AtomicBool>,
     /// The request is not written, or not completely, after this time.
     pub begin_by: Option<Instant>,
     /// Counts the attempts whose request was written completely.
@@ -100,9 +100,9 @@
             let latest_end = context.begin_by.map_or(latest_end, |begin_by| begin_by.min(latest_end));
             let connect_deadline = ConnectDeadline {
                 end: latest_end.min(context.attempt_deadline),
-                end_after_local_failure: latest_end
+                end_after_possible_local_failure: latest_end
                     .min(context.request_deadline.unwrap_or(context.attempt_deadline)),
-                local_failure: &context.local_failure,
+                possible_local_failure: &context.possible_local_failure,
             };
             match Connection::open(context.address, permit, connect_deadline).await {
                 Ok(connection) => connection,
@@ -121,7 +121,7 @@
         client_deadline: context.client_deadline,
         attempt_deadline: context
             .request_deadline
-            .filter(|_| context.local_failure.load(Ordering::Relaxed))
+            .filter(|_| context.possible_local_failure.load(Ordering::Relaxed))
             .unwrap_or(context.attempt_deadline),
         begin_by: context.begin_by,
         streamed: remainder.is_some(),
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -28,7 +28,7 @@
         connect_timeout: Duration::from_secs(30),
         attempt_deadline: Instant::now() + Duration::from_secs(30),
         request_deadline: None,
-        local_failure: Arc::default(),
+        possible_local_failure: Arc::default(),
         begin_by: None,
         attempt_counter: None,
         body_memory: BodyMemory::new(1 << 20),
