--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -159,7 +159,7 @@
         Some(OrderOutcome::UnknownEndpoint) => {
             text_response(StatusCode::NOT_FOUND, "no such upstream was ever listed\n")
         }
-        Some(OrderOutcome::NotStored) => {
+        Some(OrderOutcome::NotPersisted) => {
             text_response(StatusCode::INTERNAL_SERVER_ERROR, "could not be kept\n")
         }
         None => text_response(StatusCode::SERVICE_UNAVAILABLE, "not in force\n"),
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -248,7 +248,7 @@
             }
             DispatcherMessage::AttemptEnded(id, number, result) => self.on_attempt_ended(id, number, result),
             DispatcherMessage::LoadQueryEnded(endpoint, result) => self.on_load_query_ended(endpoint, result),
-            DispatcherMessage::DescriptorShortage => self.idle_pool.close_all(),
+            DispatcherMessage::ResourceShortage => self.idle_pool.close_all(),
             DispatcherMessage::EndpointList(listing) => self.on_endpoint_list(listing, ListOrigin::Discovery),
             DispatcherMessage::DiscoveryFailed => self.handle_event(Event::DiscoveryFailed),
             DispatcherMessage::DiscoveryMoved => self.handle_event(Event::DiscoveryMoved),
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -15,12 +15,12 @@
             }
             FolderEvent::OrderPersisted(request, offline) => {
                 self.apply_offline_list(offline);
-                self.on_order_stored(&request.order);
+                self.on_order_persisted(&request.order);
                 // The order stays in force even if its operator has disconnected.
                 request.outcome_sender.send(OrderOutcome::Applied).ok();
             }
             FolderEvent::OrderNotPersisted(request) => {
-                request.outcome_sender.send(OrderOutcome::NotStored).ok();
+                request.outcome_sender.send(OrderOutcome::NotPersisted).ok();
             }
         }
     }
@@ -52,7 +52,7 @@
         let outcome = match &self.shared_folder {
             _ if !self.was_listed(&request.order.uid) => OrderOutcome::UnknownEndpoint,
             Some(shared_folder) => return shared_folder.persist_order(request),
-            None => OrderOutcome::NotStored,
+            None => OrderOutcome::NotPersisted,
         };
         request.outcome_sender.send(outcome).ok();
     }
@@ -67,7 +67,7 @@
     }
 
     /// Logs an order that has come into force.
-    pub(super) fn on_order_stored(&mut self, order: &Order) {
+    pub(super) fn on_order_persisted(&mut self, order: &Order) {
         self.update_host_counts();
         let uid = &order.uid;
         crate::proxy::logging::log(format_args!(
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -75,7 +75,7 @@
         if accept_failures.failures == 0 {
             return;
         }
-        self.dispatcher.send(DispatcherMessage::DescriptorShortage).ok();
+        self.dispatcher.send(DispatcherMessage::ResourceShortage).ok();
         let is_persistent = accept_failures.failures >= PERSISTENT_SHORTAGE_FAILURES;
         self.evict_idle_where(|state, _| {
             is_persistent
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -28,8 +28,8 @@
     AttemptEnded(RequestId, u32, AttemptResult),
     /// A load query to an endpoint ended.
     LoadQueryEnded(EndpointId, AttemptResult),
-    /// A client could not be accepted because the process has no file descriptor left.
-    DescriptorShortage,
+    /// Clients cannot be accepted for lack of file descriptors or socket memory, which closing idle connections frees.
+    ResourceShortage,
     /// Discovery returned a complete endpoint list or a change to it.
     EndpointList(Listing),
     /// A request to discovery failed or its watch broke.
--- a/src/proxy/orders.rs
+++ b/src/proxy/orders.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     pub uid: String,
-    /// Whether to take the endpoint offline or to bring it back online.
+    /// True to take the endpoint offline, false to bring it back online.
     pub offline: bool,
 }
 
@@ -41,15 +41,15 @@
     }
 }
 
-/// The outcome of an order, which the admin interface reports to the operator.
+/// The outcome of an order, which the admin server reports to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The order is in force.
     Applied,
     /// No endpoint with this uid was ever listed.
     UnknownEndpoint,
-    /// The order could not be stored for the processes that start after this one, and is not in force.
-    NotStored,
+    /// The order could not be persisted for the processes that start after this one, and is not in force.
+    NotPersisted,
 }
 
 /// Settles the race between the thread that commits an order and the admin request that stops waiting for it:
