--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 impl Dispatcher {
-    /// Passes an event to the decision module and carries out its actions, then does the same for the ends of the
-    /// attempts that could not be sent.
+    /// Passes an event to the decision module and carries out its actions. Attempts that cannot be sent end at once:
+    /// these ends are then passed to the decision module in the same way.
     pub(super) fn handle_event(&mut self, event: Event<'_>) {
         self.apply_event(event);
         while let Some((id, end)) = self.queued_attempt_ends.pop_front() {
@@ -46,7 +46,7 @@
             Action::CloseIdle(endpoint) => self.idle_pool.close(endpoint),
             Action::SetTimer { after, token } => self.set_timer(after, Timer::Decision(token)),
             Action::WatchEndpoints => {
-                self.subscribe.send(()).ok(); // fails only while the process exits
+                self.subscribe.send(()).ok(); // fails only when the process exits
             }
             Action::Log(text) => crate::proxy::logging::log(format_args!("{text}")),
         }
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Dispatcher {
-    /// Starts an attempt, or queues its end as not sent where it is too late or impossible to send it.
+    /// Starts an attempt. If it is too late or impossible to send it, queues its end as not sent.
     pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
@@ -108,11 +108,11 @@
             }
         };
         tokio::spawn(async move {
-            let choose_outcome = |if_written, if_unwritten| {
-                if write_started_flag.load(Ordering::Relaxed) { if_written } else { if_unwritten }
+            let choose_outcome = |if_write_started, if_unwritten| {
+                if write_started_flag.load(Ordering::Relaxed) { if_write_started } else { if_unwritten }
             };
-            // Cancellation is checked first, as the response is not needed then. A response that has arrived by the
-            // expiry counts.
+            // Cancellation is checked first, as the response of a cancelled attempt is not needed. Expiry is checked
+            // last, so that a response that has arrived by then counts.
             let exchange_outcome = tokio::select! {
                 biased;
                 _ = cancelled => choose_outcome(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
@@ -122,7 +122,7 @@
             let message = match exchange_outcome {
                 ExchangeOutcome::Ended(result) => DispatcherMessage::AttemptEnded(id, number, result),
                 ExchangeOutcome::ClientDisconnected(result) => {
-                    // Sent before the attempt's end, which could cause a retry otherwise.
+                    // Sent before the attempt's end, which could otherwise cause a retry.
                     messages.send(DispatcherMessage::ClientDisconnected(id)).ok();
                     DispatcherMessage::AttemptEnded(id, number, result)
                 }
@@ -134,7 +134,7 @@
         });
     }
 
-    /// The context of an exchange, without the fields that only a client's request has.
+    /// The context of an exchange with an upstream. The fields that only a client's request needs are left empty.
     pub(super) fn exchange_context(
         &self,
         connection_source: ConnectionSource,
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Queues the end of an attempt that is not sent. The decision module is notified after the current event.
+    /// Queues the end of an attempt that is not sent. The decision module is notified once it has handled the current
+    /// event.
     pub(super) fn queue_not_sent(&mut self, id: RequestId, number: u32) {
         let pending_request = self.requests.get(&id);
         let request_closed =
@@ -176,8 +177,8 @@
         self.queued_attempt_ends.push_back((id, end));
     }
 
-    /// Streams a response to the client while it is received, even past the request's deadline as long as its rate
-    /// suffices.
+    /// Streams a response to the client while it is received. That may go on past the request's deadline, as long as
+    /// the response does not fall below the minimum rate.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, started: StartedResponse) {
         let request_deadline =
             self.requests.get(&id).and_then(|pending_request| pending_request.request_deadline);
@@ -207,8 +208,8 @@
         sender.send(response).ok();
     }
 
-    /// Handles the end of an attempt: keeps its connection, responds to the client if the response is final, and
-    /// notifies the decision module.
+    /// Handles the end of an attempt: keeps its connection for reuse, responds to the client if the response is final,
+    /// and notifies the decision module.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, result: AttemptResult) {
         let now = self.clock.now();
         let Some(pending_request) = self.requests.get_mut(&id) else { return };
@@ -219,7 +220,7 @@
         };
         let attempt = pending_request.attempts_in_flight.swap_remove(position);
         let (class, body_consumed) = (pending_request.class, pending_request.request.body().is_consumed());
-        // The time in which the request itself was still being received does not count for the attempt.
+        // The time in which the request was still being received from the client does not count for the attempt.
         let received_at =
             pending_request.received_at.borrow().map_or(0, |received_at| self.clock.time(received_at));
         let elapsed = now.saturating_sub(attempt.sent_at.max(received_at));
@@ -234,7 +235,7 @@
             load = started_load;
             match result.outcome {
                 AttemptOutcome::Success => self.counters.count(class, request_outcome),
-                AttemptOutcome::Cancelled => {} // the client disconnected
+                AttemptOutcome::Cancelled => {} // the client has disconnected
                 _ => self.counters.count(class, metrics::RequestOutcome::Failure),
             }
         }
@@ -256,7 +257,7 @@
         self.remove_if_finished(id);
     }
 
-    /// The load report in a response's head, if it has a valid one.
+    /// The load report in the head of a response, if there is a valid one.
     pub(super) fn response_load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
         let report = response.headers().get("x-load-report")?;
         parse_load_report(report.as_bytes(), &self.config.proxy_settings.report_fields)
@@ -279,7 +280,7 @@
         let received = timeout(IDLE_TIMEOUT / 10, received_at.wait_for(Option::is_some)).await;
         match received.map(|received| received.ok().and_then(|received| *received)) {
             Ok(Some(received)) => return sleep_until(received + time_limit).await,
-            Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt
+            Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt's end
             Err(_) if remainder.remaining() != last_remaining => {
                 (last_remaining, last_progress) = (remainder.remaining(), Instant::now())
             }
@@ -289,7 +290,7 @@
     }
 }
 
-/// The client's request as it is sent upstream: with HTTP/1.1, a target in origin form and a Host header.
+/// The client's request as it is sent upstream: as HTTP/1.1, with a target in origin form and a Host header.
 pub(super) fn upstream_request(request: &Request<RequestBody>, address: SocketAddr) -> Request<RequestBody> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -28,7 +28,7 @@
     }
 
     /// Removes the endpoints that a list reports as terminated or that a complete list omits, and closes their idle
-    /// connections. This bounds the memory where discovery keeps listing new endpoints.
+    /// connections. This bounds the memory use if discovery keeps listing new endpoints.
     pub(super) fn remove_delisted_endpoints(&mut self, listing: &Listing) {
         let uids = |terminated: bool| {
             let targets = listing
@@ -50,7 +50,7 @@
                 removed_uids.push_back(uid.clone());
                 removed.push(*endpoint);
             }
-            is_kept || offline.contains(uid) // taken offline, it stays so when it is listed again
+            is_kept || offline.contains(uid) // an endpoint taken offline stays offline when it is listed again
         });
         removed.into_iter().for_each(|endpoint| self.cancel_unwritten_attempts(endpoint));
         let removed_uids = &mut self.removed_uids;
@@ -68,8 +68,8 @@
         self.start_times.retain(|uid| endpoint_ids.contains_key(uid) || removed_uids.contains(uid));
     }
 
-    /// Cancels the attempts that still wait for a connection to an endpoint, as they would be written once it is
-    /// established. Their tasks report them as not sent.
+    /// Cancels the attempts that still wait for a connection to an endpoint: otherwise they would be written once the
+    /// connection is established. Their tasks report them as not sent.
     pub(super) fn cancel_unwritten_attempts(&mut self, endpoint: EndpointId) {
         let attempts =
             self.requests.values_mut().flat_map(|pending_request| &mut pending_request.attempts_in_flight);
@@ -97,13 +97,13 @@
         let address: Option<SocketAddr> = target.endpoint.parse().ok();
         if address.is_none() {
             crate::proxy::logging::log(format_args!(
-                "upstream {}: {:?} is not an IP address with a port",
+                "upstream {}: {:?} is not an IP address with a port, no requests are sent to it",
                 target.uid, target.endpoint
             ));
         }
         let in_service = target.state == ListedState::InService;
         let upstream = Upstream { address, boot_ms: target.boot_ms, in_service };
-        // Connections to an earlier process, or to one that is not in service, must not be used, nor waited for.
+        // Connections to an earlier process, or to one that is not in service, are not used any more, nor waited for.
         if !in_service || self.endpoints.get(&endpoint) != Some(&upstream) {
             self.idle_pool.close(endpoint);
             self.cancel_unwritten_attempts(endpoint);
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -1,4 +1,4 @@
-//! Load queries to endpoints, which the decision module asks for if the settings allow them.
+//! Load queries to endpoints, which the decision module requests if the settings allow them.
 
 use super::{Dispatcher, LOAD_QUERY_TIMEOUT, attempts::parse_load_report, attempts::upstream_request};
 use crate::proxy::body::request_body::RequestBody;
@@ -9,12 +9,12 @@
 use tokio::time::{Instant, timeout};
 
 impl Dispatcher {
-    /// Sends a load query to an endpoint, unless it has no address or no connection may be opened.
+    /// Sends a load query to an endpoint, unless its address is not known or no connection may be opened.
     pub(super) fn query_load(&mut self, endpoint: EndpointId) {
         let Some(address) = self.endpoints.get(&endpoint).and_then(|upstream| upstream.address) else {
             return;
         };
-        // No end is reported without a connection: the decision module does not wait for a load query.
+        // If no connection may be opened, no end is reported: the decision module does not wait for a load query.
         let Some(connection_source) = self.idle_pool.acquire(endpoint) else { return };
         let mut request = Request::new(RequestBody::default());
         *request.uri_mut() = Uri::from_static("/load");
@@ -27,7 +27,7 @@
         tokio::spawn(async move {
             let result = match timeout(LOAD_QUERY_TIMEOUT, exchange).await {
                 Ok(ExchangeOutcome::Ended(result) | ExchangeOutcome::ClientDisconnected(result)) => result,
-                // A load report is never too long to be buffered.
+                // A valid load report is never too long to be buffered.
                 Ok(ExchangeOutcome::ResponseStarted(_)) => AttemptOutcome::Error.into(),
                 Err(_) => AttemptOutcome::Timeout.into(),
             };
@@ -35,7 +35,7 @@
         });
     }
 
-    /// Passes the result of a load query to the decision module and keeps its connection.
+    /// Passes the result of a load query to the decision module, and keeps its connection for reuse.
     pub(super) fn on_load_query_ended(&mut self, endpoint: EndpointId, result: AttemptResult) {
         if let Some(connection) = result.connection.filter(|_| self.endpoints.contains_key(&endpoint)) {
             self.idle_pool.release(endpoint, connection);
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -1,5 +1,6 @@
-//! The dispatcher: owns the decision module, passes events to it and carries out its actions. It makes no decisions of
-//! its own, except to fail a request that the decision module has left open past its deadline.
+//! The dispatcher: owns the decision module, passes events to it and carries out its actions. That module
+//! chooses endpoints, retries and rejections. The dispatcher refuses attempts that can no longer be sent, and fails
+//! requests that the decision module has left open past their deadline.
 
 mod actions;
 mod attempts;
@@ -34,7 +35,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Delay after a request's deadline before the dispatcher itself fails a request that has no response yet, in
+/// How long after a request's deadline the dispatcher itself fails the request if it has no response yet, in
 /// nanoseconds. The decision module should have ended the request long before.
 const DEADLINE_GUARD_DELAY: Time = 25_000_000;
 
@@ -44,13 +45,13 @@
 /// Interval at which the shared folder is checked and the host counts are updated, in nanoseconds.
 const SHARED_FOLDER_CHECK_INTERVAL: Time = 100_000_000;
 
-/// Number of removed endpoints whose uids are kept, so that orders about them are not rejected as unknown.
+/// Maximum number of removed endpoints whose uids are kept, so that orders about them are not rejected as unknown.
 const MAX_REMOVED_UIDS: usize = 1024;
 
 /// Time after which a load query is abandoned.
 const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Messages that are handled in a row before due timers are run.
+/// Maximum number of messages that are handled in a row before due timers are run.
 const MAX_MESSAGES_PER_TURN: usize = 32;
 
 /// A request that has no response yet, or has attempts in flight.
@@ -60,14 +61,15 @@
     class: usize,
     /// When the request times out; `None` while its body is still being received, as its time runs from the last byte.
     request_deadline: Option<Time>,
-    /// When the client stops waiting, as known when the request was accepted: the same as `request_deadline`, or, if the
-    /// body was still being received, counted from the end of its buffered part.
+    /// When the client stops waiting, as known when the request was accepted: the same as `request_deadline`, or, if
+    /// the body was still being received, counted from the end of its buffered part.
     client_deadline: Time,
-    /// When the request was received completely; the expiry of attempts that started earlier is counted from then on.
+    /// When a streamed request was received completely. The time limit of attempts that started earlier is counted from
+    /// then on.
     received_at: watch::Sender<Option<Instant>>,
-    /// Receives the final response; `None` once it is sent or the client has disconnected.
+    /// Receives the final response; `None` once that is sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// The number of attempts so far, including those that were not sent.
+    /// The number of attempts so far, including those that could not be sent.
     attempts: u32,
     attempts_in_flight: Vec<AttemptInFlight>,
 }
@@ -79,17 +81,18 @@
     /// The process that the attempt is sent to.
     upstream: Upstream,
     sent_at: Time,
-    /// Set once the response is streamed to the client: the outcome to count if it completes, and the load report in
-    /// its head.
+    /// Set once the response is streamed to the client: the outcome that the request is counted with if the response
+    /// completes, and the load report in the head of the response.
     started_response: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
-    /// Set right before the first byte is written. Until then the attempt can be cancelled as never sent.
+    /// Set right before the first byte of the request is written. Until then, the attempt can be cancelled as never
+    /// sent.
     write_started: Arc<AtomicBool>,
     /// Dropping the sender cancels the attempt.
     cancel: Option<oneshot::Sender<()>>,
 }
 
 impl AttemptInFlight {
-    /// Cancels the attempt unless a part of it may have been written.
+    /// Cancels the attempt unless a part of the request may have been written.
     fn cancel_if_unwritten(&mut self) {
         if !self.write_started.load(Ordering::Relaxed) {
             self.cancel = None;
@@ -108,7 +111,7 @@
     SharedFolderCheck,
 }
 
-/// The end of an attempt, queued until the decision module has handled the current event.
+/// The end of an attempt that was not sent, queued until the decision module has handled the current event.
 type QueuedAttemptEnd = (RequestId, AttemptEnd);
 
 /// The task that owns the decision module.
@@ -143,15 +146,15 @@
     idle_pool: IdlePool,
     body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// The times at which requests without a response are failed by the deadline guard.
+    /// When the deadline guard fails each request that has no response yet.
     deadline_guards: BTreeSet<(Time, RequestId)>,
     /// An empty buffer for the decision module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
-    /// Ends of attempts that the decision module has not been notified of yet.
+    /// Ends of attempts that were not sent, of which the decision module has not been notified yet.
     queued_attempt_ends: VecDeque<QueuedAttemptEnd>,
 }
 
-/// The process behind an endpoint, as discovery lists it.
+/// The process behind an endpoint, as the endpoint list describes it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Upstream {
     /// `None` if the listed address is invalid.
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -6,7 +6,7 @@
 use balancer::decision::{EndpointId, Event};
 
 impl Dispatcher {
-    /// Handles a report of the shared folder's thread.
+    /// Handles an event from the shared folder's thread.
     pub(super) fn on_shared_folder(&mut self, event: FolderEvent) {
         match event {
             FolderEvent::CheckFinished(state) => {
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Applies the orders that operators gave to another process, and notes whether another process is running.
+    /// Applies the orders that operators gave to another process, and adapts the connection limit to whether another
+    /// process may be serving.
     pub(super) fn on_folder_state(&mut self, state: FolderState) {
         let FolderState { offline, overlapping } = state;
         if offline != self.offline {
@@ -57,7 +58,7 @@
         request.outcome_sender.send(outcome).ok();
     }
 
-    /// Whether an endpoint is or was listed, in this process or in an earlier one.
+    /// Whether an endpoint is or was listed, in this process or in an earlier one, as far as its uid is still kept.
     pub(super) fn was_listed(&self, uid: &str) -> bool {
         let is_listed =
             self.endpoint_ids.get(uid).is_some_and(|endpoint| self.endpoints.contains_key(endpoint));
@@ -66,7 +67,7 @@
             || self.removed_uids.iter().any(|removed_uid| removed_uid == uid)
     }
 
-    /// Logs an order that has come into force.
+    /// Logs an order that has come into force, and updates the host counts.
     pub(super) fn on_order_persisted(&mut self, order: &Order) {
         self.update_host_counts();
         let uid = &order.uid;
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Records the uid of an endpoint that is back online but no longer listed: the offline list does not contain it
-    /// any more, and a later order about it must not be rejected as unknown.
+    /// Records the uid of an endpoint that was brought back online, if it is not listed. The offline list does not
+    /// contain the uid any more, and a later order about the endpoint must not be rejected as unknown.
     pub(super) fn record_removed_uid(&mut self, uid: &str, endpoint: EndpointId) {
         let is_listed = self.endpoints.contains_key(&endpoint);
         if !is_listed && !self.removed_uids.iter().any(|removed_uid| removed_uid == uid) {
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -54,7 +54,7 @@
         self.deadline_guards.insert((request_deadline.saturating_add(DEADLINE_GUARD_DELAY), id));
     }
 
-    /// Ends a request whose client has disconnected.
+    /// Ends a request whose client has disconnected, unless it has its final response.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if self.take_response_sender(id).is_some() {
             self.handle_event(Event::ClientDisconnected(id));
@@ -63,8 +63,10 @@
     }
 
     /// Takes the sender for the final response and the class of a request; `None` if the response was already sent or
-    /// the client has disconnected. Removes the deadline guard and cancels the attempts that still wait for a connection,
-    /// also where attempts that were written must not be cancelled.
+    /// the client has disconnected.
+    ///
+    /// Removes the deadline guard, and cancels the attempts that still wait for a connection. These were never sent, so
+    /// they are cancelled even if the settings do not allow attempts in flight to be cancelled.
     pub(super) fn take_response_sender(
         &mut self,
         id: RequestId,
@@ -90,7 +92,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a request that has had its response and has no attempt in flight.
+    /// Removes a request once nobody waits for its response any more and no attempt is in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|pending_request| {
             pending_request.response_sender.is_none() && pending_request.attempts_in_flight.is_empty()
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! Timers, and the guard that fails requests left open past their deadline.
+//! Timers, and the deadline guard, which fails requests that the decision module has left open past their deadline.
 
 use super::{Dispatcher, IDLE_SWEEP_INTERVAL, SHARED_FOLDER_CHECK_INTERVAL, Timer};
 use crate::proxy::messages::FinalResponse;
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 
 impl Dispatcher {
-    /// Schedules a timer.
+    /// Schedules a timer that fires `after` nanoseconds from now.
     pub(super) fn set_timer(&mut self, after: Time, timer: Timer) {
         self.timers.push(Reverse((self.clock.now().saturating_add(after), timer)));
     }
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Fails a request that the decision module has left open past its deadline, and ends it there as if its client had
-    /// disconnected.
+    /// Fails a request that the decision module has left open past its deadline. In the decision module, the request
+    /// ends as if its client had disconnected.
     pub(super) fn on_deadline_guard(&mut self, id: RequestId) {
         crate::proxy::logging::log(format_args!("request {} was left open past its time, failing it", id.0));
         self.respond(id, FinalResponse::Failed);
