--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock that everything is scheduled by, and the only place that reads the wall clock.
+//! The monotonic clock, which everything is scheduled by, and the only code that reads the wall clock.
 //!
 //! The wall clock may be stepped at any moment. It is therefore read only to convert wall times that discovery reports,
 //! and a wall time is never stored for a later comparison.
@@ -66,8 +66,8 @@
         self.process_start + Duration::from_nanos(time.saturating_sub(PROCESS_START))
     }
 
-    /// Reads both clocks, the wall clock first: if the process is delayed between the two, the times converted by this
-    /// reading are too late, never too early.
+    /// Reads both clocks, the wall clock first. If the process is paused in between, wall times that are converted by
+    /// this reading become too late, never too early.
     pub fn read(&self) -> ClockReading {
         let wall = WallTime::now();
         ClockReading { monotonic: self.now(), wall }
--- a/src/proxy/clock_offsets.rs
+++ b/src/proxy/clock_offsets.rs
@@ -1,12 +1,12 @@
-//! The offsets between the wall clock and the monotonic clock over time. They show steps of the wall clock, and convert
-//! wall times to monotonic time across such steps.
+//! The offsets between the wall clock and the monotonic clock over time. A change of the offset shows a step of the
+//! wall clock. The recorded offsets convert wall times from before and after a step to monotonic time.
 
 use super::clock::{ClockReading, WallTime};
 use balancer::decision::Time;
 use std::collections::VecDeque;
 
 /// The smallest change of the offset between two readings that counts as a step, in nanoseconds. Smaller changes come
-/// from slewing, or from a delay of the process between reading the two clocks.
+/// from slewing, or from a pause of the process between reading the two clocks.
 const MIN_STEP: u128 = 200_000_000;
 /// Number of offsets that are kept. Discovery reports a start within seconds, so older offsets are not needed.
 const MAX_OFFSETS: usize = 8;
@@ -25,12 +25,12 @@
 }
 
 impl Offset {
-    /// The monotonic time at which the wall clock shows `wall` under this offset; may be negative.
+    /// The monotonic time in nanoseconds at which the wall clock shows `wall` under this offset; may be negative.
     fn monotonic(&self, wall: WallTime) -> i128 {
         wall.unix_nanos() - self.wall_minus_monotonic
     }
 
-    /// Like [`monotonic`](Self::monotonic), but `None` if this offset did not apply at that time.
+    /// Like [`monotonic`](Self::monotonic), but `None` if this offset cannot have applied at that time.
     fn possible_monotonic(&self, wall: WallTime, now: Time) -> Option<Time> {
         let monotonic = self.monotonic(wall);
         let is_early_enough = monotonic <= i128::from(self.latest_end.unwrap_or(now));
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -18,11 +18,11 @@
 pub enum DispatcherMessage {
     /// A client's request, received completely or up to the size that is buffered.
     Request(Box<ClientRequest>),
-    /// The remainder of a streamed request was received. The instant is the client's deadline.
+    /// A streamed request has been received completely. The instant is its deadline, counted from its last byte.
     RequestReceived(RequestId, Instant),
     /// The client of a request has closed its connection.
     ClientDisconnected(RequestId),
-    /// The response to the attempt with this number has started.
+    /// The response to the attempt with this number has started, and its rest is to be streamed.
     ResponseStarted(RequestId, u32, Box<StartedResponse>),
     /// The attempt with this number ended.
     AttemptEnded(RequestId, u32, AttemptResult),
@@ -32,7 +32,7 @@
     ResourceShortage,
     /// Discovery returned a complete endpoint list or a change to it.
     EndpointList(Listing),
-    /// A request to discovery failed or its watch broke.
+    /// A request to discovery failed, or the watch on the endpoint list broke.
     DiscoveryFailed,
     /// Discovery has moved to another address, which has not been queried yet.
     DiscoveryMoved,
@@ -45,32 +45,34 @@
 /// A client's request, with the channel that receives its final response.
 pub struct ClientRequest {
     pub id: RequestId,
+    /// The request without the headers that concern only the client's connection.
     pub request: Request<RequestBody>,
+    /// Tells whether the client is still connected.
     pub client: ClientLiveness,
     /// The position of the request's class in the settings.
     pub class: usize,
-    /// The position of its tenant in the settings.
+    /// The position of the request's tenant in the settings.
     pub tenant: usize,
-    /// The work that the client expects it to take, in nanoseconds, if it states that.
+    /// The expected work in nanoseconds, if the client states it.
     pub work: Option<u64>,
-    /// When the client stops waiting. While the body is still being received: the deadline counted from the end of its
-    /// buffered part.
+    /// When the client stops waiting. If the body is still being received, this is counted from the end of its buffered
+    /// part, and replaced by the deadline in [`DispatcherMessage::RequestReceived`].
     pub deadline: Instant,
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// The final response to a request.
 pub enum FinalResponse {
-    /// An endpoint's response.
+    /// The response of an upstream.
     Served(Response<ResponseBody>),
     /// Rejected, with the time after which the client may retry; zero for no advice.
     Rejected(Duration),
-    /// Failed; the request may or may not have taken effect.
+    /// Failed; the request may or may not have run.
     Failed,
 }
 
 impl FinalResponse {
-    /// The outcome that this response is counted as.
+    /// The outcome that the request is counted with; for a streamed response, only if it completes.
     pub fn outcome(&self) -> metrics::RequestOutcome {
         match self {
             Self::Served(response) if response.status() == StatusCode::OK => metrics::RequestOutcome::Success,
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters that the admin interface reports to operators. Each event is counted once, where it is observed.
+//! Counters that the admin server reports to operators. Each event is counted once, where it is observed.
 
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -19,9 +19,13 @@
 #[derive(Default)]
 pub struct Counters {
     classes: Vec<ClassCounters>,
+    /// Attempts whose request was written completely.
     attempts: Arc<AtomicU64>,
+    /// Requests in flight now.
     inflight: Arc<AtomicUsize>,
+    /// Endpoints that are listed now.
     hosts_listed: AtomicUsize,
+    /// Listed endpoints that get no requests now.
     hosts_down: AtomicUsize,
 }
 
@@ -48,7 +52,7 @@
         }
     }
 
-    /// The counter of attempts whose last byte has been written.
+    /// The counter of attempts whose request was written completely.
     pub fn attempt_counter(&self) -> Arc<AtomicU64> {
         self.attempts.clone()
     }
@@ -65,7 +69,7 @@
         self.hosts_down.store(down, Ordering::Relaxed);
     }
 
-    /// The counters as JSON, in the form that the admin interface serves.
+    /// The counters as JSON, in the form that the admin server returns.
     pub fn report(&self) -> Value {
         let classes = self.classes.iter().map(|class| {
             let [success, busy, failure] =
--- a/src/proxy/orders.rs
+++ b/src/proxy/orders.rs
@@ -13,6 +13,7 @@
 /// folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
+    /// The uid of the endpoint.
     pub uid: String,
     /// True to take the endpoint offline, false to bring it back online.
     pub offline: bool,
@@ -72,6 +73,7 @@
 /// An order that waits to be applied, with the channel that receives its outcome.
 pub struct OrderRequest {
     pub order: Order,
+    /// Claimed when the order is committed, or when the operator's request times out.
     pub claim: OrderClaim,
     pub outcome_sender: oneshot::Sender<OrderOutcome>,
 }
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -1,8 +1,8 @@
 //! Checks right before each write to an upstream that the client is still connected and has time left.
 //!
 //! Connecting, other tasks of the event loop and pauses of the process can delay the write after the upstream has been
-//! chosen. The clock is read first and the kernel's state of the client connection after it, because the process may
-//! also be paused between the two.
+//! chosen. The clock is read first, and the kernel's state of the client connection after it: if the process is paused
+//! between the two, a disconnect during the pause is still noticed.
 
 use crate::proxy::downstream::connection::ClientLiveness;
 use std::fmt;
@@ -14,17 +14,17 @@
 
 /// Start of the header field that carries the upstream's time budget, as it appears in a request head.
 const BUDGET_FIELD_START: &[u8] = b"\r\nx-budget: ";
-/// Subtracted from the client's remaining time before it is sent upstream: the client's time also ran while its request
-/// was on its way here, and runs until the upstream has the last byte. The slack before the client's deadline remains
-/// for pauses of the process.
+/// Subtracted from the client's remaining time to get the budget that is sent upstream. It covers the time that the
+/// request took to get here and the time until the upstream has the last byte, so that all slack is left for pauses of
+/// the process.
 const BUDGET_MARGIN: Duration = Duration::from_millis(5);
-/// Smallest budget that is sent: with less time an upstream could only drop the request.
+/// Smallest budget that is sent. With less time, an upstream could only drop the request.
 const MIN_BUDGET: Duration = Duration::from_millis(5);
-/// Maximum time from the first write of a buffered request to the last. After that the budget in its head is outdated,
-/// and the write is aborted.
+/// Maximum time from the first write of a buffered request to the last. After that, the budget in its head is outdated,
+/// and no more of it is written.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// The budget for an upstream when the client has `time_left`; `None` if that is too short for an attempt.
+/// The budget for an upstream when the client waits for `time_left` more; `None` if that is too short for an attempt.
 pub fn upstream_budget(time_left: Duration) -> Option<Duration> {
     time_left.checked_sub(BUDGET_MARGIN).filter(|budget| *budget >= MIN_BUDGET)
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
     ClientDisconnected,
-    /// Too little of the client's time is left, or the last time to begin has passed.
+    /// Too little of the client's time is left, `begin_by` has passed, or writing the request takes too long.
     TooLate,
 }
 
@@ -57,13 +57,14 @@
 pub struct SendConditions {
     /// The client that sent the request; `None` for a load query.
     pub client: Option<ClientLiveness>,
-    /// When the client stops waiting; `None` for a load query.
+    /// When the client stops waiting, as known when its request was accepted; `None` for a load query.
     pub client_deadline: Option<Instant>,
     /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// The request is not written, or not completely, after this time.
+    /// From this time on, no more of the request is written; `None` for no limit.
     pub begin_by: Option<Instant>,
-    /// The request body is streamed from the client, whose time runs only from its last byte.
+    /// The request body is streamed from the client, whose time runs only from its last byte. [`MAX_WRITE_TIME`] does
+    /// not apply.
     pub streamed: bool,
 }
 
@@ -90,10 +91,10 @@
         self.begin_by.is_none_or(|begin_by| now < begin_by)
     }
 
-    /// Fails if the client has disconnected. `request_received` says that all of its request has been received.
-    fn check_client_connected(&self, request_received: bool) -> Result<(), NotSentReason> {
+    /// Fails if the client has disconnected. `request_complete` says that all of its request has been received.
+    fn check_client_connected(&self, request_complete: bool) -> Result<(), NotSentReason> {
         match &self.client {
-            Some(client) if client.is_disconnected(request_received) => {
+            Some(client) if client.is_disconnected(request_complete) => {
                 Err(NotSentReason::ClientDisconnected)
             }
             _ => Ok(()),
@@ -101,23 +102,23 @@
     }
 }
 
-/// Checks the send conditions before each write of a request and tracks the bytes written.
+/// Checks the send conditions before each write of a request, and tracks how many bytes were written.
 pub struct SendCheck {
     conditions: SendConditions,
-    /// Set once a byte may have been written.
+    /// Set before the first write that the checks allow.
     write_started: Arc<AtomicBool>,
-    /// When the first write was tried.
+    /// When the first write was attempted; the budget is computed for this time.
     first_write: Option<Instant>,
     bytes_written: usize,
-    /// The `x-budget` field with the budget as of the first write.
+    /// The `x-budget` field, with the budget as of the first write; `None` if the head has no such field.
     budget_field: Option<BudgetField>,
     /// Why a write was refused.
     not_sent: Option<NotSentReason>,
 }
 
-/// The value of the `x-budget` field in a request head.
+/// Where the value of the `x-budget` field is in a request head, and what to write there.
 struct BudgetField {
-    /// Position of the value in the head.
+    /// Byte range of the value in the head.
     range: Range<usize>,
     /// The digits to write there.
     digits: Vec<u8>,
@@ -146,8 +147,9 @@
         self.bytes_written += bytes;
     }
 
-    /// Checks the conditions right before a write. Returns the bytes to write in place of `first_part` if the budget
-    /// has to be filled in. `ends_request` says that the write includes the last byte of the request.
+    /// Checks the conditions right before a write of `first_part` and further parts. If `first_part` includes a part of
+    /// the budget field, returns the bytes to write in its place. `ends_request` says that the write includes the last
+    /// byte of the request.
     pub fn before_write(
         &mut self,
         first_part: &[u8],
@@ -173,8 +175,8 @@
         self.conditions.check_client_connected(ends_request)
     }
 
-    /// The upstream runs a request once it has the last byte, so a request that must not start any more must not be
-    /// completed either.
+    /// The upstream runs a request once it has the last byte. A request that must not start any more must therefore not
+    /// be completed either.
     fn check_later_write(&self, ends_request: bool) -> Result<(), NotSentReason> {
         let now = Instant::now();
         let is_slow = self.first_write.is_some_and(|first_write| now > first_write + MAX_WRITE_TIME);
@@ -184,7 +186,8 @@
         self.conditions.check_client_connected(ends_request)
     }
 
-    /// Fills the budget as of the first write into `first_part`; `None` if the budget field is already written.
+    /// Returns `first_part` with the budget as of the first write filled in; `None` if the budget field is already
+    /// written or missing.
     fn with_budget(&self, first_part: &[u8]) -> Option<Vec<u8>> {
         let field = self.budget_field.as_ref().filter(|field| self.bytes_written < field.range.end)?;
         let mut bytes = first_part.to_vec();
@@ -203,7 +206,7 @@
         let start = start + BUDGET_FIELD_START.len();
         let length = head[start..].iter().position(|byte| *byte == b'\r')?;
         let mut digits = format_seconds(budget).into_bytes();
-        digits.resize(length, b'0'); // the budget only shrinks, and trailing zeros do not change it
+        digits.resize(length, b'0'); // the budget only shrinks, so it fits; trailing zeros do not change it
         Some(Self { range: start..start + length, digits })
     }
 }
--- a/src/proxy/send_check/tests.rs
+++ b/src/proxy/send_check/tests.rs
@@ -58,8 +58,8 @@
     assert!(!send_check.write_started.load(Ordering::Relaxed));
 }
 
-/// Guards clients of fast upstreams, whose attempts have short deadlines: the attempt's timer enforces those, not the
-/// send check.
+/// Guards clients of fast upstreams, whose attempts have short deadlines: the attempt's timer enforces these deadlines,
+/// not the send check.
 #[test]
 fn an_attempt_past_its_own_deadline_is_written() {
     let mut send_check = send_check(Duration::from_secs(9));
@@ -67,8 +67,8 @@
     assert!(send_check.before_write(HEAD, true).is_ok());
 }
 
-/// Guards against an outdated budget: the upstream runs the request once it has the last byte, long after the head with
-/// the budget was written.
+/// Guards against an outdated budget: the upstream runs the request once it has the last byte. That may be long after
+/// the head with the budget was written.
 #[test]
 fn a_request_that_takes_long_to_write_is_not_written_to_its_end() {
     let mut send_check = send_check(Duration::from_secs(9));
--- a/src/proxy/start_times.rs
+++ b/src/proxy/start_times.rs
@@ -15,7 +15,7 @@
     Discovery,
 }
 
-/// The latest reported start of an endpoint.
+/// The start of an endpoint that was reported last.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     /// The start as reported, in milliseconds of Unix time; 0 if no start was reported.
@@ -34,15 +34,17 @@
 }
 
 impl StartTimes {
-    /// Records a reading of both clocks. Must be called before a list is processed, and at short intervals in
-    /// between, so that the time of each step of the wall clock is known closely.
+    /// Records a reading of both clocks. Must be called before each list is processed. It must also be called at short
+    /// intervals in between, so that the time of each step of the wall clock is known closely.
     pub fn record_clock_reading(&mut self, reading: ClockReading) {
         self.offsets.record(reading);
     }
 
-    /// Returns when an endpoint started, given the `boot_ms` of a list: milliseconds of Unix time, or 0 for long ago,
-    /// which returns `None`. A start that was reported before keeps its time. A new start is not in the future, and is
-    /// placed after the previous one and after the last list that still had the previous one.
+    /// Returns when an endpoint started, or `None` if that was long ago. `boot_ms` is the start as the list reports it,
+    /// in milliseconds of Unix time, or 0 for long ago.
+    ///
+    /// The start that was reported last keeps its time. A new start is not in the future, and is placed after the
+    /// previous start and after the last list from discovery that did not report the new one yet.
     pub fn started(&mut self, uid: &str, boot_ms: u64, origin: ListOrigin, now: Time) -> Option<Time> {
         let start = match self.starts.get_mut(uid) {
             Some(start) => start,
@@ -56,7 +58,8 @@
             let reported = self.offsets.monotonic(WallTime::from_unix_millis(boot_ms), now);
             let previous_last_known = start.started_at.max(start.confirmed_at.unwrap_or(0));
             start.boot_ms = boot_ms;
-            start.started_at = reported.max(previous_last_known.saturating_add(1)); // two starts never have the same time
+            // Two starts of an endpoint never have the same time.
+            start.started_at = reported.max(previous_last_known.saturating_add(1));
         }
         if origin == ListOrigin::Discovery {
             start.confirmed_at = Some(now);
