--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -83,8 +83,8 @@
 /// local are retried until the deadline, with increasing pauses.
 ///
 /// If other peers have been reached since the first failure, a persistent error of the route or of ambiguous origin is
-/// returned before the deadline, so that another peer can be used. An ambiguous error is then attributed to this peer.
-/// If no other peer has been reached, it is attributed to the local network.
+/// returned before the deadline, so that another peer can be used. An ambiguous error is attributed to this peer in
+/// that case, and to the local network if no other peer has been reached.
 pub async fn connect(
     peer: SocketAddr,
     connect_deadline: ConnectDeadline<'_>,
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -25,12 +25,15 @@
 
 /// An HTTP/1.1 connection to an upstream, closed on drop.
 pub struct Connection {
+    /// Hands requests to hyper.
     pub sender: SendRequest<UpstreamRequestBody<BodyConsumedCallback>>,
     /// The socket, for checks outside hyper.
     pub tcp: Arc<TcpStream>,
+    /// The progress of the current request, which the socket updates.
     pub progress: Arc<WriteProgress>,
     /// The task that runs hyper's side of the connection.
     pub task: AbortHandle,
+    /// Counts the connection as open until it is dropped.
     pub permit: ConnectionPermit,
 }
 
@@ -52,8 +55,8 @@
         Ok(Self { sender, tcp, progress, task, permit })
     }
 
-    /// Waits after a response until the connection is ready for another request. Returns `None` if the upstream closes
-    /// the connection or the request has not been written completely.
+    /// Waits after a response until the connection is ready for another request. Returns `None` if the request has not
+    /// been written completely, or if the upstream closes the connection, which it has announced by now.
     pub async fn into_reusable(mut self) -> Option<Self> {
         if !self.progress.written.load(Ordering::Relaxed) {
             return None;
@@ -61,8 +64,8 @@
         self.sender.ready().await.is_ok().then_some(self)
     }
 
-    /// Whether an idle connection is still open. Anything readable on it is its end, which the runtime may not have
-    /// noticed yet; a request written after that would be lost.
+    /// Whether an idle connection is still open and nothing can be read from it. An idle connection receives nothing
+    /// but its end, which the runtime may not have noticed yet. A request written after that would be lost.
     pub fn is_usable(&self) -> bool {
         let peeked = SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]);
         self.sender.is_ready() && peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
@@ -75,16 +78,16 @@
     }
 }
 
-/// How far a request has been written.
+/// How far the current request of a connection has been written.
 #[derive(Default)]
 pub struct WriteProgress {
     /// The whole request body has been handed to hyper.
     pub body_consumed: AtomicBool,
-    /// The last byte of the request is written: from now on the upstream may run it.
+    /// The last byte of the request is written: the upstream may run the request from now on.
     pub written: AtomicBool,
-    /// Incremented when the request is written completely.
+    /// The counter that is incremented when the request is written completely; `None` afterwards and for a load query.
     pub attempt_counter: Mutex<Option<Arc<AtomicU64>>>,
-    /// Checks that each write of the request is still allowed; `None` once it is written completely.
+    /// Checks whether each write of the request is still allowed; `None` once the request is written completely.
     pub send_check: Mutex<Option<SendCheck>>,
 }
 
@@ -122,8 +125,8 @@
 /// Called when the last part of a request body has been handed to hyper.
 pub type BodyConsumedCallback = Box<dyn Fn() + Send>;
 
-/// The socket as hyper uses it: tracks when the last byte of a request is written. `tcp` is shared, so that the
-/// connection can be checked outside hyper.
+/// The socket as hyper uses it. It checks each write, and records when the last byte of a request is written. `tcp` is
+/// shared, so that the connection can be checked outside hyper.
 pub struct UpstreamSocket {
     pub tcp: Arc<TcpStream>,
     pub progress: Arc<WriteProgress>,
@@ -155,7 +158,7 @@
     ) -> Poll<io::Result<usize>> {
         let write = |tcp: &TcpStream| self.progress.write(tcp, parts);
         let written = ready!(poll_io(cx, &self.tcp, TcpStream::poll_write_ready, write))?;
-        // The request is complete when hyper has the whole body and all that it offered is written.
+        // The request is written completely once hyper has the whole body and all bytes that hyper offered are written.
         let offered: usize = parts.iter().map(|part| part.len()).sum();
         if written == offered && self.progress.body_consumed.load(Ordering::Relaxed) {
             self.progress.mark_written();
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -1,4 +1,8 @@
-//! One attempt: sends a request on an upstream connection and receives its response.
+//! The exchange of one attempt: sends the request on an upstream connection and receives the response.
+//!
+//! Three types describe how that ends. [`ExchangeOutcome`] is what [`exchange`] returns: the result of an attempt that
+//! has ended, or a response whose body is still to be streamed. [`AttemptResult`] is the result of an ended attempt,
+//! with its response and connection. [`AttemptOutcome`] is the part of the result that the decision module receives.
 
 use crate::proxy::body::buffer::{BufferedBody, buffer_body};
 use crate::proxy::body::memory::{BodyMemory, MemoryPermit};
@@ -20,14 +24,17 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::time::{Duration, Instant};
 
-/// How long the start of a long response is buffered before it is forwarded. The attempt can still be retried if the
-/// upstream aborts the response within this time.
+/// How long a response of unknown or large size is buffered before it is forwarded. If the upstream aborts the response
+/// within this time, the request can still be retried.
 pub const MAX_BUFFERING_TIME: Duration = Duration::from_millis(50);
 
-/// How an attempt ended: its outcome, the response if it is complete, and the connection if it can be reused.
+/// The result of an attempt that has ended.
 pub struct AttemptResult {
+    /// How the attempt ended, as reported to the decision module.
     pub outcome: AttemptOutcome,
+    /// The response, if it was received and buffered completely.
     pub response: Option<Response<Bytes>>,
+    /// The connection, if it can be reused.
     pub connection: Option<Connection>,
 }
 
@@ -37,13 +44,14 @@
     }
 }
 
-/// How an exchange returned: with a finished attempt, or with a response whose body is still to be received.
+/// What [`exchange`] returns: the result of an attempt that has ended, or a response that is to be streamed.
 pub enum ExchangeOutcome {
     /// The attempt has ended.
     Ended(AttemptResult),
     /// The attempt ended because the client has disconnected.
     ClientDisconnected(AttemptResult),
-    /// The start of the response is buffered; the rest is too long or too slow to be buffered and has to be streamed.
+    /// The start of the response is buffered. The rest is too long or too slow to be buffered, or exceeds the memory
+    /// limit of buffered bodies, and has to be streamed. The attempt ends with the stream.
     ResponseStarted(Box<StartedResponse>),
 }
 
@@ -53,8 +61,9 @@
     pub head: Response<Bytes>,
     /// The rest of the body.
     pub body: Incoming,
+    /// The connection that the response is received on.
     pub connection: Connection,
-    /// Reservation for the buffered start; `None` if the memory limit was reached.
+    /// The memory reserved for the buffered start; `None` if the limit was reached.
     pub memory_permit: Option<MemoryPermit>,
 }
 
@@ -64,28 +73,31 @@
     }
 }
 
-/// The connection, deadlines and shared state of one attempt.
+/// The connection, the deadlines and the shared state of one attempt.
 pub struct ExchangeContext {
     pub connection_source: ConnectionSource,
+    /// The address of the upstream.
     pub address: SocketAddr,
+    /// How long establishing a new connection may take.
     pub connect_timeout: Duration,
     /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// When the request times out; `None` while its body is still being received.
+    /// When the request times out; `None` while its body is still being received, and for a load query.
     pub request_deadline: Option<Instant>,
-    /// Set when a try to connect fails and this machine or its network may be the cause. If `request_deadline` is known,
-    /// the attempt then times out at that time instead of `attempt_deadline`.
+    /// Set when a try to connect fails and this machine or its network may be the cause. If `request_deadline` is
+    /// known, the attempt then times out at that time instead of `attempt_deadline`.
     pub possible_local_failure: Arc<AtomicBool>,
-    /// The request is not written, or not completely, after this time.
+    /// From this time on, no more of the request is written; `None` for no limit.
     pub begin_by: Option<Instant>,
-    /// Counts the attempts whose request was written completely.
+    /// Counts the attempts whose request was written completely; `None` for a load query.
     pub attempt_counter: Option<Arc<AtomicU64>>,
+    /// The memory limit that the buffered part of the response counts towards.
     pub body_memory: Arc<BodyMemory>,
     /// The client that sent the request; `None` for a load query.
     pub client: Option<ClientLiveness>,
-    /// When the client stops waiting; `None` for a load query.
+    /// When the client stops waiting, as known when its request was accepted; `None` for a load query.
     pub client_deadline: Option<Instant>,
-    /// Set right before the first byte is written.
+    /// Set right before the first byte of the request is written.
     pub write_started: Arc<AtomicBool>,
 }
 
@@ -107,7 +119,7 @@
             match Connection::open(context.address, permit, connect_deadline).await {
                 Ok(connection) => connection,
                 Err(ConnectError::Local(_)) => return AttemptOutcome::NotSent.into(),
-                // Connecting was cut short by `begin_by`: the upstream is not at fault.
+                // `begin_by` ended the try to connect before the connect timeout: the upstream is not at fault.
                 Err(ConnectError::TimedOut) if is_past_begin_by() => return AttemptOutcome::NotSent.into(),
                 Err(ConnectError::Peer(_) | ConnectError::TimedOut) => {
                     return AttemptOutcome::ConnectFailed.into();
@@ -156,7 +168,7 @@
             return unsent_outcome(reason, outcome.into());
         }
         match progress.written.load(Ordering::Relaxed) {
-            // The client aborted the request body: not a fault of the upstream.
+            // The client aborted the request body or exceeded its size limit: the upstream is not at fault.
             _ if remainder.as_ref().is_some_and(|remainder| remainder.is_aborted()) => {
                 match client_disconnected() {
                     true => ExchangeOutcome::ClientDisconnected(AttemptOutcome::Cancelled.into()),
@@ -179,7 +191,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
             AttemptOutcome::Rejected
         }
-        // 408 and 429 concern the connection and the load; all other 4xx codes concern the request itself.
+        // 408 and 429 concern the connection and the load. All other 4xx codes concern the request itself.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
         status if status.is_client_error() => AttemptOutcome::InvalidRequest,
         _ => AttemptOutcome::Error,
@@ -190,7 +202,7 @@
     let size = body.size_hint().exact().and_then(|size| usize::try_from(size).ok());
     let bufferable_size = size.filter(|size| *size <= MAX_BUFFERED_BODY);
     let memory_permit = context.body_memory.try_reserve(bufferable_size.unwrap_or(MAX_BUFFERED_BODY));
-    // A response of unknown length may be small but slow: the client receives it as a stream after this time.
+    // A response of unknown length may be small but slow. After this time, the client receives it as a stream.
     let buffering_deadline = bufferable_size.is_none().then(|| Instant::now() + MAX_BUFFERING_TIME);
     let max_buffered = if memory_permit.is_some() { MAX_BUFFERED_BODY } else { 0 };
     let (buffered, complete) = match buffer_body(&mut body, max_buffered, buffering_deadline).await {
@@ -211,11 +223,11 @@
                 memory_permit,
             }))
         }
-        outcome => outcome.into(), // a failed response is not streamed to the client
+        outcome => outcome.into(), // an error response is not streamed to the client
     }
 }
 
-/// The end of an attempt whose request was not written completely, so that the upstream cannot have run it.
+/// The outcome of an exchange whose request was not written completely, so that the upstream cannot have run it.
 pub fn unsent_outcome(reason: NotSentReason, result: AttemptResult) -> ExchangeOutcome {
     match reason {
         NotSentReason::ClientDisconnected => ExchangeOutcome::ClientDisconnected(result),
--- a/src/proxy/upstream/permit.rs
+++ b/src/proxy/upstream/permit.rs
@@ -1,14 +1,15 @@
-//! Permits that count upstream connections and share the state that all of them have in common.
+//! Permits for upstream connections. Each permit counts its connection in the state that all connections share.
 
 use crate::proxy::upstream::connect::Reachability;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// State shared by all upstream connections: their number, and which peers they reached last.
+/// State shared by all upstream connections: how many there are, and which upstreams are reachable.
 #[derive(Default)]
 pub struct SharedConnectionState {
     /// Number of connections that are open or being established.
     pub open: AtomicUsize,
+    /// Which upstreams were reached last.
     pub reachability: Reachability,
 }
 
@@ -16,7 +17,7 @@
 pub struct ConnectionPermit(pub Arc<SharedConnectionState>);
 
 impl ConnectionPermit {
-    /// Counts one more connection. The caller checks the limit.
+    /// Counts one more connection. Does not check the limit, which is up to the pool.
     pub fn acquire(shared: &Arc<SharedConnectionState>) -> Self {
         shared.open.fetch_add(1, Ordering::Relaxed);
         Self(shared.clone())
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle upstream connections, and the limit on open ones.
+//! The pool of idle upstream connections, and the limit on the number of open connections.
 
 use crate::proxy::upstream::connection::Connection;
 use crate::proxy::upstream::permit::{ConnectionPermit, SharedConnectionState};
@@ -11,18 +11,21 @@
 /// How long before the upstream's idle timeout a connection is closed here; at most half of that timeout.
 pub const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The connection that an attempt uses: an idle one, or a permit to open a new one.
+/// Where an attempt gets its connection from.
 pub enum ConnectionSource {
+    /// An idle connection from the pool.
     Idle(Connection),
+    /// A permit to open a new connection.
     New(ConnectionPermit),
 }
 
 /// Idle connections by endpoint.
 pub struct IdlePool {
-    /// How long an idle connection can be reused.
+    /// How long a connection may be idle and still be reused.
     pub max_idle_time: Duration,
     /// Maximum number of open connections, idle or not.
     pub max_open: usize,
+    /// The count of open connections and the reachability of upstreams.
     pub shared: Arc<SharedConnectionState>,
     /// The connections and when they became idle, the most recently used one last.
     pub idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
@@ -36,14 +39,14 @@
         Self { max_idle_time, max_open, shared: Arc::default(), idle: HashMap::new() }
     }
 
-    /// Changes the maximum number of open connections and closes idle ones above it.
+    /// Changes the maximum number of open connections. While it is exceeded, closes the connections idle for longest.
     pub fn set_max_open(&mut self, max_open: usize) {
         self.max_open = max_open;
         while self.shared.open.load(Ordering::Relaxed) > max_open && self.close_oldest() {}
     }
 
-    /// Returns the connection for an attempt: the most recently used idle one that is still open, or a permit for a new
-    /// one. `None` if the limit is reached.
+    /// Returns the connection for an attempt: the most recently used idle one that is still usable, or a permit for a
+    /// new one. `None` if the limit is reached even after closing the connection idle for longest.
     pub fn acquire(&mut self, endpoint: EndpointId) -> Option<ConnectionSource> {
         while let Some((idle_since, connection)) = self.idle.get_mut(&endpoint).and_then(Vec::pop) {
             if idle_since.elapsed() < self.max_idle_time && connection.is_usable() {
@@ -68,7 +71,7 @@
         self.idle.clear();
     }
 
-    /// Closes idle connections that have been idle for too long or were closed by the upstream.
+    /// Closes connections that have been idle for too long or were closed by the upstream.
     pub fn sweep(&mut self) {
         self.idle.retain(|_, idle| {
             idle.retain(|(idle_since, connection)| {
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -21,6 +21,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant};
 
+/// The context of an exchange that has no client and 30 s to end.
 fn context(address: SocketAddr, connection_source: ConnectionSource) -> ExchangeContext {
     ExchangeContext {
         connection_source,
@@ -127,8 +128,8 @@
     (client, SingleRequestStream::new(TcpStream::from_std(accepted).unwrap()).1)
 }
 
-/// Guards upstreams against requests of disconnected clients: the client disconnects while the event loop delays the
-/// write.
+/// Guards upstreams against requests of disconnected clients: a client disconnects while other tasks of the event loop
+/// delay the write.
 #[tokio::test]
 async fn a_client_that_disconnects_before_the_write_gets_no_attempt() {
     for reset in [false, true] {
@@ -177,8 +178,8 @@
     ));
 }
 
-/// Guards against repeating a request that may have run: only one whose last byte was not written is known not to have
-/// run.
+/// Guards against repeating a request that may have run. A request is known not to have run only if its last byte was
+/// not written.
 #[tokio::test]
 async fn a_request_counts_as_written_after_its_last_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
