--- a/src/proxy/body/buffer.rs
+++ b/src/proxy/body/buffer.rs
@@ -7,12 +7,13 @@
 
 /// The buffered start of a body.
 pub struct BufferedBody {
+    /// The bytes received so far.
     pub buffered: Bytes,
-    /// Whether `buffered` is the whole body.
+    /// Whether `buffered` is known to be the whole body.
     pub complete: bool,
 }
 
-/// Buffers a body until it ends, exceeds `max_bytes` or the deadline has passed.
+/// Buffers a body until it ends, more than `max_bytes` are buffered, or the deadline has passed.
 pub async fn buffer_body(
     body: &mut Incoming,
     max_bytes: usize,
--- a/src/proxy/body/mod.rs
+++ b/src/proxy/body/mod.rs
@@ -8,21 +8,22 @@
 
 use std::fmt;
 
-/// Largest body, in bytes, that is buffered as a whole: a request, so that it can be sent again; a response, so that
-/// its outcome is known before the client receives any of it. The latency of a longer response is that of its first
-/// bytes.
+/// Largest body, in bytes, that is buffered as a whole. A buffered request can be sent again. The outcome of a buffered
+/// response is known before the client receives any of it. The latency of a longer response is that of its first bytes.
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
-/// Largest body of a request or response, in bytes.
+/// Largest body of a request or response, in bytes. It limits the declared length of both, and the received length of a
+/// request's remainder after the buffered start.
 pub const MAX_BODY: u64 = 34 << 20;
 
-/// A body ended early or exceeded the size limit.
+/// A streamed body was not forwarded to its end. A request body ended early or exceeded [`MAX_BODY`]; a response body
+/// ended early or was too slow.
 #[derive(Debug)]
 pub struct BodyAborted;
 
 impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body was aborted or exceeds the size limit")
+        f.write_str("the body ended early, exceeds the size limit or is too slow")
     }
 }
 
--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -1,4 +1,5 @@
-//! The body of a request: the buffered start, which can be sent again, and the streamed remainder, which cannot.
+//! The body of a request: the buffered start, which can be sent again, and the streamed remainder, which can be sent
+//! only once.
 
 use crate::proxy::body::{BodyAborted, MAX_BODY};
 use crate::proxy::sync::lock;
@@ -10,10 +11,12 @@
 use std::task::{Context, Poll};
 use tokio::sync::oneshot;
 
-/// A request's body: the buffered start, and the remainder, which can be sent only once.
+/// A request's body: the buffered start and the streamed remainder.
 #[derive(Clone, Default)]
 pub struct RequestBody {
+    /// The buffered start, which can be sent again.
     pub buffered: Bytes,
+    /// The remainder, which can be sent only once; `None` if the whole body is buffered.
     pub remainder: Option<Arc<BodyRemainder>>,
 }
 
@@ -26,14 +29,15 @@
 
 /// The part of a request's body after the buffered start.
 pub struct BodyRemainder {
+    /// The body as hyper receives it, without the buffered start.
     pub body: Mutex<Incoming>,
     /// Length of the remainder in bytes, if known.
     pub length: Option<u64>,
-    /// How many more bytes may be received before the remainder exceeds `MAX_BODY`.
+    /// How many more bytes may be received before the remainder exceeds [`MAX_BODY`].
     pub remaining: Mutex<u64>,
     /// An attempt has started to read the remainder.
     pub consumed: AtomicBool,
-    /// The body ended early or exceeded the size limit.
+    /// The body ended early or exceeded the size limit, which is the client's fault.
     pub aborted: AtomicBool,
     /// Notified when the whole body has been received.
     pub end_sender: Mutex<Option<oneshot::Sender<()>>>,
@@ -52,7 +56,7 @@
         )
     }
 
-    /// Polls the next chunk. An error aborts the body.
+    /// Polls the next chunk. The body is marked as aborted if it ends early or exceeds the size limit.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         self.consumed.store(true, Ordering::Relaxed);
         let mut body = lock(&self.body);
@@ -85,7 +89,7 @@
         *lock(&self.remaining)
     }
 
-    /// Whether the body ended early or exceeded the size limit, which is the client's fault.
+    /// Whether the body ended early or exceeded the size limit.
     pub fn is_aborted(&self) -> bool {
         self.aborted.load(Ordering::Relaxed)
     }
@@ -109,13 +113,15 @@
     }
 }
 
-/// A request's body as it is sent upstream. Calls `on_consumed` when hyper has taken the last part.
+/// A request's body as it is sent upstream on one attempt.
 pub struct UpstreamRequestBody<F> {
     /// The buffered start, until hyper has taken it.
     pub buffered: Option<Bytes>,
+    /// The remainder, which is read from the client as hyper takes it.
     pub remainder: Option<Arc<BodyRemainder>>,
     /// Length of the whole body in bytes, if known.
     pub length: Option<u64>,
+    /// Called when hyper has taken the last part.
     pub on_consumed: F,
 }
 
--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -19,20 +19,23 @@
     pub buffered: Option<Bytes>,
     /// The part that is still being received from the upstream.
     pub streamed: Option<Box<StreamedResponse>>,
-    /// Dropped when the response has ended.
+    /// A value that is dropped when the response has ended.
     pub kept_until_end: Option<Box<dyn Send>>,
-    /// Called if the body is aborted.
+    /// Called if the streamed part is aborted before its end.
     pub on_abort: Option<Box<dyn FnOnce() + Send>>,
 }
 
 /// The part of a response body that is forwarded while it is received.
 pub struct StreamedResponse {
+    /// The body as hyper receives it, without the buffered start.
     pub body: Incoming,
     /// The upstream connection; `None` once the response has ended.
     pub connection: Option<Connection>,
+    /// Detects an upstream that has stopped sending or is too slow.
     pub rate: MinimumRate,
-    /// Called once, when the attempt ends.
+    /// Called once, when the attempt ends; `None` after that.
     pub on_end: Option<EndCallback>,
+    /// The memory reserved for the buffered start.
     pub _memory_permit: Option<MemoryPermit>,
 }
 
@@ -46,9 +49,9 @@
 }
 
 impl ResponseBody {
-    /// Creates a body from its buffered start and the rest that is received over a connection. It is aborted if it stops,
-    /// or if it is slower than the minimum rate after `request_deadline`. `on_end` is called with the result of the
-    /// attempt.
+    /// Creates a body from its buffered start and the rest that is received over a connection. It is aborted if it
+    /// stops, or if it is slower than the minimum rate after `request_deadline`. `on_end` is called with the result of
+    /// the attempt.
     pub fn streamed(
         buffered: Bytes,
         body: Incoming,
@@ -68,12 +71,12 @@
         Self { streamed: Some(Box::new(streamed)), ..Self::from(buffered) }
     }
 
-    /// Keeps a value until the response has ended, and drops it then.
+    /// Keeps a value until the response has ended, and then drops it.
     pub fn keep_until_end(&mut self, kept_until_end: impl Send + 'static) {
         self.kept_until_end = Some(Box::new(kept_until_end));
     }
 
-    /// Sets a callback for the case that the body is aborted.
+    /// Sets a callback that is called if the streamed part is aborted before its end.
     pub fn on_abort(&mut self, callback: impl FnOnce() + Send + 'static) {
         self.on_abort = Some(Box::new(callback));
     }
@@ -85,7 +88,7 @@
 }
 
 impl StreamedResponse {
-    /// Ends the attempt with success, once the connection is ready for reuse or closed.
+    /// Ends the attempt with success, once the connection is ready for reuse or known not to be reusable.
     pub fn complete(&mut self) {
         if let (Some(on_end), Some(connection)) = (self.on_end.take(), self.connection.take()) {
             tokio::spawn(async move {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Closes the connection and ends the attempt with this outcome, unless it has ended before.
+    /// Closes the connection and ends the attempt with this outcome, unless the attempt has already ended.
     pub fn abort(&mut self, outcome: AttemptOutcome) -> BodyAborted {
         self.connection = None;
         if let Some(on_end) = self.on_end.take() {
@@ -104,7 +107,8 @@
         BodyAborted
     }
 
-    /// Polls the next chunk. The attempt ends with the last chunk, with an error, or if the upstream is too slow.
+    /// Polls the next chunk. The attempt ends with the last chunk, with an error of the connection, or if the upstream
+    /// is too slow.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         loop {
             return match Pin::new(&mut self.body).poll_frame(cx) {
@@ -112,7 +116,7 @@
                     let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
                     self.rate.received(data.len());
                     if self.body.is_end_stream() {
-                        self.complete(); // hyper does not poll again when it knows the length
+                        self.complete(); // if the length is known, hyper does not poll again
                     }
                     Poll::Ready(Some(Ok(data)))
                 }
@@ -131,7 +135,7 @@
 }
 
 impl Drop for StreamedResponse {
-    /// Cancels the attempt if it has not ended: the client has disconnected.
+    /// Cancels the attempt unless it has ended: the client has disconnected.
     fn drop(&mut self) {
         self.abort(AttemptOutcome::Cancelled);
     }
--- a/src/transient_errors.rs
+++ b/src/transient_errors.rs
@@ -14,10 +14,10 @@
 /// Pause before retrying a read or write that failed for lack of memory or descriptors.
 pub const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
-/// How long an operation that the program depends on is retried.
+/// How long an operation that the program cannot do without is retried.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Errors of files and addresses that may be transient, besides those of the local machine: a disk that does not
-/// respond, an address that is still being configured.
+/// Errors of files and addresses that may be transient, such as a disk that does not respond or an address that is
+/// still being configured. Errors of the local machine are transient as well.
 const TRANSIENT_ERRORS: [Errno; 4] = [Errno::ADDRNOTAVAIL, Errno::IO, Errno::NETUNREACH, Errno::STALE];
 
 /// Which side caused a connect error.
@@ -25,7 +25,7 @@
 pub enum ErrorOrigin {
     /// The local machine lacks a resource, whichever the peer.
     LocalMachine,
-    /// The local machine cannot reach this peer's address: no port, route or permission.
+    /// The local machine cannot reach this peer's address at present: it has no port, route or permission.
     Route,
     /// Either the local network or the peer is at fault.
     Ambiguous,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether the machine is out of descriptors or socket memory. Closing connections frees both.
+/// Whether the machine is out of file descriptors or socket memory. Closing connections frees both.
 pub fn is_shortage(error: &io::Error) -> bool {
     let error = Errno::from_io_error(error);
     matches!(error, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
@@ -100,13 +100,13 @@
         Self { end: Instant::now() + RETRY_TIMEOUT, backoff: Backoff::default() }
     }
 
-    /// Returns how long to wait before the next try, or `None` if the error is permanent or the time is over.
+    /// Returns how long to wait before the next try, or `None` if the error is permanent or `RETRY_TIMEOUT` is over.
     fn pause_after(&mut self, error: &io::Error) -> Option<Duration> {
         (is_transient(error) && Instant::now() < self.end).then(|| self.backoff.pause())
     }
 }
 
-/// Whether the operation may succeed a moment later without intervention.
+/// Whether the failed operation may succeed a moment later without intervention.
 fn is_transient(error: &io::Error) -> bool {
     error_origin(error) == ErrorOrigin::LocalMachine
         || Errno::from_io_error(error).is_some_and(|error| TRANSIENT_ERRORS.contains(&error))
