--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -34,7 +34,7 @@
     /// Length of the remainder in bytes, if known.
     pub length: Option<u64>,
     /// How many more bytes may be received before the remainder exceeds [`MAX_BODY`].
-    pub remaining: Mutex<u64>,
+    pub allowance: Mutex<u64>,
     /// An attempt has started to read the remainder.
     pub consumed: AtomicBool,
     /// The body ended early or exceeded the size limit, which is the client's fault.
@@ -48,10 +48,10 @@
     pub fn new(body: Incoming) -> (Arc<Self>, oneshot::Receiver<()>) {
         let (sender, end_receiver) = oneshot::channel();
         let (length, end_sender) = (body.size_hint().exact(), Mutex::new(Some(sender)));
-        let remaining = Mutex::new(MAX_BODY);
+        let allowance = Mutex::new(MAX_BODY);
         let (consumed, aborted) = Default::default();
         (
-            Arc::new(Self { body: Mutex::new(body), length, remaining, consumed, aborted, end_sender }),
+            Arc::new(Self { body: Mutex::new(body), length, allowance, consumed, aborted, end_sender }),
             end_receiver,
         )
     }
@@ -65,11 +65,11 @@
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
-                    let remaining = &mut *lock(&self.remaining);
-                    let Some(remaining_after) = remaining.checked_sub(data.len() as u64) else {
+                    let allowance = &mut *lock(&self.allowance);
+                    let Some(allowance_after) = allowance.checked_sub(data.len() as u64) else {
                         return Poll::Ready(Some(Err(self.abort())));
                     };
-                    *remaining = remaining_after;
+                    *allowance = allowance_after;
                     if body.is_end_stream() {
                         self.notify_end();
                     }
@@ -85,8 +85,8 @@
     }
 
     /// How many more bytes may be received. A change shows that the body is still making progress.
-    pub fn remaining(&self) -> u64 {
-        *lock(&self.remaining)
+    pub fn allowance(&self) -> u64 {
+        *lock(&self.allowance)
     }
 
     /// Whether the body ended early or exceeded the size limit.
@@ -122,23 +122,23 @@
     /// Length of the whole body in bytes, if known.
     pub length: Option<u64>,
     /// Called when hyper has taken the last part.
-    pub on_consumed: F,
+    pub on_body_end: F,
 }
 
 impl<F: Fn()> UpstreamRequestBody<F> {
-    /// Creates the body for one attempt. `on_consumed` is called at once if the body is empty.
-    pub fn new(body: RequestBody, on_consumed: F) -> Self {
+    /// Creates the body for one attempt. `on_body_end` is called at once if the body is empty.
+    pub fn new(body: RequestBody, on_body_end: F) -> Self {
         let buffered = Some(body.buffered).filter(|buffered| !buffered.is_empty());
         let buffered_length = buffered.as_ref().map_or(0, Bytes::len) as u64;
         let remainder_length = body.remainder.as_ref().map_or(Some(0), |remainder| remainder.length);
         if buffered.is_none() && body.remainder.is_none() {
-            on_consumed();
+            on_body_end();
         }
         Self {
             buffered,
             remainder: body.remainder,
             length: remainder_length.map(|remainder_length| remainder_length + buffered_length),
-            on_consumed,
+            on_body_end,
         }
     }
 }
@@ -161,7 +161,7 @@
         };
         let is_last = data.is_none() || self.is_end_stream();
         if is_last && !matches!(data, Some(Err(_))) {
-            (self.on_consumed)();
+            (self.on_body_end)();
         }
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -34,13 +34,13 @@
     /// Detects an upstream that has stopped sending or is too slow.
     pub rate: MinimumRate,
     /// Called once, when the attempt ends; `None` after that.
-    pub on_end: Option<EndCallback>,
+    pub on_end: Option<AttemptEndCallback>,
     /// The memory reserved for the buffered start.
     pub _memory_permit: Option<MemoryPermit>,
 }
 
 /// Called with the result of the attempt when the streamed response ends.
-pub type EndCallback = Box<dyn FnOnce(AttemptResult) + Send>;
+pub type AttemptEndCallback = Box<dyn FnOnce(AttemptResult) + Send>;
 
 impl From<Bytes> for ResponseBody {
     fn from(buffered: Bytes) -> Self {
@@ -58,7 +58,7 @@
         connection: Connection,
         memory_permit: Option<MemoryPermit>,
         request_deadline: Option<Instant>,
-        on_end: EndCallback,
+        on_end: AttemptEndCallback,
     ) -> Self {
         let rate = MinimumRate::new(request_deadline);
         let streamed = StreamedResponse {
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -275,14 +275,14 @@
 ) {
     let Some((mut received_at, remainder)) = receiving else { return sleep_until(attempt_deadline).await };
     let time_limit = attempt_deadline.saturating_duration_since(Instant::now());
-    let (mut last_remaining, mut last_progress) = (remainder.remaining(), Instant::now());
+    let (mut last_allowance, mut last_progress) = (remainder.allowance(), Instant::now());
     loop {
         let received = timeout(IDLE_TIMEOUT / 10, received_at.wait_for(Option::is_some)).await;
         match received.map(|received| received.ok().and_then(|received| *received)) {
             Ok(Some(received)) => return sleep_until(received + time_limit).await,
             Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt's end
-            Err(_) if remainder.remaining() != last_remaining => {
-                (last_remaining, last_progress) = (remainder.remaining(), Instant::now())
+            Err(_) if remainder.allowance() != last_allowance => {
+                (last_allowance, last_progress) = (remainder.allowance(), Instant::now())
             }
             Err(_) if last_progress.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -107,7 +107,7 @@
     conditions: SendConditions,
     /// Set before the first write that the checks allow.
     write_started: Arc<AtomicBool>,
-    /// When the first write was attempted; the budget is computed for this time.
+    /// When the first write was tried, which is the time that the budget is computed for.
     first_write: Option<Instant>,
     bytes_written: usize,
     /// The `x-budget` field, with the budget as of the first write; `None` if the head has no such field.
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -26,7 +26,7 @@
 /// An HTTP/1.1 connection to an upstream, closed on drop.
 pub struct Connection {
     /// Hands requests to hyper.
-    pub sender: SendRequest<UpstreamRequestBody<BodyConsumedCallback>>,
+    pub sender: SendRequest<UpstreamRequestBody<BodyEndCallback>>,
     /// The socket, for checks outside hyper.
     pub tcp: Arc<TcpStream>,
     /// The progress of the current request, which the socket updates.
@@ -82,7 +82,7 @@
 #[derive(Default)]
 pub struct WriteProgress {
     /// The whole request body has been handed to hyper.
-    pub body_consumed: AtomicBool,
+    pub body_ended: AtomicBool,
     /// The last byte of the request is written: the upstream may run the request from now on.
     pub written: AtomicBool,
     /// The counter that is incremented when the request is written completely; `None` afterwards and for a load query.
@@ -98,7 +98,7 @@
         let (Some(send_check), Some(first_part)) = (send_check.as_mut(), parts.first()) else {
             return tcp.try_write_vectored(parts);
         };
-        let ends_request = self.body_consumed.load(Ordering::Relaxed);
+        let ends_request = self.body_ended.load(Ordering::Relaxed);
         let replacement = send_check.before_write(first_part, ends_request).map_err(io::Error::other)?;
         let written = match &replacement {
             Some(replacement) => {
@@ -123,7 +123,7 @@
 }
 
 /// Called when the last part of a request body has been handed to hyper.
-pub type BodyConsumedCallback = Box<dyn Fn() + Send>;
+pub type BodyEndCallback = Box<dyn Fn() + Send>;
 
 /// The socket as hyper uses it. It checks each write, and records when the last byte of a request is written. `tcp` is
 /// shared, so that the connection can be checked outside hyper.
@@ -160,7 +160,7 @@
         let written = ready!(poll_io(cx, &self.tcp, TcpStream::poll_write_ready, write))?;
         // The request is written completely once hyper has the whole body and all bytes that hyper offered are written.
         let offered: usize = parts.iter().map(|part| part.len()).sum();
-        if written == offered && self.progress.body_consumed.load(Ordering::Relaxed) {
+        if written == offered && self.progress.body_ended.load(Ordering::Relaxed) {
             self.progress.mark_written();
         }
         Poll::Ready(Ok(written))
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use crate::proxy::send_check::{NotSentReason, SendCheck, SendConditions, format_seconds};
 use crate::proxy::sync::lock;
 use crate::proxy::upstream::connect::{ConnectDeadline, ConnectError};
-use crate::proxy::upstream::connection::{BodyConsumedCallback, Connection};
+use crate::proxy::upstream::connection::{BodyEndCallback, Connection};
 use crate::proxy::upstream::pool::ConnectionSource;
 use balancer::decision::AttemptOutcome;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 /// within this time, the request can still be retried.
 pub const MAX_BUFFERING_TIME: Duration = Duration::from_millis(50);
 
-/// The result of an attempt that has ended.
+/// The result of an attempt, or of a load query, that has ended.
 pub struct AttemptResult {
     /// How the attempt ended, as reported to the decision module.
     pub outcome: AttemptOutcome,
@@ -149,13 +149,13 @@
         }
     }
     let progress = connection.progress.clone();
-    progress.body_consumed.store(false, Ordering::Relaxed);
+    progress.body_ended.store(false, Ordering::Relaxed);
     progress.written.store(false, Ordering::Relaxed);
     *lock(&progress.attempt_counter) = context.attempt_counter;
     *lock(&progress.send_check) = Some(SendCheck::new(conditions, context.write_started.clone()));
     let callback_progress = connection.progress.clone();
-    let on_body_consumed: BodyConsumedCallback =
-        Box::new(move || callback_progress.body_consumed.store(true, Ordering::Relaxed));
+    let on_body_end: BodyEndCallback =
+        Box::new(move || callback_progress.body_ended.store(true, Ordering::Relaxed));
     let client_disconnected = || context.client.as_ref().is_some_and(|client| client.is_disconnected(false));
     let on_connection_error = || -> ExchangeOutcome {
         if let Some(reason) = lock(&progress.send_check).as_ref().and_then(SendCheck::not_sent) {
@@ -179,7 +179,7 @@
             false => AttemptOutcome::ConnectFailed.into(),
         }
     };
-    let request = request.map(|body| UpstreamRequestBody::new(body, on_body_consumed));
+    let request = request.map(|body| UpstreamRequestBody::new(body, on_body_end));
     let Ok(response) = connection.sender.send_request(request).await else {
         return on_connection_error();
     };
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -189,7 +189,7 @@
     let is_written = || progress.written.load(Ordering::Relaxed);
     socket.write_all(b"head").await.unwrap();
     assert!(!is_written(), "the body is not written yet");
-    progress.body_consumed.store(true, Ordering::Relaxed);
+    progress.body_ended.store(true, Ordering::Relaxed);
     let written = socket.write(&vec![0; 64 << 20]).await.unwrap();
     assert!(written < 64 << 20 && !is_written(), "the peer's buffer takes only a part");
     let mut peer = listener.accept().unwrap().0;
