--- a/src/proxy/upstream/permit.rs
+++ b/src/proxy/upstream/permit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// State shared by all upstream connections: how many there are, and which upstreams are reachable.
+/// State shared by all upstream connections.
 #[derive(Default)]
 pub struct SharedConnectionState {
     /// Number of connections that are open or being established.
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -25,7 +25,7 @@
     pub max_idle_time: Duration,
     /// Maximum number of open connections, idle or not.
     pub max_open: usize,
-    /// The count of open connections and the reachability of upstreams.
+    /// The number of open connections, and which upstreams were reached last.
     pub shared: Arc<SharedConnectionState>,
     /// The connections and when they became idle, the most recently used one last.
     pub idle: HashMap<EndpointId, Vec<(Instant, Connection)>>,
