--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -1,4 +1,5 @@
-//! The body of a request: the buffered start, which can be sent again, and the streamed remainder, which cannot.
+//! The body of a request: the buffered start, which can be sent again, and the streamed remainder, which can be sent
+//! only once.
 
 use crate::proxy::body::{BodyAborted, MAX_BODY};
 use crate::proxy::sync::lock;
@@ -10,10 +11,12 @@
 use std::task::{Context, Poll};
 use tokio::sync::oneshot;
 
-/// A request's body: the buffered start, and the remainder, which can be sent only once.
+/// A request's body: the buffered start and the streamed remainder.
 #[derive(Clone, Default)]
 pub struct RequestBody {
+    /// The buffered start, which can be sent again.
     pub buffered: Bytes,
+    /// The remainder, which can be sent only once; `None` if the whole body is buffered.
     pub remainder: Option<Arc<BodyRemainder>>,
 }
 
@@ -26,14 +29,15 @@
 
 /// The part of a request's body after the buffered start.
 pub struct BodyRemainder {
+    /// The body as hyper receives it, without the buffered start.
     pub body: Mutex<Incoming>,
     /// Length of the remainder in bytes, if known.
     pub length: Option<u64>,
-    /// How many more bytes may be received before the remainder exceeds `MAX_BODY`.
-    pub remaining: Mutex<u64>,
+    /// How many more bytes may be received before the remainder exceeds [`MAX_BODY`].
+    pub allowance: Mutex<u64>,
     /// An attempt has started to read the remainder.
     pub consumed: AtomicBool,
-    /// The body ended early or exceeded the size limit.
+    /// The body ended early or exceeded the size limit, which is the client's fault.
     pub aborted: AtomicBool,
     /// Notified when the whole body has been received.
     pub end_sender: Mutex<Option<oneshot::Sender<()>>>,
@@ -44,15 +48,15 @@
     pub fn new(body: Incoming) -> (Arc<Self>, oneshot::Receiver<()>) {
         let (sender, end_receiver) = oneshot::channel();
         let (length, end_sender) = (body.size_hint().exact(), Mutex::new(Some(sender)));
-        let remaining = Mutex::new(MAX_BODY);
+        let allowance = Mutex::new(MAX_BODY);
         let (consumed, aborted) = Default::default();
         (
-            Arc::new(Self { body: Mutex::new(body), length, remaining, consumed, aborted, end_sender }),
+            Arc::new(Self { body: Mutex::new(body), length, allowance, consumed, aborted, end_sender }),
             end_receiver,
         )
     }
 
-    /// Polls the next chunk. An error aborts the body.
+    /// Polls the next chunk. The body is marked as aborted if it ends early or exceeds the size limit.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         self.consumed.store(true, Ordering::Relaxed);
         let mut body = lock(&self.body);
@@ -61,11 +65,11 @@
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
-                    let remaining = &mut *lock(&self.remaining);
-                    let Some(remaining_after) = remaining.checked_sub(data.len() as u64) else {
+                    let allowance = &mut *lock(&self.allowance);
+                    let Some(allowance_after) = allowance.checked_sub(data.len() as u64) else {
                         return Poll::Ready(Some(Err(self.abort())));
                     };
-                    *remaining = remaining_after;
+                    *allowance = allowance_after;
                     if body.is_end_stream() {
                         self.notify_end();
                     }
@@ -81,11 +85,11 @@
     }
 
     /// How many more bytes may be received. A change shows that the body is still making progress.
-    pub fn remaining(&self) -> u64 {
-        *lock(&self.remaining)
+    pub fn allowance(&self) -> u64 {
+        *lock(&self.allowance)
     }
 
-    /// Whether the body ended early or exceeded the size limit, which is the client's fault.
+    /// Whether the body ended early or exceeded the size limit.
     pub fn is_aborted(&self) -> bool {
         self.aborted.load(Ordering::Relaxed)
     }
@@ -109,30 +113,32 @@
     }
 }
 
-/// A request's body as it is sent upstream. Calls `on_consumed` when hyper has taken the last part.
+/// A request's body as it is sent upstream on one attempt.
 pub struct UpstreamRequestBody<F> {
     /// The buffered start, until hyper has taken it.
     pub buffered: Option<Bytes>,
+    /// The remainder, which is read from the client as hyper takes it.
     pub remainder: Option<Arc<BodyRemainder>>,
     /// Length of the whole body in bytes, if known.
     pub length: Option<u64>,
-    pub on_consumed: F,
+    /// Called when hyper has taken the last part.
+    pub on_body_end: F,
 }
 
 impl<F: Fn()> UpstreamRequestBody<F> {
-    /// Creates the body for one attempt. `on_consumed` is called at once if the body is empty.
-    pub fn new(body: RequestBody, on_consumed: F) -> Self {
+    /// Creates the body for one attempt. `on_body_end` is called at once if the body is empty.
+    pub fn new(body: RequestBody, on_body_end: F) -> Self {
         let buffered = Some(body.buffered).filter(|buffered| !buffered.is_empty());
         let buffered_length = buffered.as_ref().map_or(0, Bytes::len) as u64;
         let remainder_length = body.remainder.as_ref().map_or(Some(0), |remainder| remainder.length);
         if buffered.is_none() && body.remainder.is_none() {
-            on_consumed();
+            on_body_end();
         }
         Self {
             buffered,
             remainder: body.remainder,
             length: remainder_length.map(|remainder_length| remainder_length + buffered_length),
-            on_consumed,
+            on_body_end,
         }
     }
 }
@@ -155,7 +161,7 @@
         };
         let is_last = data.is_none() || self.is_end_stream();
         if is_last && !matches!(data, Some(Err(_))) {
-            (self.on_consumed)();
+            (self.on_body_end)();
         }
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -24,25 +24,27 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Dispatcher {
-    /// Starts an attempt, or queues its end as not sent where it is too late or impossible to send it.
+    /// Starts an attempt. If it is too late or impossible to send it, queues its end as not sent.
     pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
-        until: Time,
+        attempt_deadline: Time,
         begin_by: Option<Time>,
     ) {
         let now = self.clock.now();
         let Some(pending_request) = self.requests.get_mut(&id) else { return };
-        let (number, until) = (
+        let (number, attempt_deadline) = (
             pending_request.attempts,
-            pending_request.deadline.map_or(until, |deadline| until.min(deadline)),
+            pending_request
+                .request_deadline
+                .map_or(attempt_deadline, |deadline| attempt_deadline.min(deadline)),
         );
         pending_request.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = pending_request.client_deadline;
         let has_budget = upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
-        let in_time = has_budget && now < until && begin_by.is_none_or(|begin_by| now < begin_by);
+        let in_time = has_budget && now < attempt_deadline && begin_by.is_none_or(|begin_by| now < begin_by);
         let is_allowed = in_time && number < self.config.settings.max_attempts;
         let can_send = pending_request.response_sender.is_some()
             && is_allowed
@@ -65,23 +67,31 @@
             write_started,
             cancel: Some(cancel),
         });
-        let remainder =
-            pending_request.request.body().remainder.clone().filter(|_| pending_request.deadline.is_none());
+        let remainder = pending_request
+            .request
+            .body()
+            .remainder
+            .clone()
+            .filter(|_| pending_request.request_deadline.is_none());
         let expiry = wait_for_expiry(
-            self.clock.instant(until),
+            self.clock.instant(attempt_deadline),
             remainder.map(|remainder| (pending_request.received_at.subscribe(), remainder)),
         );
         let (messages, client) = (self.messages.clone(), Some(pending_request.client.clone()));
         let attempt_counter = Some(self.counters.attempt_counter());
         let begin_by = begin_by.map(|begin_by| self.clock.instant(begin_by));
-        let deadline = pending_request.deadline.map(|deadline| self.clock.instant(deadline));
-        let context =
-            self.exchange_context(connection_source, address, self.clock.instant(until), attempt_counter);
-        let local_failure = context.local_failure.clone();
+        let request_deadline = pending_request.request_deadline.map(|deadline| self.clock.instant(deadline));
+        let context = self.exchange_context(
+            connection_source,
+            address,
+            self.clock.instant(attempt_deadline),
+            attempt_counter,
+        );
+        let possible_local_failure = context.possible_local_failure.clone();
         let client_deadline = Some(self.clock.instant(client_deadline));
         let context = ExchangeContext {
             write_started: write_started_flag.clone(),
-            request_deadline: deadline,
+            request_deadline,
             begin_by,
             client,
             client_deadline,
@@ -90,17 +100,19 @@
         let exchange = exchange(request, context);
         let expiry = async move {
             expiry.await;
-            // An attempt that was delayed by local connection errors may use the rest of its request's time.
-            if let Some(deadline) = deadline.filter(|_| local_failure.load(Ordering::Relaxed)) {
+            // An attempt that was delayed by possibly local connect errors may use the rest of its request's time.
+            if let Some(deadline) =
+                request_deadline.filter(|_| possible_local_failure.load(Ordering::Relaxed))
+            {
                 sleep_until(deadline).await;
             }
         };
         tokio::spawn(async move {
-            let choose_outcome = |if_written, if_unwritten| {
-                if write_started_flag.load(Ordering::Relaxed) { if_written } else { if_unwritten }
+            let choose_outcome = |if_write_started, if_unwritten| {
+                if write_started_flag.load(Ordering::Relaxed) { if_write_started } else { if_unwritten }
             };
-            // Cancellation is checked first, as the response is not needed then. A response that has arrived by the
-            // expiry counts.
+            // Cancellation is checked first, as the response of a cancelled attempt is not needed. Expiry is checked
+            // last, so that a response that has arrived by then counts.
             let exchange_outcome = tokio::select! {
                 biased;
                 _ = cancelled => choose_outcome(AttemptOutcome::Cancelled, AttemptOutcome::NotSent).into(),
@@ -110,7 +122,7 @@
             let message = match exchange_outcome {
                 ExchangeOutcome::Ended(result) => DispatcherMessage::AttemptEnded(id, number, result),
                 ExchangeOutcome::ClientDisconnected(result) => {
-                    // Sent before the attempt's end, which could cause a retry otherwise.
+                    // Sent before the attempt's end, which could otherwise cause a retry.
                     messages.send(DispatcherMessage::ClientDisconnected(id)).ok();
                     DispatcherMessage::AttemptEnded(id, number, result)
                 }
@@ -122,21 +134,21 @@
         });
     }
 
-    /// The context of an exchange, without the fields that only a client's request has.
+    /// The context of an exchange with an upstream. The fields that only a client's request needs are left empty.
     pub(super) fn exchange_context(
         &self,
         connection_source: ConnectionSource,
         address: SocketAddr,
-        until: Instant,
+        attempt_deadline: Instant,
         attempt_counter: Option<Arc<AtomicU64>>,
     ) -> ExchangeContext {
         ExchangeContext {
             connection_source,
             address,
             connect_timeout: self.config.proxy_settings.connect_timeout,
-            attempt_deadline: until,
+            attempt_deadline,
             request_deadline: None,
-            local_failure: Arc::default(),
+            possible_local_failure: Arc::default(),
             begin_by: None,
             attempt_counter,
             body_memory: self.body_memory.clone(),
@@ -146,7 +158,8 @@
         }
     }
 
-    /// Queues the end of an attempt that is not sent. The decision module is notified after the current event.
+    /// Queues the end of an attempt that is not sent. The decision module is notified once it has handled the current
+    /// event.
     pub(super) fn queue_not_sent(&mut self, id: RequestId, number: u32) {
         let pending_request = self.requests.get(&id);
         let request_closed =
@@ -164,11 +177,12 @@
         self.queued_attempt_ends.push_back((id, end));
     }
 
-    /// Streams a response to the client while it is received, even past the request's deadline as long as its rate
-    /// suffices.
+    /// Streams a response to the client while it is received. That may go on past the request's deadline, as long as
+    /// the response does not fall below the minimum rate.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, started: StartedResponse) {
-        let deadline = self.requests.get(&id).and_then(|pending_request| pending_request.deadline);
-        let deadline = deadline.map(|deadline| self.clock.instant(deadline));
+        let request_deadline =
+            self.requests.get(&id).and_then(|pending_request| pending_request.request_deadline);
+        let request_deadline = request_deadline.map(|deadline| self.clock.instant(deadline));
         let Some((sender, _)) = self.take_response_sender(id) else {
             return self.on_attempt_ended(id, number, AttemptOutcome::Cancelled.into());
         };
@@ -182,8 +196,9 @@
             messages.send(DispatcherMessage::AttemptEnded(id, number, result)).ok();
         });
         let StartedResponse { head, body, connection, memory_permit } = started;
-        let streamed =
-            |buffered| ResponseBody::streamed(buffered, body, connection, memory_permit, deadline, on_end);
+        let streamed = |buffered| {
+            ResponseBody::streamed(buffered, body, connection, memory_permit, request_deadline, on_end)
+        };
         let response = FinalResponse::Served(head.map(streamed));
         if let Some(attempt) = attempt {
             attempt.started_response = Some((response.outcome(), load));
@@ -193,8 +208,8 @@
         sender.send(response).ok();
     }
 
-    /// Handles the end of an attempt: keeps its connection, responds to the client if the response is final, and
-    /// notifies the decision module.
+    /// Handles the end of an attempt: keeps its connection for reuse, responds to the client if the response is final,
+    /// and notifies the decision module.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, result: AttemptResult) {
         let now = self.clock.now();
         let Some(pending_request) = self.requests.get_mut(&id) else { return };
@@ -205,7 +220,7 @@
         };
         let attempt = pending_request.attempts_in_flight.swap_remove(position);
         let (class, body_consumed) = (pending_request.class, pending_request.request.body().is_consumed());
-        // The time in which the request itself was still being received does not count for the attempt.
+        // The time in which the request was still being received from the client does not count for the attempt.
         let received_at =
             pending_request.received_at.borrow().map_or(0, |received_at| self.clock.time(received_at));
         let elapsed = now.saturating_sub(attempt.sent_at.max(received_at));
@@ -220,7 +235,7 @@
             load = started_load;
             match result.outcome {
                 AttemptOutcome::Success => self.counters.count(class, request_outcome),
-                AttemptOutcome::Cancelled => {} // the client disconnected
+                AttemptOutcome::Cancelled => {} // the client has disconnected
                 _ => self.counters.count(class, metrics::RequestOutcome::Failure),
             }
         }
@@ -242,30 +257,32 @@
         self.remove_if_finished(id);
     }
 
-    /// The load report in a response's head, if it has a valid one.
+    /// The load report in the head of a response, if there is a valid one.
     pub(super) fn response_load_report<B>(&self, response: &Response<B>) -> Option<LoadReport> {
         let report = response.headers().get("x-load-report")?;
         parse_load_report(report.as_bytes(), &self.config.proxy_settings.report_fields)
     }
 }
 
-/// Completes when an attempt must be given up. That is at `until`; but for a request that is still being received, the
-/// time from now to `until` is counted from its last byte, and the attempt is also given up when no part of the request
-/// has arrived for [`IDLE_TIMEOUT`].
+/// Completes when an attempt times out, which is at `attempt_deadline` if its request is complete.
+///
+/// While the request is still being received, only the duration from now to `attempt_deadline` applies: it is counted
+/// from the last byte of the request. Until then, the attempt times out if no part of the request has arrived for
+/// [`IDLE_TIMEOUT`].
 pub(super) async fn wait_for_expiry(
-    until: Instant,
+    attempt_deadline: Instant,
     receiving: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
 ) {
-    let Some((mut received_at, remainder)) = receiving else { return sleep_until(until).await };
-    let time_limit = until.saturating_duration_since(Instant::now());
-    let (mut last_remaining, mut last_progress) = (remainder.remaining(), Instant::now());
+    let Some((mut received_at, remainder)) = receiving else { return sleep_until(attempt_deadline).await };
+    let time_limit = attempt_deadline.saturating_duration_since(Instant::now());
+    let (mut last_allowance, mut last_progress) = (remainder.allowance(), Instant::now());
     loop {
         let received = timeout(IDLE_TIMEOUT / 10, received_at.wait_for(Option::is_some)).await;
         match received.map(|received| received.ok().and_then(|received| *received)) {
             Ok(Some(received)) => return sleep_until(received + time_limit).await,
-            Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt
-            Err(_) if remainder.remaining() != last_remaining => {
-                (last_remaining, last_progress) = (remainder.remaining(), Instant::now())
+            Ok(None) => return pending().await, // the request was removed: nothing waits for the attempt's end
+            Err(_) if remainder.allowance() != last_allowance => {
+                (last_allowance, last_progress) = (remainder.allowance(), Instant::now())
             }
             Err(_) if last_progress.elapsed() > IDLE_TIMEOUT => return,
             Err(_) => {}
@@ -273,7 +290,7 @@
     }
 }
 
-/// The client's request as it is sent upstream: with HTTP/1.1, a target in origin form and a Host header.
+/// The client's request as it is sent upstream: as HTTP/1.1, with a target in origin form and a Host header.
 pub(super) fn upstream_request(request: &Request<RequestBody>, address: SocketAddr) -> Request<RequestBody> {
     let mut request = request.clone();
     *request.version_mut() = Version::HTTP_11;
