--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -13,13 +13,13 @@
                 self.shared_folder.iter_mut().for_each(SharedFolder::finish_check);
                 self.on_folder_state(state);
             }
-            FolderEvent::OrderPersisted(request, offline) => {
+            FolderEvent::OrderStored(request, offline) => {
                 self.apply_offline_list(offline);
                 self.on_order_stored(&request.order);
                 // The order stays in force even if its operator has disconnected.
                 request.outcome_sender.send(OrderOutcome::Applied).ok();
             }
-            FolderEvent::OrderNotPersisted(request) => {
+            FolderEvent::OrderNotStored(request) => {
                 request.outcome_sender.send(OrderOutcome::NotStored).ok();
             }
         }
@@ -51,7 +51,7 @@
     pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
         let outcome = match &self.shared_folder {
             _ if !self.was_listed(&request.order.uid) => OrderOutcome::UnknownEndpoint,
-            Some(shared_folder) => return shared_folder.persist_order(request),
+            Some(shared_folder) => return shared_folder.store_order(request),
             None => OrderOutcome::NotStored,
         };
         request.outcome_sender.send(outcome).ok();
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -21,7 +21,7 @@
     /// Look for changes by other processes.
     Check,
     /// Carry out an order.
-    PersistOrder(OrderRequest),
+    StoreOrder(OrderRequest),
 }
 
 /// The result of a job.
@@ -29,9 +29,9 @@
     /// A check has finished.
     CheckFinished(FolderState),
     /// An order has been stored for later processes too; with the list that is now in force.
-    OrderPersisted(OrderRequest, OfflineList),
+    OrderStored(OrderRequest, OfflineList),
     /// An order could not be stored, and is not in force.
-    OrderNotPersisted(OrderRequest),
+    OrderNotStored(OrderRequest),
 }
 
 /// The state of the shared folder when it was last checked.
@@ -81,8 +81,8 @@
     }
 
     /// Carries out an order.
-    pub fn persist_order(&self, request: OrderRequest) {
-        self.jobs.send(Job::PersistOrder(request)).ok();
+    pub fn store_order(&self, request: OrderRequest) {
+        self.jobs.send(Job::StoreOrder(request)).ok();
     }
 }
 
@@ -103,7 +103,7 @@
         for job in inbox {
             report(match job {
                 Job::Check => FolderEvent::CheckFinished(self.check()),
-                Job::PersistOrder(request) => self.persist_order(request),
+                Job::StoreOrder(request) => self.store_order(request),
             });
         }
     }
@@ -130,11 +130,11 @@
         match &outcome {
             ReadOutcome::Unreadable(error) if !self.read_failed => {
                 crate::proxy::logging::log(format_args!(
-                    "the list of upstreams taken out cannot be read now: {error}"
+                    "the list of offline upstreams cannot be read now: {error}"
                 ));
             }
             ReadOutcome::Damaged(error) => crate::proxy::logging::log(format_args!(
-                "the list of upstreams taken out is damaged, and ignored: {error}"
+                "the list of offline upstreams is damaged, and ignored: {error}"
             )),
             _ => {}
         }
@@ -154,25 +154,25 @@
             && !self.repair_failed
         {
             crate::proxy::logging::log(format_args!(
-                "the list of upstreams taken out cannot be written now: {error}"
+                "the list of offline upstreams cannot be written now: {error}"
             ));
         }
         self.repair_failed = result.is_err();
     }
 
     /// Carries out an order, unless its operator has already been answered.
-    fn persist_order(&mut self, request: OrderRequest) -> FolderEvent {
+    fn store_order(&mut self, request: OrderRequest) -> FolderEvent {
         if request.claim.is_claimed() {
-            return FolderEvent::OrderNotPersisted(request); // timed out while it waited for earlier jobs
+            return FolderEvent::OrderNotStored(request); // timed out while it waited for earlier jobs
         }
         match self.endpoints.apply_order(&request.order, &request.claim) {
-            Ok(list) => FolderEvent::OrderPersisted(request, list),
+            Ok(list) => FolderEvent::OrderStored(request, list),
             Err(error) => {
                 let uid = &request.order.uid;
                 crate::proxy::logging::log(format_args!(
                     "an order about upstream {uid} cannot be carried out: {error}"
                 ));
-                FolderEvent::OrderNotPersisted(request)
+                FolderEvent::OrderNotStored(request)
             }
         }
     }
--- a/tests/offline_orders.rs
+++ b/tests/offline_orders.rs
@@ -465,7 +465,7 @@
     let site = Site::new("stays-unreadable", &[]);
     fs::create_dir(site.folder.join(LIST)).unwrap();
     let mut program = Program::start_with(&site.config, &[("TMPDIR", site.path(""))]);
-    program.logged("the list of upstreams taken out cannot be read now");
+    program.logged("the list of offline upstreams cannot be read now");
     let balancer = Balancer { door: door(&mut program), program };
     assert_eq!(balancer.program.call("look").status(), 200);
     balancer.refuses(&take_out("s-0"));
