--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -50,7 +50,7 @@
 pub async fn run(
     config: Arc<Config>,
     dispatcher: UnboundedSender<DispatcherMessage>,
-    mut subscriptions: UnboundedReceiver<()>,
+    mut watch_requests: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
     discovery_attempted: watch::Sender<bool>,
 ) {
@@ -67,7 +67,7 @@
         tokio::select! {
             biased;
             changed = addresses.changed() => if changed.is_err() { return },
-            () = watcher.watch_address(address, known_revision, &mut subscriptions) => return,
+            () = watcher.watch_address(address, known_revision, &mut watch_requests) => return,
         }
         known_revision = None;
     }
@@ -91,7 +91,7 @@
         &self,
         address: SocketAddr,
         known_revision: Option<u64>,
-        subscriptions: &mut UnboundedReceiver<()>,
+        watch_requests: &mut UnboundedReceiver<()>,
     ) {
         let idle_timeout = if self.polls_discovery { POLL_IDLE_TIMEOUT } else { PUSH_IDLE_TIMEOUT };
         let mut client = DiscoveryClient { address, idle_timeout, connection: None };
@@ -99,11 +99,11 @@
             (known_revision.unwrap_or(0), known_revision.is_none(), 0_u32);
         let mut may_have_missed = true;
         if self.polls_discovery {
-            let is_subscribed = match needs_full_list {
-                true => self.await_subscription(DispatcherMessage::DiscoveryMoved, subscriptions).await,
-                false => subscriptions.recv().await.is_some(),
+            let is_watch_requested = match needs_full_list {
+                true => self.wait_for_watch_request(DispatcherMessage::DiscoveryMoved, watch_requests).await,
+                false => watch_requests.recv().await.is_some(),
             };
-            if !is_subscribed {
+            if !is_watch_requested {
                 return;
             }
         }
@@ -141,7 +141,10 @@
                     self.discovery_attempted.send_replace(true);
                     (may_have_missed, failures) = (true, failures.saturating_add(1));
                     if self.polls_discovery {
-                        if !self.await_subscription(DispatcherMessage::DiscoveryFailed, subscriptions).await {
+                        if !self
+                            .wait_for_watch_request(DispatcherMessage::DiscoveryFailed, watch_requests)
+                            .await
+                        {
                             return;
                         }
                     } else {
@@ -154,13 +157,13 @@
 
     /// Sends a message to the dispatcher and waits until the decision module subscribes. Subscriptions from before are
     /// dropped, as they belong to the request that has ended. Returns false if the dispatcher has stopped.
-    async fn await_subscription(
+    async fn wait_for_watch_request(
         &self,
         message: DispatcherMessage,
-        subscriptions: &mut UnboundedReceiver<()>,
+        watch_requests: &mut UnboundedReceiver<()>,
     ) -> bool {
-        while subscriptions.try_recv().is_ok() {}
-        self.dispatcher.send(message).is_ok() && subscriptions.recv().await.is_some()
+        while watch_requests.try_recv().is_ok() {}
+        self.dispatcher.send(message).is_ok() && watch_requests.recv().await.is_some()
     }
 }
 
--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -46,7 +46,7 @@
             Action::CloseIdle(endpoint) => self.idle_pool.close(endpoint),
             Action::SetTimer { after, token } => self.set_timer(after, Timer::Decision(token)),
             Action::WatchEndpoints => {
-                self.subscribe.send(()).ok(); // fails only while the process exits
+                self.watch_request_sender.send(()).ok(); // fails only while the process exits
             }
             Action::Log(text) => crate::proxy::logging::log(format_args!("{text}")),
         }
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -119,7 +119,7 @@
     /// The dispatcher's own inbox, for the tasks that it spawns.
     messages: UnboundedSender<DispatcherMessage>,
     /// Asks discovery to watch the endpoint list.
-    subscribe: UnboundedSender<()>,
+    watch_request_sender: UnboundedSender<()>,
     /// Set to true once an endpoint is in service.
     ready: watch::Sender<bool>,
     counters: Arc<Counters>,
@@ -168,7 +168,7 @@
     pub fn new(
         config: Arc<Config>,
         messages: UnboundedSender<DispatcherMessage>,
-        subscribe: UnboundedSender<()>,
+        watch_request_sender: UnboundedSender<()>,
         ready: watch::Sender<bool>,
         (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
         shared_folder: Option<(SharedFolder, FolderState)>,
@@ -183,7 +183,7 @@
             balancer,
             clock,
             messages,
-            subscribe,
+            watch_request_sender,
             ready,
             counters,
             shared_folder,
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -38,7 +38,7 @@
     /// Whether the balancer is ready to serve, as reported by health checks.
     pub ready: watch::Receiver<bool>,
     /// Whether the first endpoint list was received: before that, no request is dispatched.
-    pub first_list_received: watch::Receiver<bool>,
+    pub discovery_attempted: watch::Receiver<bool>,
     /// The request counters.
     pub counters: Arc<Counters>,
     /// The id for the next request.
@@ -66,7 +66,7 @@
     pub fn new(
         config: Arc<Config>,
         dispatcher: UnboundedSender<DispatcherMessage>,
-        (ready, first_list_received): (watch::Receiver<bool>, watch::Receiver<bool>),
+        (ready, discovery_attempted): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         body_memory: Arc<BodyMemory>,
     ) -> Self {
@@ -74,7 +74,7 @@
             config,
             dispatcher,
             ready,
-            first_list_received,
+            discovery_attempted,
             counters,
             next_request_id: AtomicU32::new(0),
             next_client_id: AtomicU64::new(0),
@@ -89,7 +89,7 @@
     }
 
     /// Waits until the first endpoint list was received.
-    async fn wait_for_first_list(&self) {
-        self.first_list_received.clone().wait_for(|first_list_received| *first_list_received).await.ok();
+    async fn wait_for_discovery_attempt(&self) {
+        self.discovery_attempted.clone().wait_for(|discovery_attempted| *discovery_attempted).await.ok();
     }
 }
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -74,7 +74,7 @@
         connection: &ClientConnection,
     ) -> Response<ResponseBody> {
         if request.uri().path() == "/healthz" {
-            self.wait_for_first_list().await;
+            self.wait_for_discovery_attempt().await;
             return match *self.ready.borrow() {
                 true => empty_response(StatusCode::OK),
                 false => empty_response(StatusCode::SERVICE_UNAVAILABLE),
@@ -124,8 +124,9 @@
             };
         let provisional_deadline = Instant::now() + parameters.budget;
         // The request is read before this wait, so that its budget runs out meanwhile.
-        let is_list_received = timeout(parameters.budget, self.wait_for_first_list()).await.is_ok();
-        if !is_list_received || self.rejecting.load(Ordering::Relaxed) {
+        let is_discovery_attempted =
+            timeout(parameters.budget, self.wait_for_discovery_attempt()).await.is_ok();
+        if !is_discovery_attempted || self.rejecting.load(Ordering::Relaxed) {
             return Ok(self.reject(parameters.class));
         }
         remove_hop_by_hop_headers(&mut head.headers);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -110,11 +110,11 @@
 
     let config = Arc::new(config);
     let (dispatcher_sender, inbox) = mpsc::unbounded_channel();
-    let (ready, is_ready) = watch::channel(false);
-    let (subscription_sender, subscriptions) = mpsc::unbounded_channel();
+    let (ready_sender, ready_receiver) = watch::channel(false);
+    let (watch_request_sender, watch_requests) = mpsc::unbounded_channel();
     let (stop, stopping) = watch::channel(false);
     let (discovery_updates, discovery_address) = watch::channel(config.discovery);
-    let (discovery_attempted, is_discovery_attempted) = watch::channel(false);
+    let (discovery_attempted_sender, discovery_attempted_receiver) = watch::channel(false);
 
     let counters = Arc::new(metrics::Counters::new(&config.proxy_settings.classes));
     let shared_folder = config
@@ -126,27 +126,28 @@
     let dispatcher = dispatcher::Dispatcher::new(
         config.clone(),
         dispatcher_sender.clone(),
-        subscription_sender,
-        ready,
+        watch_request_sender,
+        ready_sender,
         counters_and_memory,
         shared_folder,
     )?;
     if let Some(address) = config.admin {
-        let (counters, ready, dispatcher) = (counters.clone(), is_ready.clone(), dispatcher_sender.clone());
+        let (counters, ready, dispatcher) =
+            (counters.clone(), ready_receiver.clone(), dispatcher_sender.clone());
         admin::start(address, admin::AdminContext { counters, ready, dispatcher })?;
     }
     let mut dispatcher_task = tokio::spawn(dispatcher.run(inbox));
     tokio::spawn(discovery::run(
         config.clone(),
         dispatcher_sender.clone(),
-        subscriptions,
+        watch_requests,
         discovery_address,
-        discovery_attempted,
+        discovery_attempted_sender,
     ));
     let server = downstream::DownstreamServer::new(
         config,
         dispatcher_sender,
-        (is_ready, is_discovery_attempted),
+        (ready_receiver, discovery_attempted_receiver),
         counters,
         body_memory,
     );
