--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -16,7 +16,7 @@
 
 /// Client connections accepted beyond the limit, only to reject their requests: in the kernel's backlog they would
 /// be connected, but never get a response.
-pub const SURPLUS_CONNECTIONS: usize = 16;
+pub const MAX_CONNECTIONS_OVER_LIMIT: usize = 16;
 /// Maximum number of open connections to the admin server.
 pub const ADMIN_CONNECTIONS: usize = 12;
 /// File descriptors of the admin server: its connections, one more that is being accepted, its listener and those of
@@ -24,7 +24,7 @@
 pub const ADMIN_DESCRIPTORS: usize = ADMIN_CONNECTIONS + 6;
 /// File descriptors used neither for served clients nor for upstreams: standard streams, listener, discovery, the
 /// runtime, files that are open briefly, and client connections accepted only to be rejected.
-const RESERVED_DESCRIPTORS: usize = 16 + SURPLUS_CONNECTIONS;
+const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONNECTIONS_OVER_LIMIT;
 /// Upstream connections use at most one file descriptor in this many.
 const UPSTREAM_SHARE_DIVISOR: usize = 3;
 /// Smallest `limits.memory_mb` with which requests can be served.
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -170,22 +170,18 @@
 /// carried out.
 async fn submit_order(order: Order, context: &AdminContext) -> Option<OrderOutcome> {
     let claim = OrderClaim::default();
-    let (answer, mut answer_receiver) = oneshot::channel();
+    let (outcome_sender, mut outcome_receiver) = oneshot::channel();
     context
         .dispatcher
-        .send(DispatcherMessage::OperatorOrder(OrderRequest {
-            order,
-            claim: claim.clone(),
-            outcome_sender: answer,
-        }))
+        .send(DispatcherMessage::OperatorOrder(OrderRequest { order, claim: claim.clone(), outcome_sender }))
         .ok();
-    if let Ok(outcome) = timeout(ORDER_TIMEOUT, &mut answer_receiver).await {
+    if let Ok(outcome) = timeout(ORDER_TIMEOUT, &mut outcome_receiver).await {
         return outcome.ok();
     }
     if claim.claim() {
         return None;
     }
-    answer_receiver.await.ok() // the order is being committed: its result is not known before that ends
+    outcome_receiver.await.ok() // the order is being committed: its result is not known before that ends
 }
 
 /// A response with a plain text body.
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections, and evicts idle ones to make room for them.
 
-use crate::config::SURPLUS_CONNECTIONS;
+use crate::config::MAX_CONNECTIONS_OVER_LIMIT;
 use crate::proxy::downstream::client::ClientHandle;
 use crate::proxy::downstream::client_task::ClientTask;
 use crate::proxy::downstream::connection::SingleRequestStream;
@@ -81,7 +81,7 @@
             is_persistent
                 || matches!(
                     state,
-                    IdleState::BetweenRequests | IdleState::UnrecognizedOnly | IdleState::Lingering
+                    IdleState::BetweenRequests | IdleState::UnknownClassOnly | IdleState::Lingering
                 )
         });
     }
@@ -89,7 +89,7 @@
     /// Waits until one more connection may be accepted. That is soon, as surplus connections are rejected at once and
     /// idle ones are evicted.
     pub async fn wait_for_capacity(&self) {
-        while self.client_count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
+        while self.client_count() >= self.config.limits.clients + MAX_CONNECTIONS_OVER_LIMIT {
             self.evict_idle();
             self.client_closed.notified().await;
         }
@@ -118,14 +118,14 @@
             .filter_map(|client| Some((lock(&client.connection.framing).idle_state()?, client)));
         // A surplus connection that lingers uses no slot of the limit.
         let idle_clients: Vec<_> = idle_clients
-            .filter(|((state, _), client)| *state != IdleState::Lingering || !client.surplus)
+            .filter(|((state, _), client)| *state != IdleState::Lingering || !client.exceeds_limit)
             .collect();
         // Evicted connections use their slots until they are closed.
         let unserved =
             idle_clients.iter().filter(|((state, _), _)| *state != IdleState::BetweenRequests).count();
         let unserved_exceed_share = unserved > self.config.limits.clients / UNSERVED_SHARE_DIVISOR;
         let eviction_rank = |state, since: Instant| match state {
-            IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
+            IdleState::UnknownClassOnly | IdleState::Lingering => 0,
             IdleState::Silent if since.elapsed() > NEW_CONNECTION_GRACE => 0,
             IdleState::BetweenRequests if !unserved_exceed_share => 1,
             IdleState::Silent => 2,
@@ -145,11 +145,11 @@
     /// Starts serving an accepted connection, evicting an idle one if the limit is reached.
     pub fn accept_client(self: &Arc<Self>, tcp: TcpStream, graceful_shutdown: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
-        let surplus = self.client_count() >= self.config.limits.clients && !self.evict_idle();
+        let exceeds_limit = self.client_count() >= self.config.limits.clients && !self.evict_idle();
         let (stream, connection) = SingleRequestStream::new(tcp);
         let (evict, check_timeout) = (Notify::new(), Notify::new());
         let client = Arc::new(ClientHandle {
-            surplus,
+            exceeds_limit,
             connection,
             evicted: AtomicBool::new(false),
             evict,
--- a/src/proxy/downstream/client.rs
+++ b/src/proxy/downstream/client.rs
@@ -7,7 +7,7 @@
 /// A client connection, as used by tasks other than the one that serves it.
 pub struct ClientHandle {
     /// The connection exceeds the limit: its requests are rejected at once.
-    pub surplus: bool,
+    pub exceeds_limit: bool,
     /// The socket and its framing state.
     pub connection: ClientConnection,
     /// The connection was selected to be closed in favor of another one.
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -114,8 +114,8 @@
     /// Answers a request, and decides whether the connection is closed after the response.
     pub async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let has_known_class = self.server.class_of(&request).is_some();
-        let mut response = match self.client.surplus {
-            true => self.server.reject_surplus(&request),
+        let mut response = match self.client.exceeds_limit {
+            true => self.server.reject_over_limit(&request),
             false => self.server.handle_request(request, &self.client.connection).await,
         };
         let mut framing = lock(&self.client.connection.framing);
@@ -136,6 +136,6 @@
     /// Whether the connection is closed after its next response.
     pub fn closes_after_response(&self) -> bool {
         let evicted = self.client.evicted.load(Ordering::Relaxed);
-        self.client.surplus || evicted || self.server.draining.load(Ordering::Relaxed)
+        self.client.exceeds_limit || evicted || self.server.draining.load(Ordering::Relaxed)
     }
 }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -31,7 +31,7 @@
         let framing = lock(&self.framing);
         let is_idle = match framing.idle_state() {
             Some((IdleState::Silent, since)) => since.elapsed() >= silent_grace,
-            Some((IdleState::UnrecognizedOnly | IdleState::BetweenRequests, _)) => {
+            Some((IdleState::UnknownClassOnly | IdleState::BetweenRequests, _)) => {
                 framing.response_stalled_since.is_none()
             }
             Some((IdleState::PartialHead | IdleState::Lingering, _)) | None => false,
@@ -80,11 +80,11 @@
 impl ClientLiveness {
     /// Whether the client has closed or reset the connection, according to the kernel. The runtime learns of that
     /// only at its next poll, and a read shows it only behind all bytes before it. If the receive buffer is full, the
-    /// client cannot send its FIN; so with `request_complete`, the bytes that follow the request are read here.
-    pub fn is_disconnected(&self, request_complete: bool) -> bool {
+    /// client cannot send its FIN; so with `request_received`, the bytes that follow the request are read here.
+    pub fn is_disconnected(&self, request_received: bool) -> bool {
         let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
         let mut framing = lock(&framing);
-        let may_read_pipelined = request_complete || framing.phase == Phase::Complete;
+        let may_read_pipelined = request_received || framing.phase == Phase::Complete;
         let mut buffer = [0; MAX_HEAD_SIZE];
         loop {
             if framing.eof_received || framing.exceeds_pipelined_limit() {
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -69,7 +69,7 @@
     /// Nothing was ever received.
     Silent,
     /// Requests were answered, but none of them was for a known class.
-    UnrecognizedOnly,
+    UnknownClassOnly,
     /// A request was answered, and the next one has not started.
     BetweenRequests,
     /// A part of a request head was received.
@@ -163,7 +163,7 @@
             return Some((IdleState::Lingering, last_read));
         }
         let state = match (self.read_buffer.is_empty(), self.known_class_served) {
-            (true, false) if self.response_count > 0 => IdleState::UnrecognizedOnly,
+            (true, false) if self.response_count > 0 => IdleState::UnknownClassOnly,
             (true, false) => IdleState::Silent,
             (true, true) => IdleState::BetweenRequests,
             (false, _) => IdleState::PartialHead,
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -30,7 +30,7 @@
 /// The parameters of a request, from its path and headers.
 pub struct RequestParameters {
     /// The client's id for the request.
-    pub call_id: String,
+    pub client_request_id: String,
     /// The index of the request's class.
     pub class: usize,
     /// The index of the request's tenant.
@@ -48,7 +48,7 @@
 
 impl DownstreamServer {
     /// Rejects a request on a connection that exceeds the limit.
-    pub fn reject_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
+    pub fn reject_over_limit(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class_of(request) {
             Some(class) => self.reject(class),
             None => rejection(REJECTION_RETRY_AFTER),
@@ -111,7 +111,9 @@
         else {
             return Ok(self.reject(parameters.class));
         };
-        let Some(request_id) = RequestIdGuard::try_reserve(&self.open_request_ids, parameters.call_id) else {
+        let Some(request_id) =
+            RequestIdGuard::try_reserve(&self.open_request_ids, parameters.client_request_id)
+        else {
             self.counters.count(parameters.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
@@ -207,7 +209,7 @@
         request: &Request<Incoming>,
     ) -> Result<RequestParameters, (StatusCode, &'static str)> {
         let bad_request = |message| (StatusCode::BAD_REQUEST, message);
-        let (headers, names) = (request.headers(), &self.config.proxy_settings);
+        let (headers, proxy_settings) = (request.headers(), &self.config.proxy_settings);
         let class_in_path = request.uri().path().split('/').nth(1).unwrap_or("");
         let class = self.class_of(request).ok_or((StatusCode::NOT_FOUND, "no such path\n"))?;
         if header_text(headers, "x-call-class") != Some(class_in_path) {
@@ -231,11 +233,11 @@
                 return Err(bad_request("a header is there twice\n"));
             }
         }
-        let call_id = header_text(headers, "x-call-id").filter(|id| !id.is_empty());
-        let tenant = match names.tenants.is_empty() {
+        let client_request_id = header_text(headers, "x-call-id").filter(|id| !id.is_empty());
+        let tenant = match proxy_settings.tenants.is_empty() {
             true => Some(0),
             false => header_text(headers, "x-caller")
-                .and_then(|client| names.tenants.iter().position(|tenant| tenant == client)),
+                .and_then(|client| proxy_settings.tenants.iter().position(|tenant| tenant == client)),
         };
         let budget = header_text(headers, "x-budget").and_then(|budget| budget.parse().ok());
         let cost = match headers.contains_key("x-call-cost") {
@@ -246,7 +248,9 @@
                 .map(|micros| Some((micros * 1e3) as u64)),
         };
         Ok(RequestParameters {
-            call_id: call_id.ok_or(bad_request("X-Call-Id is missing or malformed\n"))?.to_owned(),
+            client_request_id: client_request_id
+                .ok_or(bad_request("X-Call-Id is missing or malformed\n"))?
+                .to_owned(),
             class,
             tenant: tenant.ok_or(bad_request("X-Caller is missing or not known\n"))?,
             budget: budget
