--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -27,8 +27,13 @@
 
 impl RequestIdGuard {
     /// Reserves the id, or returns `None` if a request with the same id is open.
-    pub fn try_reserve(open_request_ids: &Arc<Mutex<HashSet<String>>>, request_id: String) -> Option<Self> {
-        lock(open_request_ids).insert(request_id.clone()).then(|| Self(open_request_ids.clone(), request_id))
+    pub fn try_reserve(
+        open_client_request_ids: &Arc<Mutex<HashSet<String>>>,
+        client_request_id: String,
+    ) -> Option<Self> {
+        lock(open_client_request_ids)
+            .insert(client_request_id.clone())
+            .then(|| Self(open_client_request_ids.clone(), client_request_id))
     }
 }
 
@@ -45,7 +50,7 @@
     /// Counts the request as in flight, once it is complete.
     pub _in_flight: Option<InFlightGuard>,
     /// The reserved id of the request.
-    pub _request_id: RequestIdGuard,
+    pub _request_id_guard: RequestIdGuard,
     /// The memory reserved for the body.
     pub _memory_permit: MemoryPermit,
 }
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -48,7 +48,7 @@
     /// The client connections by their ids.
     pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
     /// The X-Call-Id values of the open requests.
-    pub open_request_ids: Arc<Mutex<HashSet<String>>>,
+    pub open_client_request_ids: Arc<Mutex<HashSet<String>>>,
     /// The memory limit of buffered bodies.
     pub body_memory: Arc<BodyMemory>,
     /// Notified when a client connection is closed.
@@ -79,7 +79,7 @@
             next_request_id: AtomicU32::new(0),
             next_client_id: AtomicU64::new(0),
             clients: Mutex::default(),
-            open_request_ids: Arc::default(),
+            open_client_request_ids: Arc::default(),
             body_memory,
             client_closed: Notify::new(),
             draining: AtomicBool::new(false),
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -111,8 +111,8 @@
         else {
             return Ok(self.reject(parameters.class));
         };
-        let Some(request_id) =
-            RequestIdGuard::try_reserve(&self.open_request_ids, parameters.client_request_id)
+        let Some(request_id_guard) =
+            RequestIdGuard::try_reserve(&self.open_client_request_ids, parameters.client_request_id)
         else {
             self.counters.count(parameters.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
@@ -135,7 +135,7 @@
         let mut guard = RequestGuard {
             framing: None,
             _in_flight: None,
-            _request_id: request_id,
+            _request_id_guard: request_id_guard,
             _memory_permit: memory_permit,
         };
         let (remainder, remainder_received) =
--- a/src/proxy/minimum_rate/tests.rs
+++ b/src/proxy/minimum_rate/tests.rs
@@ -9,7 +9,7 @@
 /// Guards against aborting a response because its client reads slowly: only the time spent waiting for the upstream
 /// counts.
 #[tokio::test]
-async fn time_in_which_nothing_is_asked_for_does_not_count() {
+async fn time_in_which_the_client_reads_nothing_does_not_count() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     for _ in 0..3 {
         sleep(FIRST_WINDOW + RECHECK_DELAY).await;
@@ -20,7 +20,7 @@
 
 /// Guards against aborting a response whose bytes wait in the kernel while the process is stalled.
 #[tokio::test]
-async fn a_window_that_ends_while_the_process_is_held_up_is_looked_at_again() {
+async fn a_window_that_ends_while_the_process_is_stalled_is_rechecked() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     assert!(!is_too_slow(&mut rate).await);
     std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // blocks the runtime, which is not notified of anything
@@ -32,7 +32,7 @@
 
 /// Guards against a window that starts before the deadline of the request or never ends.
 #[tokio::test]
-async fn an_answer_that_stops_is_too_slow_soon_after_its_time() {
+async fn a_response_that_stops_is_too_slow_soon_after_the_deadline() {
     let time_left = Duration::from_millis(100);
     let started = Instant::now();
     let mut rate = MinimumRate::new(Some(started + time_left));
