--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -16,15 +16,16 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// Idle connections without a served request may use the connection limit divided by this.
+/// Unserved connections, that is, all idle ones except those between requests, may use the connection limit divided by
+/// this before they are evicted first.
 pub const UNSERVED_SHARE_DIVISOR: usize = 2;
 
-/// Consecutive failures to accept a connection.
+/// A series of consecutive failures to accept a connection.
 #[derive(Default)]
 pub struct AcceptFailures {
-    /// Number of failures.
+    /// Number of failures so far.
     pub failures: u32,
-    /// The pauses between the attempts.
+    /// The pauses after the failures.
     pub backoff: Backoff,
 }
 
@@ -69,8 +70,9 @@
         }
     }
 
-    /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Connections that may have a
-    /// request on the way are closed only for a persistent shortage.
+    /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Has the idle connections to
+    /// upstreams closed, and evicts one idle client. A client that may have a request on the way, on a
+    /// new connection or partially received, is evicted only if the shortage is persistent.
     pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
         if accept_failures.failures == 0 {
             return;
@@ -86,8 +88,8 @@
         });
     }
 
-    /// Waits until one more connection may be accepted. That is soon, as surplus connections are rejected at once and
-    /// idle ones are evicted.
+    /// Waits until one more connection may be accepted. The wait is short: requests on connections over the limit are
+    /// rejected at once, and idle connections are evicted.
     pub async fn wait_for_capacity(&self) {
         while self.client_count() >= self.config.limits.clients + MAX_CONNECTIONS_OVER_LIMIT {
             self.evict_idle();
@@ -100,12 +102,16 @@
         lock(&self.clients).len()
     }
 
-    /// Evicts one idle connection, and returns whether there was one. A connection that has sent no known request for
-    /// a while is evicted before one between requests, and one with a partial request comes after those, as that
-    /// request would be lost; of each kind, the one idle for longest is evicted. Connections without a served request
-    /// may fill only a share of the limit. Once they exceed it, one of them is evicted, so that many of them cannot
-    /// displace clients that have been served. The evicted client may be sending right now; it then knows that its
-    /// request was not processed.
+    /// Evicts one idle connection, and returns whether there was one.
+    ///
+    /// A connection that has sent no request for a known class for a while is evicted before one between requests. A
+    /// connection with a partial request is evicted after those, as that request would be lost. Of each kind, the
+    /// connection that has been idle for longest is evicted.
+    ///
+    /// Unserved connections may fill only a share of the limit. Once they exceed it, one of them is evicted first, so
+    /// that many of them cannot displace clients that have been served.
+    ///
+    /// The evicted client may be sending right now. It then knows that its request was not processed.
     pub fn evict_idle(&self) -> bool {
         self.evict_idle_where(|_, _| true)
     }
@@ -116,7 +122,7 @@
         let idle_clients = clients
             .values()
             .filter_map(|client| Some((lock(&client.connection.framing).idle_state()?, client)));
-        // A surplus connection that lingers uses no slot of the limit.
+        // A connection over the limit that lingers uses no slot of the limit.
         let idle_clients: Vec<_> = idle_clients
             .filter(|((state, _), client)| *state != IdleState::Lingering || !client.exceeds_limit)
             .collect();
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -22,7 +22,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Size of hyper's read buffer, in bytes. A head needs half of that; the rest lets bodies be read in larger pieces.
+/// Size of hyper's read buffer, in bytes. A request head needs at most half of it; the rest lets bodies be read in
+/// larger pieces.
 pub const READ_BUFFER_SIZE: usize = 2 * MAX_HEAD_SIZE;
 
 /// Serves one client connection, and removes it from the server's table on drop.
@@ -43,7 +44,7 @@
 }
 
 impl ClientTask {
-    /// Serves the connection until it is closed. A panic closes only this connection, after a response if one is due.
+    /// Serves the connection and closes it. A panic closes only this connection, after a response if one is due.
     pub async fn serve(self, stream: SingleRequestStream, graceful_shutdown: watch::Receiver<bool>) {
         let reason = catch_panic(self.serve_requests(stream, graceful_shutdown))
             .await
@@ -67,7 +68,8 @@
             .max_buf_size(READ_BUFFER_SIZE)
             .serve_connection(TokioIo::new(stream), service);
         let mut http_connection = std::pin::pin!(http_connection);
-        // Once the connection is to be closed between requests: how long it stays open if nothing was received on it.
+        // Set once the connection is to be closed between requests: how long it still stays open if it has never
+        // received anything.
         let mut silent_grace = None;
         let mut evicted = false;
         loop {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Answers a request, and decides whether the connection is closed after the response.
+    /// Responds to a request, and decides whether the connection is closed after the response.
     pub async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let has_known_class = self.server.class_of(&request).is_some();
         let mut response = match self.client.exceeds_limit {
@@ -119,9 +121,9 @@
             false => self.server.handle_request(request, &self.client.connection).await,
         };
         let mut framing = lock(&self.client.connection.framing);
-        // If a part of the next request was read, that request is answered before the connection is closed.
+        // If a part of the next request was already read, the connection is closed only after the response to that.
         let closes_connection = self.closes_after_response() && !framing.has_pipelined_bytes();
-        // The rest of a request that was answered early is not waited for.
+        // The response is sent before the request was received completely; the rest of it is not waited for.
         let is_early = response.body().is_fully_buffered() && framing.outstanding() > 0;
         if closes_connection || is_early || framing.must_be_last() || framing.has_both_lengths() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -133,7 +135,7 @@
         response
     }
 
-    /// Whether the connection is closed after its next response.
+    /// Whether the state of the client or of the server requires that the connection is closed after its next response.
     pub fn closes_after_response(&self) -> bool {
         let evicted = self.client.evicted.load(Ordering::Relaxed);
         self.client.exceeds_limit || evicted || self.server.draining.load(Ordering::Relaxed)
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -13,12 +13,12 @@
 use tokio::io::Interest;
 use tokio::time::timeout;
 
-/// How long a connection stays half-closed after the last response, for the client to read that.
+/// How long a connection stays half-closed after the last response, so that the client can read the response.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum bytes of an answered request that are read and dropped. To read more would suggest that the request is
 /// still being processed.
 const MAX_DISCARDED_BYTES: u64 = 1 << 20;
-/// Size of the buffer for reading them, in bytes.
+/// Size of the buffer for reading the rest of an answered request, in bytes.
 const DISCARD_BUFFER_SIZE: usize = 8 << 10;
 
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
@@ -31,7 +31,7 @@
 /// Why a client connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The last response is written, or the client has disconnected.
+    /// hyper has ended the connection: the last response is written, or the client has disconnected.
     Done,
     /// The client takes too long to send its request or to read its response.
     Overdue,
@@ -44,8 +44,9 @@
 }
 
 impl ClientConnection {
-    /// Closes the connection: sends the response that is still due, shuts down the sending side, and lingers until
-    /// the client has read everything, unless the slot is needed for another client.
+    /// Closes the connection: sends the response that is still due, shuts down the sending side, and lingers for a
+    /// limited time until the client has closed its side, too. The linger ends early on eviction, as the slot is needed
+    /// for another client then.
     pub async fn close(&self, reason: CloseReason, eviction: impl Future<Output = ()>) {
         let pending_response = lock(&self.framing).pending_response();
         if let Some(response) = closing_response(reason, pending_response) {
@@ -54,9 +55,9 @@
         if lock(&self.framing).reset_on_close || !self.would_reset_on_close() {
             return;
         }
-        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // after an error the connection is closed, too
+        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error means that the connection is closed already
         let outstanding = lock(&self.framing).start_lingering().min(MAX_DISCARDED_BYTES);
-        // Bytes that were already received are read in any case.
+        // Bytes that were already received are read even without a linger.
         let linger = if reason == CloseReason::Evicted { Duration::ZERO } else { LINGER_TIMEOUT };
         tokio::select! {
             biased;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Writes a response past hyper, which has not written one and will not do so.
+    /// Writes a response to the socket directly. hyper has not written one, and no longer serves the connection.
     async fn write_response(&self, mut response: &[u8]) {
         while !response.is_empty() && self.tcp.writable().await.is_ok() {
             match self.tcp.try_write(response) {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Whether closing would reset the connection, now or when the rest of the current request is received.
+    /// Whether closing the socket would reset the connection: because the kernel has unread bytes, or because the rest
+    /// of the current request may still arrive.
     fn would_reset_on_close(&self) -> bool {
         let is_closed_by_client = self.peek_length() == Some(0);
         let framing = lock(&self.framing);
@@ -84,8 +86,8 @@
             || self.has_unread_bytes()
     }
 
-    /// Peeks at most one byte, which shows also bytes that the runtime has not been notified of. Returns 0 after the
-    /// client's FIN or an error, and `None` if there is nothing to read.
+    /// The number of bytes that the kernel returns for a peek of one byte, including bytes that the runtime has not
+    /// been notified of. `Some(0)` after the client's FIN or an error, and `None` if there is nothing to read.
     fn peek_length(&self) -> Option<usize> {
         match SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]) {
             Ok(length) => Some(length),
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -25,8 +25,8 @@
 }
 
 impl ClientConnection {
-    /// Whether the connection may be closed between requests: no part of a request was received, the last response is
-    /// written, and a connection that has not sent anything has had `silent_grace` to do so.
+    /// Whether the connection may be closed between requests: no part of a request was received, and the last response
+    /// is written. A connection on which nothing was ever received may be closed only after `silent_grace`.
     pub fn can_close(&self, silent_grace: Duration) -> bool {
         let framing = lock(&self.framing);
         let is_idle = match framing.idle_state() {
@@ -44,14 +44,15 @@
         ClientLiveness { tcp: Arc::downgrade(&self.tcp), framing: Arc::downgrade(&self.framing) }
     }
 
-    /// Waits until the client has closed or reset the connection while its request is still being received.
-    /// `PRIORITY` interest reports this even behind unread bytes; urgent data is not expected.
+    /// Waits until the client has closed or reset the connection, while its request is still being received.
+    /// `PRIORITY` interest reports this even behind unread bytes. It would also report urgent data, which is not
+    /// expected.
     pub async fn wait_for_hangup(&self) {
-        self.tcp.ready(Interest::PRIORITY).await.ok(); // an error means closed, too
+        self.tcp.ready(Interest::PRIORITY).await.ok(); // an error also means that the connection is closed
     }
 
-    /// Waits until the client has disconnected, once its request is complete. hyper does not watch for that while it
-    /// has pipelined bytes.
+    /// Waits until the client has disconnected, while its request, which was received completely, has no response.
+    /// hyper does not detect a disconnect while it has pipelined bytes.
     pub async fn wait_for_disconnect(&self) {
         while self.tcp.readable().await.is_ok() {
             let read = {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Tells whether a client is still connected. Does not keep the socket open, as an attempt may outlive its client.
+/// Shows whether a client is still connected. Does not keep the socket open, as an attempt may outlive its client.
 #[derive(Clone)]
 pub struct ClientLiveness {
     tcp: Weak<TcpStream>,
@@ -78,9 +79,11 @@
 }
 
 impl ClientLiveness {
-    /// Whether the client has closed or reset the connection, according to the kernel. The runtime learns of that
-    /// only at its next poll, and a read shows it only behind all bytes before it. If the receive buffer is full, the
-    /// client cannot send its FIN; so with `request_received`, the bytes that follow the request are read here.
+    /// Whether the client has closed or reset the connection, according to the kernel. The runtime learns of a close
+    /// only at its next poll, and a read returns it only after all bytes that were received before.
+    ///
+    /// While the receive buffer is full, the client cannot send its FIN. The bytes that follow the request are
+    /// therefore read here if the whole request was received, which the caller states by `request_received`.
     pub fn is_disconnected(&self, request_received: bool) -> bool {
         let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
         let mut framing = lock(&framing);
@@ -116,8 +119,9 @@
     Idle,
 }
 
+/// Polls a socket without waiting. A failed poll counts as `Idle`.
 fn socket_state(tcp: &TcpStream) -> SocketState {
-    let poll_fds = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets are always reported
+    let poll_fds = &mut [PollFd::new(tcp, PollFlags::RDHUP | PollFlags::IN)]; // errors and resets need no flag
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
     let polled = retry_on_intr(|| poll(poll_fds, Some(&no_wait)));
     let events = if polled.is_ok() { poll_fds[0].revents() } else { PollFlags::empty() };
@@ -128,9 +132,10 @@
     }
 }
 
-/// A stream that hands hyper no byte of a request before the previous request is answered. This way a client's
-/// disconnect is detected while its request is open, a deadline can be counted from the last byte of the request, and
-/// connections that are idle or have a partial request can be distinguished from those with an open request.
+/// A stream that hands hyper no byte of a request before the previous request is answered. This serves three purposes:
+/// a client's disconnect is detected while its request is open, a deadline can be counted from the last byte of the
+/// request, and connections that are idle or have a partial request can be distinguished from those with an open
+/// request.
 pub struct SingleRequestStream(ClientConnection);
 
 impl SingleRequestStream {
@@ -143,7 +148,7 @@
 }
 
 impl SingleRequestStream {
-    /// Records since when the client has accepted no bytes.
+    /// Records since when the client has accepted no bytes of its response, given the result of a write.
     fn track_stall(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let stalled_since = &mut lock(&self.0.framing).response_stalled_since;
         match written {
@@ -193,7 +198,8 @@
     }
 }
 
-/// Reads from or writes to a socket that other tasks use as well, once it is ready.
+/// Reads from or writes to a socket once it is ready. Other tasks may use the socket, too, so that an operation may
+/// find it not ready after all.
 pub fn poll_io(
     cx: &mut Context<'_>,
     tcp: &TcpStream,
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -13,12 +13,12 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Minimum time that clients are still served after a stop signal, as they learn of it with a delay.
+/// Minimum time that clients are still served after a stop signal, as they learn of the stop with a delay.
 pub const MIN_DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// The process is killed no sooner after the stop signal than the longest deadline, capped at the first value, plus
-/// the second value. Other balancers may be down until then, so clients are served as long as the decision module's
-/// responses still arrive in time.
+/// The earliest kill after a stop signal: after the longest deadline, capped at the first value, plus the second value.
+/// Other balancers may be down until then, so clients are served for as long as the decision module can still end their
+/// requests in time.
 pub const KILL_DELAY: (Duration, Duration) = (Duration::from_secs(3), Duration::from_millis(700));
 
 /// Time left between the last responses and the kill.
@@ -30,8 +30,8 @@
 /// Maximum number of connections in a listener's backlog.
 pub const MAX_BACKLOG: usize = 4096;
 
-/// Added to the longest deadline or the request read timeout, whichever is longer: the sum is how long responses may
-/// take after the last connection was accepted.
+/// Margin for the last responses. Together with the longest deadline or the request read timeout, whichever is longer,
+/// this is the time that responses may take after the last connection was accepted.
 pub const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(60);
 
 /// The longest deadline of all classes, in nanoseconds.
@@ -40,15 +40,16 @@
 }
 
 impl DownstreamServer {
-    /// Answers all open requests before the process exits; dropped with its task, a request would get no response.
+    /// Has all open requests answered before the process exits. A request that is dropped with its task would get no
+    /// response.
     pub async fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
         lock(&self.clients).values().for_each(|client| client.check_timeout.notify_one());
         timeout(TIMEOUT_CHECK_INTERVAL + LINGER_TIMEOUT, self.wait_for_all_closed()).await.ok();
     }
 
-    /// Accepts the connections in the backlog, and closes the listener. Connections that arrive meanwhile are
-    /// accepted, too, as they cannot be distinguished from those, but no more in all than a backlog holds.
+    /// Accepts the connections in the backlog, and closes the listener. Connections that arrive meanwhile cannot be
+    /// distinguished from those and are accepted, too, but in all no more than a backlog holds.
     pub async fn accept_backlog(
         self: Arc<Self>,
         listener: TcpListener,
@@ -62,7 +63,7 @@
                     backoff = Backoff::default();
                     self.accept_client(tcp, &graceful_shutdown);
                 }
-                // Other connections still wait, and closing the listener would reset them.
+                // Other connections still wait in the backlog, and closing the listener would reset them.
                 Ok(Err(error)) => {
                     crate::proxy::logging::log(format_args!(
                         "cannot take a client connection from the backlog: {error}"
--- a/src/proxy/downstream/guards.rs
+++ b/src/proxy/downstream/guards.rs
@@ -10,7 +10,8 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Notifies the dispatcher on drop that the client has disconnected, unless the id was cleared.
+/// Notifies the dispatcher on drop that the client of a request has disconnected. Once the final response was received,
+/// the id is cleared, and nothing is sent.
 pub struct CancelOnDrop<'a>(pub Option<RequestId>, pub &'a UnboundedSender<DispatcherMessage>);
 
 impl Drop for CancelOnDrop<'_> {
@@ -21,8 +22,8 @@
     }
 }
 
-/// Reserves the id that a client gave its request. A second open request with the same id is rejected: endpoints and
-/// clients could not tell the two responses apart.
+/// Reserves the id that a client gave its request, the value of X-Call-Id. A second open request with the same id is
+/// rejected: upstreams and clients could not tell the two responses apart.
 pub struct RequestIdGuard(pub Arc<Mutex<HashSet<String>>>, pub String);
 
 impl RequestIdGuard {
@@ -47,9 +48,9 @@
 pub struct RequestGuard {
     /// The framing state of the client connection, if the response is streamed.
     pub framing: Option<Arc<Mutex<RequestFraming>>>,
-    /// Counts the request as in flight, once it is complete.
+    /// Counts the request as in flight; `None` until the request was received completely.
     pub _in_flight: Option<InFlightGuard>,
-    /// The reserved id of the request.
+    /// The reservation of the id that the client gave the request.
     pub _request_id_guard: RequestIdGuard,
     /// The memory reserved for the body.
     pub _memory_permit: MemoryPermit,
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -24,9 +24,9 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
 
-/// Number of consecutive failures to accept after which a shortage of descriptors counts as persistent; with the
-/// pauses between them, about 0.2 s. Failures are counted rather than timed, as the process itself may have been
-/// stalled.
+/// Number of consecutive failures to accept after which a shortage of descriptors or memory counts as persistent. With
+/// the pauses between them, that is after about 0.2 s. Failures are counted rather than timed, as the process itself
+/// may have been stalled.
 const PERSISTENT_SHORTAGE_FAILURES: u32 = 8;
 
 /// The state that all client connections share.
@@ -37,7 +37,8 @@
     pub dispatcher: UnboundedSender<DispatcherMessage>,
     /// Whether the balancer is ready to serve, as reported by health checks.
     pub ready: watch::Receiver<bool>,
-    /// Whether the first endpoint list was received: before that, no request is dispatched.
+    /// Turns true once the first request to discovery has succeeded or failed, or at once where discovery is polled.
+    /// Before that, no request is dispatched.
     pub discovery_attempted: watch::Receiver<bool>,
     /// The request counters.
     pub counters: Arc<Counters>,
@@ -47,17 +48,17 @@
     pub next_client_id: AtomicU64,
     /// The client connections by their ids.
     pub clients: Mutex<HashMap<u64, Arc<ClientHandle>>>,
-    /// The X-Call-Id values of the open requests.
+    /// The ids that clients gave their open requests, the values of X-Call-Id.
     pub open_client_request_ids: Arc<Mutex<HashSet<String>>>,
     /// The memory limit of buffered bodies.
     pub body_memory: Arc<BodyMemory>,
     /// Notified when a client connection is closed.
     pub client_closed: Notify,
-    /// New connections go to another process or to none: each connection is closed after its next response.
+    /// The process is being replaced or stopped: each connection is closed after its next response.
     pub draining: AtomicBool,
     /// New requests are rejected, as they might not be answered before the process is killed.
     pub rejecting: AtomicBool,
-    /// The process is shutting down: each open request is answered at once.
+    /// The process is shutting down: each open request gets a response at once.
     pub shutting_down: AtomicBool,
 }
 
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Waits until the first endpoint list was received.
+    /// Waits until `discovery_attempted` is true.
     async fn wait_for_discovery_attempt(&self) {
         self.discovery_attempted.clone().wait_for(|discovery_attempted| *discovery_attempted).await.ok();
     }
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -15,18 +15,18 @@
 pub enum PendingResponse {
     /// No request has started, or the response to it has.
     Nothing,
-    /// A response to a request that was not received completely.
+    /// The response to a request that was not received completely.
     ForPartialRequest,
-    /// A response to a complete request.
+    /// The response to a request that was received completely and may have taken effect.
     ForCompleteRequest,
 }
 
 /// Maximum bytes that may follow a request before its response. Beyond that, the client counts as disconnected and no
-/// further attempt is made for the request: a regular client sends one request at a time. The limit is below what the
-/// kernel buffers for a connection that is not read. Up to the limit, the client's FIN can be seen; beyond it, the
-/// FIN may wait in the client's send queue.
+/// further attempt is made for the request: a regular client sends one request at a time. The limit is below the number
+/// of bytes that the kernel buffers for a connection that is not read. Up to the limit, the client's FIN is seen;
+/// beyond it, the FIN may wait in the client's send queue.
 pub const MAX_PIPELINED_BYTES: u64 = 48 << 10;
-/// Maximum size of a request head, in bytes. Upstreams may refuse a larger one, and it would use up memory.
+/// Maximum size of a request head, in bytes. Upstreams may refuse a larger head, and it would use up memory.
 pub const MAX_HEAD_SIZE: usize = 8 << 10;
 
 /// Maximum bytes in the read buffer. Bytes beyond that are dropped while a request is open.
@@ -38,10 +38,10 @@
 /// Minimum rate of a request body after the grace period, in bytes per second: half the rate of the slowest client.
 pub const MIN_BODY_RATE: f64 = 32e3;
 
-/// Time spent waiting for a body that does not count towards its rate.
+/// How long a body may be waited for before its rate is checked. This time does not count towards the rate.
 pub const BODY_RATE_GRACE: Duration = Duration::from_millis(700);
 
-/// Maximum pause within a body. A client that has stopped sending gets an error, however much it sent before.
+/// Maximum pause within a body. A client that has stopped sending gets an error, even if it sent fast before.
 pub const MAX_BODY_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long a client may accept no bytes of its response.
@@ -50,14 +50,15 @@
 /// Reads that follow each other within this interval are recorded as one.
 pub const READ_MERGE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The progress of the current request on a connection.
+/// The progress of the current request on a connection. The current request is the one that is being received or
+/// answered; without such a request, it is the next one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The head was not received completely.
+    /// The head was not received completely; nothing of the request was handed to hyper.
     Head,
-    /// The request has a known length, and this many bytes of it were not handed to hyper yet.
+    /// The request has a known length, and this many bytes of it, the head included, were not handed to hyper yet.
     Delivering(u64),
-    /// hyper determines where the request ends, as it is chunked or malformed. No request may follow it.
+    /// hyper determines where the request ends, as it is chunked or malformed. No other request may follow it.
     Unbounded,
     /// hyper has the whole request, and gets no further bytes until the response is finished.
     Complete,
@@ -68,9 +69,9 @@
 pub enum IdleState {
     /// Nothing was ever received.
     Silent,
-    /// Requests were answered, but none of them was for a known class.
+    /// Requests were answered, but none of them was for a known class, and the next one has not started.
     UnknownClassOnly,
-    /// A request was answered, and the next one has not started.
+    /// A request for a known class was answered, and the next request has not started.
     BetweenRequests,
     /// A part of a request head was received.
     PartialHead,
@@ -78,49 +79,58 @@
     Lingering,
 }
 
-/// Tracks the requests on a client's connection: where each starts and ends, and how fast it is received.
+/// Tracks the requests on a client's connection: where each of them starts and ends, and how fast it is received.
 pub struct RequestFraming {
     /// The progress of the current request.
     pub phase: Phase,
-    /// Bytes that were received but not handed to hyper yet.
+    /// Bytes that were read from the socket but not handed to hyper yet: the rest of the current request, followed by
+    /// pipelined bytes.
     pub read_buffer: BytesMut,
-    /// The client has closed its sending side.
+    /// The client has closed its sending side, as shown by a read of zero bytes.
     pub eof_received: bool,
-    /// Total bytes received.
+    /// Number of bytes read from the socket since the connection was accepted, including dropped ones.
     pub received_bytes: u64,
-    /// The reads with bytes that hyper does not have yet: the total after each read, and its time.
+    /// The latest reads from the socket, from the one that returned the last byte handed to hyper on: the value of
+    /// `received_bytes` after each read, and the time of the read.
     pub recent_reads: VecDeque<(u64, Instant)>,
-    /// Total bytes handed to hyper.
+    /// Number of bytes handed to hyper since the connection was accepted.
     pub delivered_bytes: u64,
-    /// When the last byte of the current request was received.
+    /// When the last byte of the current request was received, once the whole request was handed to hyper.
     pub last_byte_at: Instant,
-    /// Since when the connection has waited for a request or for the rest of a partial one.
+    /// Start of the time within which the current request has to be received: when the connection was accepted, or when
+    /// the previous request ended. If a request for a known class was answered before, the time starts anew with the
+    /// first bytes of the next head.
     pub request_wait_since: Instant,
-    /// A request for a known class was answered on this connection.
+    /// A request for a known class was answered on this connection, so that it may stay idle between requests.
     pub known_class_served: bool,
-    /// Number of requests that were answered, whatever they were for.
+    /// Number of requests that were answered on this connection, those for no known class included.
     pub response_count: u32,
-    /// The response to the current request has ended, or is buffered as a whole.
+    /// The response to the current request is buffered as a whole, or its stream has ended. The next request starts
+    /// once the current one is also complete.
     pub response_finished: bool,
-    /// The response to the current request has started.
+    /// The response to the current request was handed to hyper, so that no other response can be sent for it.
     pub response_started: bool,
-    /// The connection stays open only until the client has read the last response.
+    /// The connection is being closed, and stays open only for the client to read the last response.
     pub lingering: bool,
-    /// Offset of the end of the current head, in total bytes received.
+    /// End of the current request's head, as a value of `received_bytes`: the bytes received beyond it belong to the
+    /// body.
     pub head_end: u64,
-    /// Total time spent waiting for bytes since the head was complete, without the wait in progress.
+    /// Total time that hyper has waited for bytes since the current head was complete, without the wait in progress.
     pub read_wait: Duration,
-    /// Start of the wait for bytes that is in progress.
+    /// Start of hyper's wait for bytes that is in progress; `None` if hyper does not wait for bytes.
     pub read_wait_since: Option<Instant>,
-    /// Since when the client has accepted no bytes of its response.
+    /// Since when the client has accepted no bytes of its response; `None` if the last write has succeeded.
     pub response_stalled_since: Option<Instant>,
-    /// The current request has both Content-Length and Transfer-Encoding, of which hyper keeps only one.
+    /// The current request has both Content-Length and Transfer-Encoding, of which hyper keeps only one. The request is
+    /// rejected, as it may hide another one.
     pub has_both_lengths: bool,
-    /// Wakes the task that reads for hyper.
+    /// Wakes hyper's last read that found no bytes to hand over, once the next request may be handed to hyper.
     pub read_waker: Option<Waker>,
-    /// More bytes followed the current request than the read buffer keeps, and the excess was dropped.
+    /// More bytes were received than the read buffer holds, and the excess was dropped. The connection is closed after
+    /// the response, as part of the next request is missing.
     pub pipelined_bytes_dropped: bool,
-    /// The response was aborted, and only an RST can show that to the client.
+    /// The connection is reset instead of closed, as the response was aborted and only an RST can show that to the
+    /// client.
     pub reset_on_close: bool,
 }
 
@@ -153,7 +163,7 @@
         }
     }
 
-    /// The idle state, and since when no bytes were received; `None` while a request is open.
+    /// The idle state, and since when nothing was received; `None` while a request is open.
     pub fn idle_state(&self) -> Option<(IdleState, Instant)> {
         let last_read = self
             .recent_reads
@@ -171,9 +181,9 @@
         (self.phase == Phase::Head).then_some((state, last_read))
     }
 
-    /// Whether the client has not sent a whole request within `timeout`, or has stopped reading its response. A
-    /// connection that has served a known class may stay idle between requests, and a body may take longer if it
-    /// meets the minimum rate.
+    /// Whether the client has not sent a whole request within `timeout`, or has stopped reading its response. Two
+    /// exceptions apply: a connection that has served a request for a known class may stay idle between requests, and a
+    /// body may take longer if it meets the minimum rate.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
         let is_stalled =
             self.response_stalled_since.is_some_and(|since| since.elapsed() > RESPONSE_STALL_TIMEOUT);
@@ -194,7 +204,7 @@
     }
 
     /// Whether the current request has both Content-Length and Transfer-Encoding, so that another request may be
-    /// smuggled in its body.
+    /// smuggled in it.
     pub fn has_both_lengths(&self) -> bool {
         self.has_both_lengths
     }
@@ -204,7 +214,7 @@
         self.phase == Phase::Unbounded || self.pipelined_bytes_dropped
     }
 
-    /// Marks the current request as read to its end, and returns when its last byte was received.
+    /// Marks the current request as complete, as hyper has read it to its end. Returns when its last byte was received.
     pub fn mark_request_complete(&mut self) -> Instant {
         if self.phase == Phase::Unbounded {
             (self.phase, self.last_byte_at) = (Phase::Complete, Instant::now());
@@ -217,8 +227,8 @@
         self.response_started = true;
     }
 
-    /// The response that is still due when the connection is no longer served. While the client does not read a
-    /// response, no further one can be written.
+    /// The response that is still due when the connection is no longer served. None is due if the client has closed its
+    /// sending side, or does not read an earlier response, behind which no other can be written.
     pub fn pending_response(&self) -> PendingResponse {
         match self.phase {
             _ if self.eof_received || self.response_stalled_since.is_some() => PendingResponse::Nothing,
@@ -240,8 +250,7 @@
         }
     }
 
-    /// Marks the connection as kept open only for the client to read the last response, and returns how many bytes of
-    /// the request may still be received.
+    /// Marks the connection as lingering, and returns how many bytes of the current request may still be received.
     pub fn start_lingering(&mut self) -> u64 {
         self.lingering = true;
         self.outstanding()
@@ -261,7 +270,8 @@
         self.eof_received
     }
 
-    /// Marks the response to the current request as finished, so that the next request may be handed to hyper.
+    /// Marks the response to the current request as finished, and starts the next request if the current one is
+    /// complete. `has_known_class` states whether the request was for a known class.
     pub fn finish_response(&mut self, has_known_class: bool) {
         self.response_finished = true;
         self.known_class_served |= has_known_class;
@@ -269,7 +279,7 @@
         self.start_next_request();
     }
 
-    /// Lets the next request be handed to hyper if the current one is complete and its response finished.
+    /// Lets the next request be handed to hyper if the current request is complete and its response is finished.
     pub fn start_next_request(&mut self) {
         if self.phase == Phase::Complete && self.response_finished {
             (self.phase, self.request_wait_since) = (Phase::Head, Instant::now());
@@ -277,9 +287,9 @@
         }
     }
 
-    /// Reads from the socket into the read buffer. While a request is open, the bytes behind it are read as well, as
-    /// unread bytes would hide the client's FIN. Bytes beyond the limit are dropped, and the connection is closed
-    /// after the response.
+    /// Reads from the socket into the read buffer. While a request is open, the bytes that follow it are read as well,
+    /// as the client's FIN would not be seen behind unread bytes. Bytes beyond `MAX_READ_AHEAD` are dropped, and the
+    /// connection is closed after the response.
     pub fn read(&mut self, tcp: &TcpStream) -> io::Result<()> {
         let free_space = MAX_READ_AHEAD.saturating_sub(self.read_buffer.len());
         let received = if free_space > 0 {
@@ -293,7 +303,8 @@
         Ok(())
     }
 
-    /// Appends pipelined bytes, which were read behind the current request.
+    /// Appends bytes to the read buffer that were read from the socket and follow the current request. Bytes beyond
+    /// `MAX_READ_AHEAD` are dropped.
     pub fn append_pipelined(&mut self, bytes: &[u8]) {
         let free_space = MAX_READ_AHEAD.saturating_sub(self.read_buffer.len());
         self.read_buffer.extend_from_slice(&bytes[..free_space.min(bytes.len())]);
@@ -301,7 +312,7 @@
         self.record_read(bytes.len());
     }
 
-    /// Whether more bytes follow the current request than a client sends that waits for its response.
+    /// Whether more bytes follow the current request than a client that waits for its response would send.
     pub fn exceeds_pipelined_limit(&self) -> bool {
         self.phase == Phase::Complete && self.received_bytes - self.delivered_bytes > MAX_PIPELINED_BYTES
     }
@@ -322,7 +333,8 @@
         }
     }
 
-    /// Parses the head if the read buffer has all of it. A head that hyper will reject is handed to it unchanged.
+    /// Parses the next head if the read buffer contains all of it. A head that hyper will reject is handed to hyper
+    /// unchanged.
     pub fn parse_head(&mut self) {
         if self.phase != Phase::Head || self.read_buffer.is_empty() {
             return;
@@ -370,7 +382,7 @@
         }
     }
 
-    /// Hands up to `max_bytes` bytes to hyper.
+    /// Hands up to `max_bytes` bytes of the current request to hyper.
     pub fn deliver(&mut self, buffer: &mut ReadBuf<'_>, max_bytes: usize) {
         let bytes = max_bytes.min(buffer.remaining());
         buffer.put_slice(&self.read_buffer[..bytes]);
@@ -390,7 +402,7 @@
     }
 }
 
-/// Parses a number of decimal digits without a sign.
+/// Parses a number that consists of decimal digits only; `None` for any other text, also for one with a sign.
 pub fn parse_decimal(text: &[u8]) -> Option<u64> {
     let all_digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(text).ok().filter(|_| all_digits)?.parse().ok()
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -29,7 +29,7 @@
 
 /// The parameters of a request, from its path and headers.
 pub struct RequestParameters {
-    /// The client's id for the request.
+    /// The id that the client gave the request, the value of X-Call-Id.
     pub client_request_id: String,
     /// The index of the request's class.
     pub class: usize,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Rejects a request that the dispatcher was not notified of, and counts the rejection for its class.
+    /// Rejects a request that was not passed to the dispatcher, and counts the rejection for its class.
     pub fn reject(&self, class: usize) -> Response<ResponseBody> {
         self.counters.count(class, RequestOutcome::Busy);
         rejection(REJECTION_RETRY_AFTER)
@@ -67,7 +67,7 @@
         self.config.proxy_settings.classes.iter().position(|class| class == class_in_path)
     }
 
-    /// Answers a health check or a request for a class.
+    /// Responds to a health check or a request for a class.
     pub async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Validates a request for a class, has it dispatched, and returns the response or the error to answer with.
+    /// Validates a request for a class, has it dispatched, and returns the response. An error is the status and the
+    /// body to respond with.
     pub async fn handle_class_request(
         &self,
         request: Request<Incoming>,
@@ -125,7 +126,7 @@
                 Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
             };
         let provisional_deadline = Instant::now() + parameters.budget;
-        // The request is read before this wait, so that its budget runs out meanwhile.
+        // The body is read before this wait, so that the budget of the request runs meanwhile.
         let is_discovery_attempted =
             timeout(parameters.budget, self.wait_for_discovery_attempt()).await.is_ok();
         if !is_discovery_attempted || self.rejecting.load(Ordering::Relaxed) {
@@ -165,7 +166,8 @@
                     None
                 }
                 final_response = &mut response_receiver => Some(final_response),
-                // Nobody reads the body while an attempt waits for its connection, which would hide a disconnect.
+                // While an attempt waits for its connection, nobody reads the body, and a disconnect would go
+                // unnoticed.
                 () = connection.wait_for_hangup() => return disconnected,
             },
         };
@@ -189,7 +191,8 @@
                     .map(|content_length| response.headers_mut().insert(CONTENT_LENGTH, content_length));
                 if !response.body().is_fully_buffered() {
                     guard.framing = Some(framing.clone());
-                    // Without chunked encoding the body ends with the connection; only an RST can report an abort.
+                    // HTTP/1.0 has no chunked encoding: the end of the connection ends the body, so that only an RST
+                    // can show the client that the body was aborted.
                     if is_http_1_0 && response.body().size_hint().exact().is_none() {
                         let framing = framing.clone();
                         response.body_mut().on_abort(move || lock(&framing).reset_on_close = true);
@@ -203,7 +206,7 @@
         })
     }
 
-    /// Parses the parameters of a request, or returns the error to answer with.
+    /// Parses and validates the parameters of a request. An error is the status and the body to respond with.
     pub fn parse_parameters(
         &self,
         request: &Request<Incoming>,
--- a/src/proxy/downstream/responses.rs
+++ b/src/proxy/downstream/responses.rs
@@ -18,7 +18,7 @@
     response
 }
 
-/// A rejection, with a Retry-After header unless that time is zero.
+/// A rejection with a Retry-After header, which is omitted if `retry_after` is zero.
 pub fn rejection(retry_after: Duration) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > Duration::ZERO
@@ -29,7 +29,8 @@
     response
 }
 
-/// Removes the headers that concern only this connection, and load reports, which are meant for the balancer.
+/// Removes the headers that concern only one connection, including those that `Connection` lists, and load reports,
+/// which are meant for the balancer.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/proxy/downstream/serving.rs
+++ b/src/proxy/downstream/serving.rs
@@ -12,8 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 impl DownstreamServer {
-    /// Serves until a stop is requested and for the drain time after that, and returns when all requests are
-    /// answered.
+    /// Serves until a stop is requested and for the drain time after that. Returns when all requests are answered.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let timeout_checks = tokio::spawn(server.clone().run_timeout_checks());
@@ -31,8 +30,8 @@
         }
         let mut backlog_task = None;
         if shares_listener {
-            // The next process accepts the connections in the backlog. Connected clients may be sending right now:
-            // each is moved to that process by closing its connection after the next response.
+            // The next process accepts the connections in the backlog. The connected clients may be sending right now.
+            // Each of them is moved to the next process by closing its connection after the next response.
             drop(listener);
             server.draining.store(true, Ordering::Relaxed);
             timeout(server.drain_time(), server.wait_for_all_closed()).await.ok();
@@ -47,7 +46,7 @@
         // Connections that were just accepted still get time to send a request.
         timeout(10 * BACKLOG_EMPTY_TIMEOUT, server.wait_for_all_closed()).await.ok();
         server.rejecting.store(true, Ordering::Relaxed);
-        // If the process was stalled, the backlog is not empty yet: its clients get a rejection instead of a reset.
+        // If the process was stalled, the backlog may not be empty yet. Its clients get a rejection instead of a reset.
         let all_answered = async {
             if let Some(accept_task) = backlog_task.as_mut().filter(|accept_task| !accept_task.is_finished())
             {
