--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers each batch with a reply until the input ends.
+/// Writes a reply to each batch until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Box<dyn Error>> {
     let mut host = Host::default();
     let (mut body, mut frame) = (Vec::new(), Vec::new());
@@ -30,7 +30,11 @@
         body.clear();
         let read = input.by_ref().take(header.length as u64).read_to_end(&mut body)?;
         if read < header.length {
-            return Err(format!("batch {}: truncated frame", header.sequence).into());
+            return Err(format!(
+                "batch {}: truncated frame, {read} bytes received after the header",
+                header.sequence
+            )
+            .into());
         }
         for record in simulator::decode_records(header, &body) {
             let record = record.map_err(|error| format!("batch {}: {error}", header.sequence))?;
@@ -65,10 +69,11 @@
 struct Host {
     /// Instances by their number.
     instances: HashMap<u32, LoadBalancer>,
-    /// Endpoint lists by their number, for later announcements.
+    /// Endpoint lists by their number, kept until they are replaced, as later records announce them to instances.
     tables: [Vec<EndpointEntry>; MAX_TABLES],
     /// Actions of the current event, cleared by `flush`.
     actions: Vec<Action>,
+    /// The reply to the current batch.
     reply: Reply,
 }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -75,7 +75,7 @@
 /// A decoded event record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts.
+    /// An instance of the decision module starts.
     PowerOn {
         /// Number of the instance.
         instance: u32,
@@ -134,8 +134,8 @@
     records.chunks_exact(EVENT_SIZE).map(move |record| decode_record(record, tail))
 }
 
-/// The part of the tail that a record refers to. The field at `field_offset` holds the part's offset in the tail and
-/// the number of its items.
+/// The part of the tail that a record refers to. The record states at `field_offset` where in the tail that part
+/// starts, and then the number of its items.
 fn tail_part<'a>(
     record: &[u8],
     field_offset: usize,
@@ -210,6 +210,7 @@
     Ok(Record::Event(instance, event))
 }
 
+/// Checks the number of an endpoint list.
 fn decode_table_number(number: u32) -> Result<usize, WireError> {
     let table = number as usize;
     if table < MAX_TABLES {
@@ -219,6 +220,7 @@
     }
 }
 
+/// Decodes the outcome of an attempt or a load query.
 fn decode_outcome(code: u8) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
         0 => AttemptOutcome::Success,
@@ -233,6 +235,7 @@
     })
 }
 
+/// Decodes the load report at an offset of a record; `None` if it has no values.
 fn decode_load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
     let len = record[offset] as usize;
     if len > 4 {
@@ -245,12 +248,13 @@
     Ok((len > 0).then_some(report))
 }
 
+/// Decodes an entry of an endpoint list.
 fn decode_entry(bytes: &[u8]) -> Result<EndpointEntry, WireError> {
     let state = match bytes[9] {
         0 => EndpointState::Removed,
         1 => EndpointState::InService,
         2 => EndpointState::Draining,
-        code => return Err(WireError::new(format!("unknown lifecycle {code}"))),
+        code => return Err(WireError::new(format!("unknown endpoint state {code}"))),
     };
     let started = u64_at(bytes, 14);
     Ok(EndpointEntry {
@@ -266,7 +270,9 @@
 /// The reply to a batch, to which actions are added one by one.
 #[derive(Debug, Default)]
 pub struct Reply {
+    /// The encoded action records.
     records: Vec<u8>,
+    /// Texts that records refer to, which follow the records in the frame.
     tail: Vec<u8>,
 }
 
@@ -328,6 +334,7 @@
 
 /// A value that is written to an action record, in little-endian order.
 trait Field {
+    /// Appends the value to `out`.
     fn write(&self, out: &mut Vec<u8>);
 }
 
@@ -495,6 +502,7 @@
     })
 }
 
+/// Converts a class of the settings.
 fn request_class(raw: RawClass) -> Result<RequestClass, WireError> {
     let idempotency = match raw.effect {
         RawEffect::ReadLike => Idempotency::Idempotent,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -331,7 +331,7 @@
         (batch(&["0a 00000000 00000000 ffffffff"], &[]), "outside a tail"),
         (
             batch(&["0a 00000000 00000000 01000000"], &[&[0; 9][..], &[7], &[0; 12]].concat()),
-            "unknown lifecycle 7",
+            "unknown endpoint state 7",
         ),
         (batch(&["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 05"], &[]), "load report of 5"),
         (batch(&["07 03000000 f211902c 09"], &[]), "unknown outcome 9"),
