--- a/src/config/endpoint_listing.rs
+++ b/src/config/endpoint_listing.rs
@@ -5,11 +5,12 @@
 /// An endpoint list: either all endpoints or those that changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listing {
-    /// Revision of the list, from which the next request asks for changes.
+    /// Revision of the list. The next request to discovery asks for the changes since this revision.
     pub rev: u64,
     /// Whether `targets` holds all endpoints rather than only those that changed.
     #[serde(default)]
     pub all: bool,
+    /// The endpoints.
     #[serde(default)]
     pub targets: Vec<ListedEndpoint>,
 }
@@ -17,16 +18,19 @@
 /// An entry of an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedEndpoint {
+    /// The unique id of the endpoint.
     pub uid: String,
-    /// The address with its port.
+    /// The IP address with the port.
     pub endpoint: String,
-    /// The zone.
+    /// The name of the zone.
     #[serde(default)]
     pub az: String,
-    /// The cell.
+    /// The number of the cell.
     #[serde(default)]
     pub pod_group: u16,
+    /// The state in which the endpoint is listed.
     pub state: ListedState,
+    /// The capacity that the endpoint is assumed to have.
     #[serde(default = "default_capacity_hint")]
     pub capacity_hint: f32,
     /// When the endpoint started, as Unix time in milliseconds; 0 means long ago.
@@ -38,12 +42,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
+    /// The endpoint accepts new requests.
     InService,
+    /// The endpoint is to be removed from the list.
     Terminated,
+    /// The endpoint gets no new requests.
     #[serde(other)]
     Terminating,
 }
 
+/// The capacity of an endpoint that is listed without one.
 fn default_capacity_hint() -> f32 {
     1.0
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,18 +14,18 @@
 use std::os::fd::RawFd;
 use std::time::Duration;
 
-/// Client connections accepted beyond the limit, only to reject their requests: in the kernel's backlog they would
-/// be connected, but never get a response.
+/// Maximum number of client connections accepted beyond the limit, only to reject their requests. In the kernel's
+/// backlog, these clients would be connected, but get no response.
 pub const MAX_CONNECTIONS_OVER_LIMIT: usize = 16;
 /// Maximum number of open connections to the admin server.
 pub const ADMIN_CONNECTIONS: usize = 12;
-/// File descriptors of the admin server: its connections, one more that is being accepted, its listener and those of
-/// its runtime.
+/// Number of file descriptors that the admin server needs: its connections, one more that is being accepted, its
+/// listener and the descriptors of its runtime.
 pub const ADMIN_DESCRIPTORS: usize = ADMIN_CONNECTIONS + 6;
-/// File descriptors used neither for served clients nor for upstreams: standard streams, listener, discovery, the
-/// runtime, files that are open briefly, and client connections accepted only to be rejected.
+/// Number of file descriptors used neither for served clients nor for upstreams: those of the standard streams, the
+/// listener, discovery and the runtime, files that are open briefly, and client connections over the limit.
 const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONNECTIONS_OVER_LIMIT;
-/// Upstream connections use at most one file descriptor in this many.
+/// Upstream connections may use the number of file descriptors divided by this.
 const UPSTREAM_SHARE_DIVISOR: usize = 3;
 /// Smallest `limits.memory_mb` with which requests can be served.
 const MIN_MEMORY_MB: usize = 8;
@@ -44,6 +44,7 @@
     pub discovery: SocketAddr,
     /// Seed of the decision module's random numbers; also part of the name under which the process announces itself.
     pub seed: u64,
+    /// Limits on file descriptors and memory.
     pub limits: Limits,
     /// The endpoint list to start with, before discovery has answered.
     pub known: Listing,
@@ -68,10 +69,15 @@
 /// position, and the connect timeout.
 #[derive(Debug)]
 pub struct ProxySettings {
+    /// Names of the request classes.
     pub classes: Vec<String>,
+    /// Names of the tenants.
     pub tenants: Vec<String>,
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Names of the fields of a load report.
     pub report_fields: Vec<String>,
+    /// How long connecting to an upstream may take.
     pub connect_timeout: Duration,
 }
 
@@ -130,7 +136,8 @@
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; the error is one line that names the field at fault.
+    /// Reads the configuration from the file that `LB_CONFIG` names and from the environment. An error is one line that
+    /// names the invalid or missing key.
     pub fn load() -> Result<Self, String> {
         let path = config_path()?;
         let text =
@@ -138,7 +145,7 @@
         Self::parse(&text, environment_variable("LB_LISTEN"), environment_variable("LB_DISCOVERY"))
     }
 
-    /// Reads the file again. Its `discovery` takes precedence over `LB_DISCOVERY`, which is older.
+    /// Reads the configuration again. The file's `discovery` takes precedence over `LB_DISCOVERY`, which is older.
     pub async fn reload() -> Result<Self, String> {
         let path = config_path()?;
         let text =
@@ -152,6 +159,8 @@
         self.admin.is_some() || self.listen_fd.is_some()
     }
 
+    /// Parses and validates the text of the configuration file. `listen` and `discovery` are the addresses from the
+    /// environment, which take precedence over those of the file.
     fn parse(text: &str, listen: Option<String>, discovery: Option<String>) -> Result<Self, String> {
         let raw: RawConfig = parse_json("configuration", text)?;
         let settings = raw.settings.to_string();
@@ -168,7 +177,7 @@
         if memory < MIN_MEMORY_MB {
             return Err(format!("`limits.memory_mb` is {memory}, less than the minimum of {MIN_MEMORY_MB}"));
         }
-        // Every client that waits for a response needs an upstream connection; an idle client needs only its own.
+        // A client that waits for a response needs an upstream connection beside its own; an idle client does not.
         let reserved = RESERVED_DESCRIPTORS + admin.as_ref().map_or(0, |_| ADMIN_DESCRIPTORS);
         let upstreams = (sockets / UPSTREAM_SHARE_DIVISOR).min((sockets - reserved) / 2);
         let clients = sockets - reserved - upstreams;
@@ -193,6 +202,7 @@
     }
 }
 
+/// The path of the configuration file.
 fn config_path() -> Result<String, String> {
     environment_variable("LB_CONFIG").ok_or_else(|| "`LB_CONFIG` is not set".to_owned())
 }
@@ -201,10 +211,12 @@
     format!("`LB_CONFIG` {path}: {error}")
 }
 
+/// The value of an environment variable, unless it is not set, empty or not valid Unicode.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
+/// Parses JSON. An error starts with `subject` and the path of the invalid key, if there is one.
 fn parse_json<T: DeserializeOwned>(subject: &str, text: &str) -> Result<T, String> {
     let mut text = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut text).map_err(|error| format!("{subject}: {error}"))?;
@@ -212,11 +224,13 @@
     Ok(value)
 }
 
+/// Parses the value of `LB_LISTEN_FD`.
 fn parse_descriptor(text: &str) -> Result<RawFd, String> {
     let fd = text.parse().ok().filter(|fd| *fd >= 0);
     fd.ok_or_else(|| format!("`LB_LISTEN_FD` is not a file descriptor number: {text:?}"))
 }
 
+/// Parses the address that a field of the configuration has to contain.
 fn parse_address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("`{field}` is missing"))?;
     text.parse().map_err(|_| format!("`{field}` is not an IP address with a port: {text:?}"))
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer process: loads the configuration and runs the proxy until a signal stops it.
+//! The balancer process: loads the configuration, and runs the proxy until a signal to stop.
 
 #![deny(unsafe_code)]
 
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,5 +1,6 @@
 //! The admin server: serves operators on a second address, with a thread and a runtime of its own, so that the load of
-//! clients cannot delay an operator. It keeps no state: it reads the counters and sends orders to the dispatcher.
+//! clients cannot delay an operator. It has no state of its own: it reads the counters and sends orders to the
+//! dispatcher.
 
 use super::metrics::Counters;
 use super::orders::{Order, OrderClaim, OrderOutcome, OrderRequest};
@@ -28,14 +29,16 @@
 
 /// How long receiving the head of a request may take.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long the dispatcher may take to carry out an order: an operator gets an answer within a second.
+/// How long an order may take to be carried out. An operator gets a response within a second.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The state that the admin server reports, and the channel that it sends orders to.
 pub struct AdminContext {
+    /// The counters that `/control/counters` reports.
     pub counters: Arc<Counters>,
     /// Turns true once an endpoint is in service.
     pub ready: watch::Receiver<bool>,
+    /// The sender of messages to the dispatcher.
     pub dispatcher: UnboundedSender<DispatcherMessage>,
 }
 
@@ -81,7 +84,7 @@
                 backoff = Backoff::default();
                 connections.retain(|connection| !connection.task.is_finished());
                 if connections.len() >= ADMIN_CONNECTIONS {
-                    // The oldest connection without a request makes room for the new one, or else the oldest of all.
+                    // Close the oldest connection that has sent no request, or the oldest of all if each has sent one.
                     let oldest_without_request = connections
                         .iter()
                         .position(|connection| !connection.has_request.load(Ordering::Relaxed));
@@ -115,10 +118,10 @@
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(tcp), service);
-    connection.await.ok(); // nothing to do if the operator disconnects or sends no request
+    connection.await.ok(); // fails if the operator disconnects or sends no valid request, which needs no action
 }
 
-/// Finds the response to a request by its method and path.
+/// Responds to a request by its method and path.
 async fn respond(method: &Method, path: &str, context: &AdminContext) -> AdminResponse {
     let segments: Vec<&str> = path.split('/').skip(1).collect();
     let (allowed, is_known) = match segments[..] {
@@ -149,7 +152,7 @@
     }
 }
 
-/// Gives an order about an endpoint and responds with its result.
+/// Submits an operator's order about an endpoint and responds with its outcome.
 async fn handle_order(id: &str, offline: bool, context: &AdminContext) -> AdminResponse {
     let order = Order { uid: id.to_owned(), offline };
     match submit_order(order, context).await {
@@ -166,8 +169,8 @@
     }
 }
 
-/// Sends an order to the dispatcher and waits for its outcome. `None` if that takes too long; the order is then never
-/// carried out.
+/// Sends an order to the dispatcher and waits for its outcome. Returns `None` if that takes too long or the dispatcher
+/// has stopped. An order that took too long never comes into force.
 async fn submit_order(order: Order, context: &AdminContext) -> Option<OrderOutcome> {
     let claim = OrderClaim::default();
     let (outcome_sender, mut outcome_receiver) = oneshot::channel();
@@ -181,7 +184,7 @@
     if claim.claim() {
         return None;
     }
-    outcome_receiver.await.ok() // the order is being committed: its result is not known before that ends
+    outcome_receiver.await.ok() // the order is being committed, and its outcome is not known before that ends
 }
 
 /// A response with a plain text body.
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -20,16 +20,19 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::io::InspectReader;
 
-/// How long discovery may delay the response to a watch until something changes. A watch whose connection has gone
-/// silent is noticed only after this wait, and a balancer counts as notified of a change that it missed 6 s after the
-/// connection fell silent, or 2 s after the end of the wait if that is later: a short wait leaves the most time to send
-/// another request. To continue a watch costs a discovery service shared by all balancers next to nothing, unlike a new
-/// request.
+/// How long discovery may delay the response to a watch until something changes.
+///
+/// A watch whose connection has gone silent is noticed only after this wait. The balancer counts as notified of a
+/// change that it missed 6 s after the connection fell silent, or 2 s after the end of the wait if that is later. A
+/// short wait therefore leaves the most time to send another request.
+///
+/// Where all balancers share one discovery service, to continue a watch costs that service next to nothing, unlike a
+/// new request.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// Time without a byte from discovery, after the wait of a request or within its response, after which the request has
-/// failed. An agent on the same machine responds at once; a service shared by all balancers handles requests in turn.
+/// Idle timeout of a request where discovery pushes lists. The request has failed if no byte is received for this time
+/// after its wait has ended, or within its response. An agent on the same machine responds at once.
 const PUSH_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// As [`PUSH_IDLE_TIMEOUT`], where discovery is polled.
+/// Idle timeout of a request where discovery is polled. A service shared by all balancers handles requests in turn.
 const POLL_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Maximum time from the first to the last byte of a response.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1500);
@@ -37,16 +40,18 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The first pause after a failure, doubled with each further one, and the longest.
 const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// Pause before the next request after a response without changes: an agent that responds at once instead of waiting
-/// would otherwise get requests in a tight loop. Short enough for the watch to count as continuous.
+/// Pause before the next request after a response without changes. An agent that responds at once instead of waiting
+/// would otherwise get requests in a tight loop. The pause is short enough for the watch to count as continuous.
 const UNCHANGED_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum size of a response, far above that of any list, to bound the memory it takes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Sends every change of the endpoint list to the dispatcher, for as long as the process runs. When the address
 /// changes, the current request is dropped and the full list is requested from the new address, as revisions of two
-/// services cannot be compared. `discovery_attempted` turns true once the first request has ended, or at once where
-/// discovery is polled: an agent that pushes lists counts as having notified the balancer of its list from the start.
+/// services cannot be compared.
+///
+/// Where discovery pushes lists, `discovery_attempted` turns true once the first request has succeeded or failed: the
+/// balancer counts as notified of the agent's list from the start. Where discovery is polled, it is true at once.
 pub async fn run(
     config: Arc<Config>,
     dispatcher: UnboundedSender<DispatcherMessage>,
@@ -75,7 +80,7 @@
 
 /// Watches the endpoint list for the dispatcher.
 struct EndpointWatcher<'a> {
-    /// Lists come only when requested, from a service that all balancers share.
+    /// Discovery sends lists only on request, and is a service that all balancers share.
     polls_discovery: bool,
     dispatcher: &'a UnboundedSender<DispatcherMessage>,
     discovery_attempted: &'a watch::Sender<bool>,
@@ -83,9 +88,12 @@
 
 impl EndpointWatcher<'_> {
     /// Watches the discovery service at one address, from a known revision or from the full list on, until the
-    /// dispatcher has stopped. Where discovery is polled, the first request and each one after a failure are sent when
-    /// the decision module subscribes, so that the balancers that share the service do not send theirs at once.
-    /// Changes that may have been missed, at the start and after a failure, are requested without a wait: a silent
+    /// dispatcher has stopped.
+    ///
+    /// Where discovery is polled, the first request and each request after a failure are sent when the decision module
+    /// requests a watch, so that the balancers that share the service do not send theirs all at once.
+    ///
+    /// Changes may have been missed at the start and after a failure. They are requested without a wait: a silent
     /// connection is noticed soonest that way.
     async fn watch_address(
         &self,
@@ -114,12 +122,12 @@
                 false => format!("/v1/servers?after={revision}&wait_ms={}", wait.as_millis()),
             };
             match client.fetch(&path, wait).await {
-                // A lower revision means that the service was replaced: its state is known from the full list alone.
+                // A lower revision means that the service was replaced. Only the full list shows what it lists now.
                 Ok(listing) if listing.rev < revision && !listing.all => needs_full_list = true,
                 Ok(listing) => {
                     if failures > 0 {
                         crate::proxy::logging::log(format_args!(
-                            "discovery at {address} answers again after {failures} failures"
+                            "discovery at {address} responds again after {failures} failures"
                         ));
                     }
                     let is_unchanged = listing.rev == revision && !may_have_missed;
@@ -155,8 +163,8 @@
         }
     }
 
-    /// Sends a message to the dispatcher and waits until the decision module subscribes. Subscriptions from before are
-    /// dropped, as they belong to the request that has ended. Returns false if the dispatcher has stopped.
+    /// Sends a message to the dispatcher and waits until the decision module requests a watch. Earlier watch requests
+    /// are dropped, as they belong to the watch that has ended. Returns false if the dispatcher has stopped.
     async fn wait_for_watch_request(
         &self,
         message: DispatcherMessage,
@@ -177,7 +185,7 @@
 /// A connection to discovery.
 struct DiscoveryConnection {
     sender: SendRequest<Empty<Bytes>>,
-    /// Changes whenever bytes are received.
+    /// Marked as changed whenever bytes are received.
     received: watch::Receiver<()>,
 }
 
@@ -190,7 +198,7 @@
         let end = Instant::now() + CONNECT_TIMEOUT;
         let connect_deadline =
             ConnectDeadline { end, end_after_local_failure: end, local_failure: &AtomicBool::default() };
-        // There are no other peers whose reachability could be compared.
+        // There are no other peers whose reachability could be compared with that of discovery.
         let tcp = connect(address, connect_deadline, &Reachability::default()).await?;
         let (notify_received, received) = watch::channel(());
         let tcp = InspectReader::new(tcp, move |_: &[u8]| notify_received.send_replace(()));
@@ -214,8 +222,9 @@
 }
 
 impl DiscoveryClient {
-    /// Sends a request, connecting first if needed. Fails if nothing is received for the idle timeout after `wait` or
-    /// within the response, or if the response takes too long.
+    /// Sends a request, connecting first if needed, and returns the list in its response. Fails if nothing is received
+    /// for the idle timeout after `wait` or within the response, or if the response takes longer than
+    /// `MAX_RESPONSE_TIME`.
     async fn fetch(&mut self, path: &str, wait: Duration) -> Result<Listing, DiscoveryError> {
         let mut connection = match self.connection.take() {
             // Discovery may have closed the connection since the last request.
@@ -236,7 +245,7 @@
                         timeout_at = (now + self.idle_timeout)
                             .min(*response_deadline.get_or_insert(now + MAX_RESPONSE_TIME));
                     }
-                    () = sleep_until(timeout_at) => return Err("no response in time".into()),
+                    () = sleep_until(timeout_at) => return Err("no response, or only a part of it, in time".into()),
                 }
             }
         };
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -55,7 +55,7 @@
         if lock(&self.framing).reset_on_close || !self.would_reset_on_close() {
             return;
         }
-        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error means that the connection is closed already
+        SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error also ends the connection
         let outstanding = lock(&self.framing).start_lingering().min(MAX_DISCARDED_BYTES);
         // Bytes that were already received are read even without a linger.
         let linger = if reason == CloseReason::Evicted { Duration::ZERO } else { LINGER_TIMEOUT };
--- a/src/proxy/durable_file.rs
+++ b/src/proxy/durable_file.rs
@@ -11,7 +11,7 @@
 /// Maximum number of attempts at a system call that signals keep interrupting.
 const MAX_INTERRUPTED_ATTEMPTS: usize = 16;
 
-/// A step of a file operation.
+/// A step of a file operation, as named in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileStep {
     Open,
@@ -34,7 +34,7 @@
 }
 
 impl FileError {
-    /// Converts the I/O error of a step on a file.
+    /// Returns a function that adds the step and the path to an I/O error.
     fn from_io(step: FileStep, path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self { step, path, source }
@@ -84,15 +84,15 @@
     }
 }
 
-/// Makes renames and removals in the folder of a file durable.
+/// Syncs the folder that contains a file, so that renames and removals in the folder are durable.
 pub fn sync_folder_of(path: &Path) -> Result<(), FileError> {
     let folder = path.parent().unwrap_or(path);
     let sync_result = retry_interrupted(|| File::open(folder)?.sync_all());
     sync_result.map_err(FileError::from_io(FileStep::SyncFolder, folder))
 }
 
-/// Locks a file against other processes until the returned file is dropped, waiting for the lock until the deadline.
-/// The file is created if it does not exist.
+/// Locks a file against other processes, and creates it first if it does not exist. Waits for the lock until the
+/// deadline. The lock is released when the returned file is dropped.
 pub fn lock(path: &Path, deadline: Instant) -> Result<File, LockError> {
     let file = retry_interrupted(|| File::create(path)).map_err(FileError::from_io(FileStep::Open, path))?;
     loop {
@@ -118,7 +118,7 @@
     file.try_lock()
 }
 
-/// Repeats a system call that is interrupted by signals, a bounded number of times.
+/// Repeats a system call that signals interrupt, up to `MAX_INTERRUPTED_ATTEMPTS` times.
 pub fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_INTERRUPTED_ATTEMPTS {
         match operation() {
--- a/src/proxy/logging.rs
+++ b/src/proxy/logging.rs
@@ -5,11 +5,11 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Maximum number of lines written per second: the same failure may be logged many times a second.
+/// Maximum number of lines written per second, as the same failure may occur many times a second.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Writes a line to standard error, unless too many lines were written within the last second. Unlike `eprintln`, it
-/// does not panic if standard error is closed.
+/// Writes a line to standard error, unless too many lines were written within the current second. Unlike `eprintln`,
+/// this does not panic if standard error is closed.
 pub fn log(text: fmt::Arguments<'_>) {
     static CURRENT_WINDOW: Mutex<Option<(Instant, u32)>> = Mutex::new(None);
     let mut window = CURRENT_WINDOW.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/proxy/minimum_rate.rs
+++ b/src/proxy/minimum_rate.rs
@@ -1,4 +1,4 @@
-//! A minimum rate for streamed responses, to detect one that has stopped or is too slow.
+//! A minimum rate for streamed responses, to detect a response that has stopped or is too slow.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -6,18 +6,18 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 /// Minimum rate of a response after the deadline of its request, in bytes per second. The slowest peers send 64 kB
-/// per second; a sixty-fourth of that allows for pauses, and a byte now and then stays far below it.
+/// per second. A sixty-fourth of that allows for pauses, and a response of a byte now and then stays far below it.
 const MIN_RATE: u64 = 1000;
-/// Length of the first window, which starts at the deadline of the request. Together with the recheck and a stall of
-/// the process for 0.1 s, it ends within the 0.5 s after the deadline in which the client must get a final response.
+/// Length of the first window, which starts at the deadline of the request. Even with the recheck and a stall of the
+/// process for 0.1 s, the window ends within 0.5 s after the deadline, as the client must get a final response by then.
 const FIRST_WINDOW: Duration = Duration::from_millis(350);
 /// Length of each later window: a long response may pause, but its rest must not be delayed for longer.
 const LATER_WINDOW: Duration = Duration::from_secs(2);
-/// Delay before a response is declared too slow. After a stall of the process, the end of the window is seen before
-/// the bytes that were received meanwhile.
+/// Delay between the end of a window and the recheck of its bytes. After a stall of the process, the end of the window
+/// is noticed before the bytes that were received meanwhile.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// A response, or a request that is streamed upstream, is aborted when no bytes of it were received for this time,
-/// whatever its deadline.
+/// Maximum time without bytes of a response, or of a request that is streamed upstream. It is then aborted, whatever
+/// its deadline.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Monitors the rate of one response. Only the time spent waiting for the upstream counts: while the client does not
@@ -25,7 +25,7 @@
 pub struct MinimumRate {
     /// The window in which bytes are counted; `None` if the deadline of the request is not known.
     window: Option<Window>,
-    /// Start of the wait for the next bytes that is in progress.
+    /// Start of the wait for the next bytes that is in progress; `None` if they are not waited for.
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
@@ -84,14 +84,15 @@
 /// A time window in which a number of bytes must be received.
 struct Window {
     start: Instant,
-    /// Time spent waiting for the upstream that the window covers.
+    /// Time spent waiting for the upstream after which the window ends.
     length: Duration,
-    /// Minimum number of bytes.
+    /// Minimum number of bytes that have to be received in the window.
     required: u64,
-    /// Number of bytes received so far.
+    /// Number of bytes received in the window so far.
     received: u64,
-    /// Time spent waiting for the upstream, up to the latest bytes.
+    /// Time spent waiting for the upstream in the window, up to the latest bytes.
     waited: Duration,
+    /// Whether the window was extended for the recheck.
     rechecked: bool,
 }
 
--- a/src/proxy/minimum_rate/tests.rs
+++ b/src/proxy/minimum_rate/tests.rs
@@ -23,7 +23,7 @@
 async fn a_window_that_ends_while_the_process_is_stalled_is_rechecked() {
     let mut rate = MinimumRate::new(Some(Instant::now()));
     assert!(!is_too_slow(&mut rate).await);
-    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // blocks the runtime, which is not notified of anything
+    std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // blocks the runtime, which processes no events meanwhile
     tokio::task::yield_now().await;
     assert!(!is_too_slow(&mut rate).await, "the bytes may be in the kernel");
     rate.received(1000);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy: accepts requests from clients and sends them on to upstreams. The decisions are those of the decision
-//! module, which the dispatcher notifies of events and whose actions it carries out.
+//! The proxy: accepts requests from clients and sends them on to upstreams. All decisions are made by the decision
+//! module: the dispatcher notifies it of events and carries out the actions that it returns.
 
 mod admin;
 mod body;
@@ -37,7 +37,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// Bodies may fill at most one byte in this many of the memory limit.
+/// Buffered bodies may use the memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 4;
 /// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
@@ -54,11 +54,11 @@
     }
 }
 
-/// The listening socket inherited from the platform, which holds it for all processes of this balancer.
+/// The listening socket inherited from the platform, which keeps it open for all processes of this balancer.
 #[allow(unsafe_code)]
 fn inherited_listener(fd: RawFd) -> io::Result<TcpListener> {
-    // Only an open socket may be used: the number of a closed descriptor may later be given to another file of this
-    // process, and the listener would share it.
+    // Only an open socket may be used. The number of a closed descriptor may later be given to another file of this
+    // process, which the listener would then use.
     if !std::fs::metadata(format!("/proc/self/fd/{fd}"))?.file_type().is_socket() {
         return Err(io::Error::other("not a socket"));
     }
@@ -85,7 +85,7 @@
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let name = format!("{}-{:x}", std::process::id(), config.seed);
     let report = move |event| {
-        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // fails only while the process ends
+        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // fails only once the dispatcher has stopped
     };
     SharedFolder::open(folder, &name, report)
         .map_err(|error| format!("cannot start the thread of the shared folder: {error}"))
@@ -153,13 +153,14 @@
     );
     let mut server_task = tokio::spawn(server.run(listener, stopping));
 
-    // While the last clients are served, discovery may still move, and another signal to stop changes nothing.
+    // While the last clients are served, SIGHUP may still change discovery's address, and another SIGTERM or SIGINT
+    // changes nothing.
     let mut outcome = Ok(());
     loop {
         tokio::select! {
             result = &mut server_task =>
-                return result.map_err(|error| format!("the server stopped: {error}")).and(outcome),
-            // Open requests, and those received until the server has stopped, are answered as failed.
+                return result.map_err(|error| format!("the task that accepts clients stopped: {error}")).and(outcome),
+            // Open requests, and those that are received until the server has stopped, get the response of a failure.
             Err(error) = &mut dispatcher_task, if outcome.is_ok() => {
                 outcome = Err(format!("the dispatcher stopped: {error}"));
                 stop.send_replace(true);
--- a/src/proxy/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -1,11 +1,12 @@
 //! The endpoints that operators have taken offline, stored in a folder that outlives the process and that two processes
 //! share while one replaces the other.
 //!
-//! `woadstall-offline.json` holds the uids of these endpoints. An order is carried out under a lock: it is written to
-//! the pending file, the list is replaced, and the pending file is removed. The removal is the commit. An order that is
-//! still pending has not been confirmed to its operator, so readers undo it in the list that they read: whatever step
-//! fails, and wherever the process is killed, an order is in force for all processes if and only if it is no longer
-//! pending. A program version without this module reads the list alone.
+//! `woadstall-offline.json` contains the uids of these endpoints. An order is carried out under a lock, in three steps:
+//! it is written to the pending file, the list is replaced, and the pending file is removed. The removal is the commit.
+//!
+//! An order that is still pending has not been confirmed to its operator, so readers undo it in the list that they
+//! read. Whatever step fails, and wherever the process is killed, an order is in force for all processes if and only if
+//! it is no longer pending. A program version without this module reads the list alone.
 
 use super::durable_file::{self, FileError, FileStep, LockError};
 use super::orders::{OfflineList, Order, OrderClaim};
@@ -13,11 +14,11 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Holds the uids of the endpoints that are offline.
+/// Name of the file that contains the uids of the endpoints that are offline.
 const LIST_FILE: &str = "woadstall-offline.json";
-/// Holds the order that is being carried out.
+/// Name of the file that contains the order that is being carried out.
 const PENDING_FILE: &str = "woadstall-offline.pending";
-/// Locked while an order is carried out.
+/// Name of the file that is locked while an order is carried out.
 const LOCK_FILE: &str = "woadstall-offline.lock";
 /// How long an order waits for another process that holds the lock.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
@@ -25,7 +26,7 @@
 /// The result of reading the shared list.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// The files are as they were at the last read, or the list in force is.
+    /// The files are as they were at the last read, or contain the list that is in force already.
     Unchanged,
     /// The list differs from the one in force, and has replaced it.
     Changed,
@@ -67,7 +68,7 @@
         Ok(Self { list, pending })
     }
 
-    /// The list with the pending order undone; `None` if there is no list.
+    /// The committed list: the list of the file, with the pending order undone. `None` if there is no list.
     fn committed(&self) -> Result<Option<OfflineList>, serde_json::Error> {
         let Some(list) = &self.list else { return Ok(None) };
         let list: OfflineList = serde_json::from_slice(list)?;
@@ -77,7 +78,8 @@
         }))
     }
 
-    /// The order that was not committed. A damaged pending file means that the list has not been changed yet.
+    /// The pending order, if there is one. None is assumed if the pending file is damaged, as the list has not been
+    /// changed yet then.
     fn pending_order(&self) -> Option<Order> {
         serde_json::from_slice(self.pending.as_deref()?).ok()
     }
@@ -104,8 +106,8 @@
         &self.current
     }
 
-    /// Adopts changes by other processes. Does not take the lock: the files count as read once a second read agrees
-    /// with the first, so that a change which another process undoes is not adopted.
+    /// Reads the files, and adopts changes by other processes. This takes no lock. Instead, the files are read twice,
+    /// and adopted only if both reads agree, so that a change which another process undoes is not adopted.
     pub fn read(&mut self) -> ReadOutcome {
         let Some(folder) = self.folder.clone() else { return ReadOutcome::Unchanged };
         let contents = match FileContents::read(&folder) {
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Carries out an order for all processes, current and later ones, and returns the new list. After an error,
-    /// nothing has changed for any of them.
+    /// Carries out an order for all processes, current and later ones, and returns the list that is then in force.
+    /// After an error, nothing has changed for any of them.
     pub fn apply_order(&mut self, order: &Order, claim: &OrderClaim) -> Result<OfflineList, OrderError> {
         let Some(folder) = self.folder.clone() else {
             claim_order(claim)?;
@@ -151,7 +153,7 @@
         self.restore(&folder, &committed)?;
         let list = order.applied_to(&committed);
         if let Err(error) = write_order(&folder, order, &list, claim) {
-            // If this fails as well, the order stays pending, and a later repair or order removes it.
+            // If this fails as well, the order stays pending until a later repair or order removes it.
             self.restore(&folder, &committed).ok();
             return Err(error);
         }
@@ -181,14 +183,14 @@
         last_read.pending.is_some() || is_missing()
     }
 
-    /// The list in force for all processes; requires the lock. If the file is missing or damaged, it is the list in
-    /// force in this process.
+    /// Reads the list in force for all processes; requires the lock. If the file is missing or damaged, returns the
+    /// list in force in this process.
     fn committed(&self, folder: &Path) -> Result<OfflineList, FileError> {
         let committed = FileContents::read(folder)?.committed();
         Ok(committed.ok().flatten().unwrap_or_else(|| self.current.clone()))
     }
 
-    /// Stores this list in the folder, with no order pending; requires the lock.
+    /// Stores a list in the folder and removes the pending order; requires the lock.
     fn restore(&self, folder: &Path, list: &OfflineList) -> Result<(), OrderError> {
         let contents = FileContents::read(folder)?;
         let stored: Option<OfflineList> =
@@ -204,7 +206,7 @@
     }
 }
 
-/// Replaces the list, and commits the order unless it has timed out; requires the lock.
+/// Writes the pending order and the list, and commits the order unless it has timed out; requires the lock.
 fn write_order(
     folder: &Path,
     order: &Order,
@@ -222,9 +224,9 @@
         Ok(()) => Err(sync_error.into()),
         Err(error) if error.step == FileStep::SyncFolder => Err(sync_error.into()),
         Err(error) => {
-            // Neither the commit nor its undoing can be made durable; all processes see the order as committed.
+            // Neither the commit nor its undoing can be made durable. All processes see the order as committed.
             crate::proxy::logging::log(format_args!(
-                "an order is in force, but its folder cannot be synced: {sync_error}, {error}"
+                "{order:?} is in force, but its folder cannot be synced ({sync_error}), nor the order undone: {error}"
             ));
             Ok(())
         }
--- a/src/proxy/process_handover.rs
+++ b/src/proxy/process_handover.rs
@@ -1,5 +1,5 @@
-//! Announces this process to the one that it replaces or that replaces it, so that each knows of the other while both
-//! run.
+//! Announces this process to the process that it replaces and to the one that replaces it, so that each knows of the
+//! other while both run.
 
 use super::durable_file::{FileError, FileStep, retry_interrupted, try_lock};
 use std::ffi::OsString;
@@ -7,9 +7,9 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// Start of the names of the announcement files: one for each process, which keeps it locked as long as it runs.
+/// Prefix of the names of announcement files. Each process has one, and keeps it locked as long as it runs.
 const ANNOUNCEMENT_PREFIX: &str = "woadstall-process-";
-/// Extension of an announcement file that is not locked yet.
+/// Extension of an announcement file that is being created and may not be locked yet.
 const UNLOCKED_EXTENSION: &str = "starting";
 
 /// The processes of this balancer that share a folder.
@@ -32,8 +32,8 @@
         handover
     }
 
-    /// Whether another process of this balancer may be running. Also true as long as this process could not be
-    /// announced or the folder cannot be listed. Announcements of processes that have died are removed.
+    /// Whether another process of this balancer may be running. Also true if this process could not be announced yet,
+    /// or if the folder cannot be listed. Announcements of processes that have died are removed.
     pub fn overlaps(&mut self) -> bool {
         let mut others_run = false;
         let mut is_own_found = false;
@@ -84,13 +84,14 @@
     }
 }
 
-/// Whether a file name is that of a locked announcement.
+/// Whether a file name is that of a complete announcement, which its process has locked.
 fn is_announcement(name: &OsString) -> bool {
     name.as_encoded_bytes().starts_with(ANNOUNCEMENT_PREFIX.as_bytes())
         && Path::new(name).extension().is_none()
 }
 
-/// Creates an announcement, locked before it gets its final name, as other processes remove unlocked announcements.
+/// Creates an announcement. It is locked before it gets its final name, as other processes remove unlocked
+/// announcements.
 fn create_announcement(path: &Path) -> Result<File, FileError> {
     let temporary = path.with_extension(UNLOCKED_EXTENSION);
     let result = create_locked(&temporary, path);
@@ -109,8 +110,8 @@
     Ok(file)
 }
 
-/// Whether the process of this announcement is running. Also true if that cannot be determined. Removes the
-/// announcement of a process that has died.
+/// Whether the process of an announcement may be running. Also true if that cannot be determined. The announcement of a
+/// process that has died is removed.
 fn may_run(path: &Path) -> bool {
     let file = match retry_interrupted(|| File::open(path)) {
         Ok(file) => file,
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -1,6 +1,6 @@
-//! The folder that two processes share while one replaces the other, accessed by a thread of its own: a disk that is
-//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other;
-//! tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
+//! The folder that two processes share while one replaces the other. A thread of its own accesses it, as a disk that is
+//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other.
+//! Tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
 
 use super::offline_endpoints::{OfflineEndpoints, ReadOutcome};
 use super::orders::{OfflineList, OrderRequest};
@@ -10,8 +10,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long a start waits for an offline list that cannot be read. Without the list, endpoints that operators have
-/// taken offline would get requests.
+/// How long the start of the process is delayed while the offline list cannot be read. Without the list, endpoints that
+/// operators have taken offline would get requests.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between two attempts to read the list at the start.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -28,7 +28,7 @@
 pub enum FolderEvent {
     /// A check has finished.
     CheckFinished(FolderState),
-    /// An order has been stored for later processes too; with the list that is now in force.
+    /// An order is in force, and stored for later processes if there is a folder. The list is the one now in force.
     OrderStored(OrderRequest, OfflineList),
     /// An order could not be stored, and is not in force.
     OrderNotStored(OrderRequest),
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Notes that the result of a check was received.
+    /// Records that the result of a check was received, so that the next check may start.
     pub fn finish_check(&mut self) {
         self.checking = false;
     }
 
-    /// Carries out an order.
+    /// Has an order carried out by the thread.
     pub fn store_order(&self, request: OrderRequest) {
         self.jobs.send(Job::StoreOrder(request)).ok();
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Reads the list before any request is sent, and retries for a limited time while it cannot be read.
+    /// Reads the offline list before any request is sent, and retries for a limited time while it cannot be read.
     fn read_at_start(&mut self) {
         let deadline = Instant::now() + READ_TIMEOUT;
         while self.read_list() == ReadState::Retry && Instant::now() < deadline {
@@ -124,7 +124,7 @@
         FolderState { offline: self.endpoints.current().clone(), overlapping }
     }
 
-    /// Reads the offline list and logs failures.
+    /// Reads the offline list and logs failures. Of consecutive reads that fail, only the first is logged.
     fn read_list(&mut self) -> ReadState {
         let outcome = self.endpoints.read();
         match &outcome {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Repairs the offline list if needed.
+    /// Repairs the offline list if needed. Of consecutive repairs that fail, only the first is logged.
     fn repair(&mut self) {
         let result = self.endpoints.repair();
         if let Err(error) = &result
@@ -160,7 +160,7 @@
         self.repair_failed = result.is_err();
     }
 
-    /// Carries out an order, unless its operator has already been answered.
+    /// Carries out an order, unless its operator has already got the response that it timed out.
     fn store_order(&mut self, request: OrderRequest) -> FolderEvent {
         if request.claim.is_claimed() {
             return FolderEvent::OrderNotStored(request); // timed out while it waited for earlier jobs
@@ -178,7 +178,7 @@
     }
 }
 
-/// Whether the list has to be read again.
+/// Whether the offline list has to be read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
     /// The list is up to date, or cannot be made so by another read.
