--- a/src/config/endpoint_listing.rs
+++ b/src/config/endpoint_listing.rs
@@ -30,7 +30,7 @@
     pub pod_group: u16,
     /// The state in which the endpoint is listed.
     pub state: ListedState,
-    /// The capacity that the endpoint is assumed to have.
+    /// The capacity of the endpoint, relative to that of the others.
     #[serde(default = "default_capacity_hint")]
     pub capacity_hint: f32,
     /// When the endpoint started, as Unix time in milliseconds; 0 means long ago.
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -38,7 +38,7 @@
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(1500);
 /// How long connecting to discovery may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first pause after a failure, doubled with each further one, and the longest.
+/// Pauses after failures: half the first pause, which doubles with each further failure, and the longest pause.
 const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 /// Pause before the next request after a response without changes. An agent that responds at once instead of waiting
 /// would otherwise get requests in a tight loop. The pause is short enough for the watch to count as continuous.
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Unserved connections, that is, all idle ones except those between requests, may use the connection limit divided by
-/// this before they are evicted first.
+/// this. Once they exceed that share, they are evicted before those between requests.
 pub const UNSERVED_SHARE_DIVISOR: usize = 2;
 
 /// A series of consecutive failures to accept a connection.
@@ -104,12 +104,13 @@
 
     /// Evicts one idle connection, and returns whether there was one.
     ///
-    /// A connection that has sent no request for a known class for a while is evicted before one between requests. A
-    /// connection with a partial request is evicted after those, as that request would be lost. Of each kind, the
-    /// connection that has been idle for longest is evicted.
+    /// Connections that linger, or have sent no request for a known class for a while, are evicted first. They are
+    /// followed by connections between requests, and by new connections on which nothing was received. Connections with
+    /// a partial request are last, as that request would be lost. Of each kind, the connection that has been idle for
+    /// longest is evicted.
     ///
-    /// Unserved connections may fill only a share of the limit. Once they exceed it, one of them is evicted first, so
-    /// that many of them cannot displace clients that have been served.
+    /// Unserved connections may fill only a share of the limit. Once they exceed it, they are evicted before
+    /// connections between requests, so that many of them cannot displace clients that have been served.
     ///
     /// The evicted client may be sending right now. It then knows that its request was not processed.
     pub fn evict_idle(&self) -> bool {
