--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -5,7 +5,9 @@
 
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, EndpointEntry, Event, Time};
-use balancer::simulator::{self, BATCH_HEADER_SIZE, BatchHeader, MAX_TABLES, Record, Reply, WireError};
+use balancer::simulator::{
+    self, BATCH_HEADER_SIZE, BatchHeader, MAX_ENDPOINT_LISTS, Record, Reply, WireError,
+};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
@@ -70,7 +72,7 @@
     /// Instances by their number.
     instances: HashMap<u32, LoadBalancer>,
     /// Endpoint lists by their number, kept until they are replaced, as later records announce them to instances.
-    tables: [Vec<EndpointEntry>; MAX_TABLES],
+    endpoint_lists: [Vec<EndpointEntry>; MAX_ENDPOINT_LISTS],
     /// Actions of the current event, cleared by `flush`.
     actions: Vec<Action>,
     /// The reply to the current batch.
@@ -81,7 +83,7 @@
     /// Applies one record and adds the resulting actions to the reply.
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
-            Record::PowerOn { instance, seed, settings } => {
+            Record::InstanceStarted { instance, seed, settings } => {
                 let balancer = simulator::parse_settings(settings).and_then(|settings| {
                     LoadBalancer::new(settings, seed, now)
                         .map_err(|error| WireError::new(format!("settings: {error}")))
@@ -91,10 +93,10 @@
                     Err(error) => self.reply.fault(instance, &error.to_string()),
                 }
             }
-            Record::Retire(instance) => drop(self.instances.remove(&instance)),
-            Record::Table(number, entries) => self.tables[number] = entries,
-            Record::Announce { instance, table, delta } => {
-                let entries = &self.tables[table];
+            Record::InstanceEnded(instance) => drop(self.instances.remove(&instance)),
+            Record::EndpointList(number, entries) => self.endpoint_lists[number] = entries,
+            Record::Announce { instance, list_number, delta } => {
+                let entries = &self.endpoint_lists[list_number];
                 let event =
                     if delta { Event::EndpointsChanged(entries) } else { Event::EndpointList(entries) };
                 if let Some(balancer) = self.instances.get_mut(&instance) {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -19,7 +19,7 @@
 /// Size of an endpoint entry in bytes.
 const ENTRY_SIZE: usize = 22;
 /// Maximum number of endpoint lists that are stored at a time.
-pub const MAX_TABLES: usize = 16;
+pub const MAX_ENDPOINT_LISTS: usize = 16;
 
 /// Malformed input: a frame that cannot be decoded, or invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
     /// An instance of the decision module starts.
-    PowerOn {
+    InstanceStarted {
         /// Number of the instance.
         instance: u32,
         /// Seed of its random numbers.
@@ -85,15 +85,15 @@
         settings: &'a [u8],
     },
     /// An instance ends.
-    Retire(u32),
+    InstanceEnded(u32),
     /// The number and entries of an endpoint list.
-    Table(usize, Vec<EndpointEntry>),
+    EndpointList(usize, Vec<EndpointEntry>),
     /// Discovery announces an endpoint list to an instance.
     Announce {
         /// Number of the instance.
         instance: u32,
         /// Number of the list.
-        table: usize,
+        list_number: usize,
         /// Whether the list holds only the entries that changed.
         delta: bool,
     },
@@ -159,12 +159,12 @@
     let event = match record[0] {
         0 => {
             let settings = tail_part(record, 13, 1, tail)?;
-            return Ok(Record::PowerOn { instance, seed: u64_at(record, 5), settings });
+            return Ok(Record::InstanceStarted { instance, seed: u64_at(record, 5), settings });
         }
         1 => match record[13] {
             kind @ 0..=2 => {
-                let table = decode_table_number(u32_at(record, 9))?;
-                return Ok(Record::Announce { instance, table, delta: kind == 0 });
+                let list_number = decode_list_number(u32_at(record, 9))?;
+                return Ok(Record::Announce { instance, list_number, delta: kind == 0 });
             }
             3 => Event::DiscoveryFailed,
             kind => return Err(WireError::new(format!("unknown form {kind} of ANNOUNCE"))),
@@ -199,11 +199,11 @@
             decode_load_report(record, 18)?,
         ),
         8 => return Ok(Record::Ignored),
-        9 => return Ok(Record::Retire(instance)),
+        9 => return Ok(Record::InstanceEnded(instance)),
         10 => {
             let entries = tail_part(record, 5, ENTRY_SIZE, tail)?;
             let entries = entries.chunks_exact(ENTRY_SIZE).map(decode_entry).collect::<Result<_, _>>()?;
-            return Ok(Record::Table(decode_table_number(u32_at(record, 1))?, entries));
+            return Ok(Record::EndpointList(decode_list_number(u32_at(record, 1))?, entries));
         }
         code => return Err(WireError::new(format!("unknown event code {code}"))),
     };
@@ -211,10 +211,10 @@
 }
 
 /// Checks the number of an endpoint list.
-fn decode_table_number(number: u32) -> Result<usize, WireError> {
-    let table = number as usize;
-    if table < MAX_TABLES {
-        Ok(table)
+fn decode_list_number(number: u32) -> Result<usize, WireError> {
+    let list_number = number as usize;
+    if list_number < MAX_ENDPOINT_LISTS {
+        Ok(list_number)
     } else {
         Err(WireError::new(format!("endpoint list number {number} is over 15")))
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -75,7 +75,7 @@
             Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
             Record::Event(3, Event::ResponseStarted(id, 0)),
             Record::Event(3, Event::AttemptEnded(id, end)),
-            Record::Retire(3),
+            Record::InstanceEnded(3),
             Record::Event(3, Event::LoadQueryEnded(EndpointId(0x2c90_11f2), AttemptOutcome::Success, None)),
             Record::Ignored,
         ]
@@ -98,8 +98,8 @@
         started,
     };
     let entries = vec![entry(0x0312_4a07, 0, 1.0, None), entry(0x2c90_11f2, 1, 1.5, Some(6_100_000_000))];
-    assert_eq!(records[0], Record::Table(0, entries));
-    assert_eq!(records[1], Record::Announce { instance: 3, table: 0, delta: false });
+    assert_eq!(records[0], Record::EndpointList(0, entries));
+    assert_eq!(records[1], Record::Announce { instance: 3, list_number: 0, delta: false });
 }
 
 #[test]
