--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -71,8 +71,8 @@
     }
 
     /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Has the idle connections to
-    /// upstreams closed, and evicts one idle client. A client that may have a request on the way, on a
-    /// new connection or partially received, is evicted only if the shortage is persistent.
+    /// upstreams closed, and evicts one idle client. A client with a new connection or a partial request may have a
+    /// request on the way, and is evicted only if the shortage is persistent.
     pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
         if accept_failures.failures == 0 {
             return;
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -54,7 +54,7 @@
 /// answered; without such a request, it is the next one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The head was not received completely; nothing of the request was handed to hyper.
+    /// The head was not received completely or not parsed yet; nothing of the request was handed to hyper.
     Head,
     /// The request has a known length, and this many bytes of it, the head included, were not handed to hyper yet.
     Delivering(u64),
@@ -119,7 +119,7 @@
     pub read_wait: Duration,
     /// Start of hyper's wait for bytes that is in progress; `None` if hyper does not wait for bytes.
     pub read_wait_since: Option<Instant>,
-    /// Since when the client has accepted no bytes of its response; `None` if the last write has succeeded.
+    /// Since when the client has accepted no bytes of its response; `None` if the last write did not have to wait.
     pub response_stalled_since: Option<Instant>,
     /// The current request has both Content-Length and Transfer-Encoding, of which hyper keeps only one. The request is
     /// rejected, as it may hide another one.
