--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -5,7 +5,9 @@
 
 use balancer::decision::LoadBalancer;
 use balancer::decision::{Action, EndpointEntry, Event, Time};
-use balancer::simulator::{self, BATCH_HEADER_SIZE, BatchHeader, MAX_TABLES, Record, Reply, WireError};
+use balancer::simulator::{
+    self, BATCH_HEADER_SIZE, BatchHeader, MAX_ENDPOINT_LISTS, Record, Reply, WireError,
+};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
@@ -21,7 +23,7 @@
     }
 }
 
-/// Answers each batch with a reply until the input ends.
+/// Writes a reply to each batch until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Box<dyn Error>> {
     let mut host = Host::default();
     let (mut body, mut frame) = (Vec::new(), Vec::new());
@@ -30,7 +32,11 @@
         body.clear();
         let read = input.by_ref().take(header.length as u64).read_to_end(&mut body)?;
         if read < header.length {
-            return Err(format!("batch {}: truncated frame", header.sequence).into());
+            return Err(format!(
+                "batch {}: truncated frame, {read} bytes received after the header",
+                header.sequence
+            )
+            .into());
         }
         for record in simulator::decode_records(header, &body) {
             let record = record.map_err(|error| format!("batch {}: {error}", header.sequence))?;
@@ -65,10 +71,11 @@
 struct Host {
     /// Instances by their number.
     instances: HashMap<u32, LoadBalancer>,
-    /// Endpoint lists by their number, for later announcements.
-    tables: [Vec<EndpointEntry>; MAX_TABLES],
+    /// Endpoint lists by their number, kept until they are replaced, as later records announce them to instances.
+    endpoint_lists: [Vec<EndpointEntry>; MAX_ENDPOINT_LISTS],
     /// Actions of the current event, cleared by `flush`.
     actions: Vec<Action>,
+    /// The reply to the current batch.
     reply: Reply,
 }
 
@@ -76,7 +83,7 @@
     /// Applies one record and adds the resulting actions to the reply.
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
-            Record::PowerOn { instance, seed, settings } => {
+            Record::InstanceStarted { instance, seed, settings } => {
                 let balancer = simulator::parse_settings(settings).and_then(|settings| {
                     LoadBalancer::new(settings, seed, now)
                         .map_err(|error| WireError::new(format!("settings: {error}")))
@@ -86,10 +93,10 @@
                     Err(error) => self.reply.fault(instance, &error.to_string()),
                 }
             }
-            Record::Retire(instance) => drop(self.instances.remove(&instance)),
-            Record::Table(number, entries) => self.tables[number] = entries,
-            Record::Announce { instance, table, delta } => {
-                let entries = &self.tables[table];
+            Record::InstanceEnded(instance) => drop(self.instances.remove(&instance)),
+            Record::EndpointList(number, entries) => self.endpoint_lists[number] = entries,
+            Record::Announce { instance, list_number, delta } => {
+                let entries = &self.endpoint_lists[list_number];
                 let event =
                     if delta { Event::EndpointsChanged(entries) } else { Event::EndpointList(entries) };
                 if let Some(balancer) = self.instances.get_mut(&instance) {
--- a/src/proxy/dispatcher/operators.rs
+++ b/src/proxy/dispatcher/operators.rs
@@ -13,14 +13,14 @@
                 self.shared_folder.iter_mut().for_each(SharedFolder::finish_check);
                 self.on_folder_state(state);
             }
-            FolderEvent::OrderPersisted(request, offline) => {
+            FolderEvent::OrderStored(request, offline) => {
                 self.apply_offline_list(offline);
-                self.on_order_persisted(&request.order);
+                self.on_order_stored(&request.order);
                 // The order stays in force even if its operator has disconnected.
                 request.outcome_sender.send(OrderOutcome::Applied).ok();
             }
-            FolderEvent::OrderNotPersisted(request) => {
-                request.outcome_sender.send(OrderOutcome::NotPersisted).ok();
+            FolderEvent::OrderNotStored(request) => {
+                request.outcome_sender.send(OrderOutcome::NotStored).ok();
             }
         }
     }
@@ -52,8 +52,8 @@
     pub(super) fn on_operator_order(&mut self, request: OrderRequest) {
         let outcome = match &self.shared_folder {
             _ if !self.was_listed(&request.order.uid) => OrderOutcome::UnknownEndpoint,
-            Some(shared_folder) => return shared_folder.persist_order(request),
-            None => OrderOutcome::NotPersisted,
+            Some(shared_folder) => return shared_folder.store_order(request),
+            None => OrderOutcome::NotStored,
         };
         request.outcome_sender.send(outcome).ok();
     }
@@ -68,7 +68,7 @@
     }
 
     /// Logs an order that has come into force, and updates the host counts.
-    pub(super) fn on_order_persisted(&mut self, order: &Order) {
+    pub(super) fn on_order_stored(&mut self, order: &Order) {
         self.update_host_counts();
         let uid = &order.uid;
         crate::proxy::logging::log(format_args!(
--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections, and evicts idle ones to make room for them.
 
-use crate::config::SURPLUS_CONNECTIONS;
+use crate::config::MAX_CONNECTIONS_OVER_LIMIT;
 use crate::proxy::downstream::client::ClientHandle;
 use crate::proxy::downstream::client_task::ClientTask;
 use crate::proxy::downstream::connection::SingleRequestStream;
@@ -16,15 +16,16 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// Idle connections without a served request may use the connection limit divided by this.
+/// Unserved connections, that is, all idle ones except those between requests, may use the connection limit divided by
+/// this. Once they exceed that share, they are evicted before those between requests.
 pub const UNSERVED_SHARE_DIVISOR: usize = 2;
 
-/// Consecutive failures to accept a connection.
+/// A series of consecutive failures to accept a connection.
 #[derive(Default)]
 pub struct AcceptFailures {
-    /// Number of failures.
+    /// Number of failures so far.
     pub failures: u32,
-    /// The pauses between the attempts.
+    /// The pauses after the failures.
     pub backoff: Backoff,
 }
 
@@ -69,8 +70,9 @@
         }
     }
 
-    /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Connections that may have a
-    /// request on the way are closed only for a persistent shortage.
+    /// Frees descriptors and memory if their shortage has lasted beyond the first pause. Has the idle connections to
+    /// upstreams closed, and evicts one idle client. A client with a new connection or a partial request may have a
+    /// request on the way, and is evicted only if the shortage is persistent.
     pub fn relieve_shortage(&self, accept_failures: &AcceptFailures) {
         if accept_failures.failures == 0 {
             return;
@@ -81,15 +83,15 @@
             is_persistent
                 || matches!(
                     state,
-                    IdleState::BetweenRequests | IdleState::UnrecognizedOnly | IdleState::Lingering
+                    IdleState::BetweenRequests | IdleState::UnknownClassOnly | IdleState::Lingering
                 )
         });
     }
 
-    /// Waits until one more connection may be accepted. That is soon, as surplus connections are rejected at once and
-    /// idle ones are evicted.
+    /// Waits until one more connection may be accepted. The wait is short: requests on connections over the limit are
+    /// rejected at once, and idle connections are evicted.
     pub async fn wait_for_capacity(&self) {
-        while self.client_count() >= self.config.limits.clients + SURPLUS_CONNECTIONS {
+        while self.client_count() >= self.config.limits.clients + MAX_CONNECTIONS_OVER_LIMIT {
             self.evict_idle();
             self.client_closed.notified().await;
         }
@@ -100,12 +102,17 @@
         lock(&self.clients).len()
     }
 
-    /// Evicts one idle connection, and returns whether there was one. A connection that has sent no known request for
-    /// a while is evicted before one between requests, and one with a partial request comes after those, as that
-    /// request would be lost; of each kind, the one idle for longest is evicted. Connections without a served request
-    /// may fill only a share of the limit. Once they exceed it, one of them is evicted, so that many of them cannot
-    /// displace clients that have been served. The evicted client may be sending right now; it then knows that its
-    /// request was not processed.
+    /// Evicts one idle connection, and returns whether there was one.
+    ///
+    /// Connections that linger, or have sent no request for a known class for a while, are evicted first. They are
+    /// followed by connections between requests, and by new connections on which nothing was received. Connections with
+    /// a partial request are last, as that request would be lost. Of each kind, the connection that has been idle for
+    /// longest is evicted.
+    ///
+    /// Unserved connections may fill only a share of the limit. Once they exceed it, they are evicted before
+    /// connections between requests, so that many of them cannot displace clients that have been served.
+    ///
+    /// The evicted client may be sending right now. It then knows that its request was not processed.
     pub fn evict_idle(&self) -> bool {
         self.evict_idle_where(|_, _| true)
     }
@@ -116,16 +123,16 @@
         let idle_clients = clients
             .values()
             .filter_map(|client| Some((lock(&client.connection.framing).idle_state()?, client)));
-        // A surplus connection that lingers uses no slot of the limit.
+        // A connection over the limit that lingers uses no slot of the limit.
         let idle_clients: Vec<_> = idle_clients
-            .filter(|((state, _), client)| *state != IdleState::Lingering || !client.surplus)
+            .filter(|((state, _), client)| *state != IdleState::Lingering || !client.exceeds_limit)
             .collect();
         // Evicted connections use their slots until they are closed.
         let unserved =
             idle_clients.iter().filter(|((state, _), _)| *state != IdleState::BetweenRequests).count();
         let unserved_exceed_share = unserved > self.config.limits.clients / UNSERVED_SHARE_DIVISOR;
         let eviction_rank = |state, since: Instant| match state {
-            IdleState::UnrecognizedOnly | IdleState::Lingering => 0,
+            IdleState::UnknownClassOnly | IdleState::Lingering => 0,
             IdleState::Silent if since.elapsed() > NEW_CONNECTION_GRACE => 0,
             IdleState::BetweenRequests if !unserved_exceed_share => 1,
             IdleState::Silent => 2,
@@ -145,11 +152,11 @@
     /// Starts serving an accepted connection, evicting an idle one if the limit is reached.
     pub fn accept_client(self: &Arc<Self>, tcp: TcpStream, graceful_shutdown: &watch::Receiver<bool>) {
         tcp.set_nodelay(true).ok();
-        let surplus = self.client_count() >= self.config.limits.clients && !self.evict_idle();
+        let exceeds_limit = self.client_count() >= self.config.limits.clients && !self.evict_idle();
         let (stream, connection) = SingleRequestStream::new(tcp);
         let (evict, check_timeout) = (Notify::new(), Notify::new());
         let client = Arc::new(ClientHandle {
-            surplus,
+            exceeds_limit,
             connection,
             evicted: AtomicBool::new(false),
             evict,
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -29,8 +29,8 @@
 
 /// The parameters of a request, from its path and headers.
 pub struct RequestParameters {
-    /// The client's id for the request.
-    pub call_id: String,
+    /// The id that the client gave the request, the value of X-Call-Id.
+    pub client_request_id: String,
     /// The index of the request's class.
     pub class: usize,
     /// The index of the request's tenant.
@@ -48,14 +48,14 @@
 
 impl DownstreamServer {
     /// Rejects a request on a connection that exceeds the limit.
-    pub fn reject_surplus(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
+    pub fn reject_over_limit(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match self.class_of(request) {
             Some(class) => self.reject(class),
             None => rejection(REJECTION_RETRY_AFTER),
         }
     }
 
-    /// Rejects a request that the dispatcher was not notified of, and counts the rejection for its class.
+    /// Rejects a request that was not passed to the dispatcher, and counts the rejection for its class.
     pub fn reject(&self, class: usize) -> Response<ResponseBody> {
         self.counters.count(class, RequestOutcome::Busy);
         rejection(REJECTION_RETRY_AFTER)
@@ -67,14 +67,14 @@
         self.config.proxy_settings.classes.iter().position(|class| class == class_in_path)
     }
 
-    /// Answers a health check or a request for a class.
+    /// Responds to a health check or a request for a class.
     pub async fn handle_request(
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
     ) -> Response<ResponseBody> {
         if request.uri().path() == "/healthz" {
-            self.wait_for_first_list().await;
+            self.wait_for_discovery_attempt().await;
             return match *self.ready.borrow() {
                 true => empty_response(StatusCode::OK),
                 false => empty_response(StatusCode::SERVICE_UNAVAILABLE),
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Validates a request for a class, has it dispatched, and returns the response or the error to answer with.
+    /// Validates a request for a class, has it dispatched, and returns the response. An error is the status and the
+    /// body to respond with.
     pub async fn handle_class_request(
         &self,
         request: Request<Incoming>,
@@ -111,7 +112,9 @@
         else {
             return Ok(self.reject(parameters.class));
         };
-        let Some(request_id) = RequestIdGuard::try_reserve(&self.open_request_ids, parameters.call_id) else {
+        let Some(request_id_guard) =
+            RequestIdGuard::try_reserve(&self.open_client_request_ids, parameters.client_request_id)
+        else {
             self.counters.count(parameters.class, RequestOutcome::Failure);
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
@@ -123,16 +126,17 @@
                 Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
             };
         let provisional_deadline = Instant::now() + parameters.budget;
-        // The request is read before this wait, so that its budget runs out meanwhile.
-        let is_list_received = timeout(parameters.budget, self.wait_for_first_list()).await.is_ok();
-        if !is_list_received || self.rejecting.load(Ordering::Relaxed) {
+        // The body is read before this wait, so that the budget of the request runs meanwhile.
+        let is_discovery_attempted =
+            timeout(parameters.budget, self.wait_for_discovery_attempt()).await.is_ok();
+        if !is_discovery_attempted || self.rejecting.load(Ordering::Relaxed) {
             return Ok(self.reject(parameters.class));
         }
         remove_hop_by_hop_headers(&mut head.headers);
         let mut guard = RequestGuard {
             framing: None,
             _in_flight: None,
-            _request_id: request_id,
+            _request_id_guard: request_id_guard,
             _memory_permit: memory_permit,
         };
         let (remainder, remainder_received) =
@@ -162,7 +166,8 @@
                     None
                 }
                 final_response = &mut response_receiver => Some(final_response),
-                // Nobody reads the body while an attempt waits for its connection, which would hide a disconnect.
+                // While an attempt waits for its connection, nobody reads the body, and a disconnect would go
+                // unnoticed.
                 () = connection.wait_for_hangup() => return disconnected,
             },
         };
@@ -186,7 +191,8 @@
                     .map(|content_length| response.headers_mut().insert(CONTENT_LENGTH, content_length));
                 if !response.body().is_fully_buffered() {
                     guard.framing = Some(framing.clone());
-                    // Without chunked encoding the body ends with the connection; only an RST can report an abort.
+                    // HTTP/1.0 has no chunked encoding: the end of the connection ends the body, so that only an RST
+                    // can show the client that the body was aborted.
                     if is_http_1_0 && response.body().size_hint().exact().is_none() {
                         let framing = framing.clone();
                         response.body_mut().on_abort(move || lock(&framing).reset_on_close = true);
@@ -200,13 +206,13 @@
         })
     }
 
-    /// Parses the parameters of a request, or returns the error to answer with.
+    /// Parses and validates the parameters of a request. An error is the status and the body to respond with.
     pub fn parse_parameters(
         &self,
         request: &Request<Incoming>,
     ) -> Result<RequestParameters, (StatusCode, &'static str)> {
         let bad_request = |message| (StatusCode::BAD_REQUEST, message);
-        let (headers, names) = (request.headers(), &self.config.proxy_settings);
+        let (headers, proxy_settings) = (request.headers(), &self.config.proxy_settings);
         let class_in_path = request.uri().path().split('/').nth(1).unwrap_or("");
         let class = self.class_of(request).ok_or((StatusCode::NOT_FOUND, "no such path\n"))?;
         if header_text(headers, "x-call-class") != Some(class_in_path) {
@@ -230,11 +236,11 @@
                 return Err(bad_request("a header is there twice\n"));
             }
         }
-        let call_id = header_text(headers, "x-call-id").filter(|id| !id.is_empty());
-        let tenant = match names.tenants.is_empty() {
+        let client_request_id = header_text(headers, "x-call-id").filter(|id| !id.is_empty());
+        let tenant = match proxy_settings.tenants.is_empty() {
             true => Some(0),
             false => header_text(headers, "x-caller")
-                .and_then(|client| names.tenants.iter().position(|tenant| tenant == client)),
+                .and_then(|client| proxy_settings.tenants.iter().position(|tenant| tenant == client)),
         };
         let budget = header_text(headers, "x-budget").and_then(|budget| budget.parse().ok());
         let cost = match headers.contains_key("x-call-cost") {
@@ -245,7 +251,9 @@
                 .map(|micros| Some((micros * 1e3) as u64)),
         };
         Ok(RequestParameters {
-            call_id: call_id.ok_or(bad_request("X-Call-Id is missing or malformed\n"))?.to_owned(),
+            client_request_id: client_request_id
+                .ok_or(bad_request("X-Call-Id is missing or malformed\n"))?
+                .to_owned(),
             class,
             tenant: tenant.ok_or(bad_request("X-Caller is missing or not known\n"))?,
             budget: budget
--- a/src/proxy/orders.rs
+++ b/src/proxy/orders.rs
@@ -50,7 +50,7 @@
     /// No endpoint with this uid was ever listed.
     UnknownEndpoint,
     /// The order could not be persisted for the processes that start after this one, and is not in force.
-    NotPersisted,
+    NotStored,
 }
 
 /// Settles the race between the thread that commits an order and the admin request that stops waiting for it:
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -1,6 +1,6 @@
-//! The folder that two processes share while one replaces the other, accessed by a thread of its own: a disk that is
-//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other;
-//! tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
+//! The folder that two processes share while one replaces the other. A thread of its own accesses it, as a disk that is
+//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other.
+//! Tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
 
 use super::offline_endpoints::{OfflineEndpoints, ReadOutcome};
 use super::orders::{OfflineList, OrderRequest};
@@ -10,8 +10,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long a start waits for an offline list that cannot be read. Without the list, endpoints that operators have
-/// taken offline would get requests.
+/// How long the start of the process is delayed while the offline list cannot be read. Without the list, endpoints that
+/// operators have taken offline would get requests.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between two attempts to read the list at the start.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -21,17 +21,17 @@
     /// Look for changes by other processes.
     Check,
     /// Carry out an order.
-    PersistOrder(OrderRequest),
+    StoreOrder(OrderRequest),
 }
 
 /// The result of a job.
 pub enum FolderEvent {
     /// A check has finished.
     CheckFinished(FolderState),
-    /// An order has been stored for later processes too; with the list that is now in force.
-    OrderPersisted(OrderRequest, OfflineList),
+    /// An order is in force, and stored for later processes if there is a folder. The list is the one now in force.
+    OrderStored(OrderRequest, OfflineList),
     /// An order could not be stored, and is not in force.
-    OrderNotPersisted(OrderRequest),
+    OrderNotStored(OrderRequest),
 }
 
 /// The state of the shared folder when it was last checked.
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Notes that the result of a check was received.
+    /// Records that the result of a check was received, so that the next check may start.
     pub fn finish_check(&mut self) {
         self.checking = false;
     }
 
-    /// Carries out an order.
-    pub fn persist_order(&self, request: OrderRequest) {
-        self.jobs.send(Job::PersistOrder(request)).ok();
+    /// Has an order carried out by the thread.
+    pub fn store_order(&self, request: OrderRequest) {
+        self.jobs.send(Job::StoreOrder(request)).ok();
     }
 }
 
@@ -103,12 +103,12 @@
         for job in inbox {
             report(match job {
                 Job::Check => FolderEvent::CheckFinished(self.check()),
-                Job::PersistOrder(request) => self.persist_order(request),
+                Job::StoreOrder(request) => self.store_order(request),
             });
         }
     }
 
-    /// Reads the list before any request is sent, and retries for a limited time while it cannot be read.
+    /// Reads the offline list before any request is sent, and retries for a limited time while it cannot be read.
     fn read_at_start(&mut self) {
         let deadline = Instant::now() + READ_TIMEOUT;
         while self.read_list() == ReadState::Retry && Instant::now() < deadline {
@@ -124,17 +124,17 @@
         FolderState { offline: self.endpoints.current().clone(), overlapping }
     }
 
-    /// Reads the offline list and logs failures.
+    /// Reads the offline list and logs failures. Of consecutive reads that fail, only the first is logged.
     fn read_list(&mut self) -> ReadState {
         let outcome = self.endpoints.read();
         match &outcome {
             ReadOutcome::Unreadable(error) if !self.read_failed => {
                 crate::proxy::logging::log(format_args!(
-                    "the list of upstreams taken out cannot be read now: {error}"
+                    "the list of offline upstreams cannot be read now: {error}"
                 ));
             }
             ReadOutcome::Damaged(error) => crate::proxy::logging::log(format_args!(
-                "the list of upstreams taken out is damaged, and ignored: {error}"
+                "the list of offline upstreams is damaged, and ignored: {error}"
             )),
             _ => {}
         }
@@ -147,38 +147,38 @@
         }
     }
 
-    /// Repairs the offline list if needed.
+    /// Repairs the offline list if needed. Of consecutive repairs that fail, only the first is logged.
     fn repair(&mut self) {
         let result = self.endpoints.repair();
         if let Err(error) = &result
             && !self.repair_failed
         {
             crate::proxy::logging::log(format_args!(
-                "the list of upstreams taken out cannot be written now: {error}"
+                "the list of offline upstreams cannot be written now: {error}"
             ));
         }
         self.repair_failed = result.is_err();
     }
 
-    /// Carries out an order, unless its operator has already been answered.
-    fn persist_order(&mut self, request: OrderRequest) -> FolderEvent {
+    /// Carries out an order, unless its operator has already got the response that it timed out.
+    fn store_order(&mut self, request: OrderRequest) -> FolderEvent {
         if request.claim.is_claimed() {
-            return FolderEvent::OrderNotPersisted(request); // timed out while it waited for earlier jobs
+            return FolderEvent::OrderNotStored(request); // timed out while it waited for earlier jobs
         }
         match self.endpoints.apply_order(&request.order, &request.claim) {
-            Ok(list) => FolderEvent::OrderPersisted(request, list),
+            Ok(list) => FolderEvent::OrderStored(request, list),
             Err(error) => {
                 let uid = &request.order.uid;
                 crate::proxy::logging::log(format_args!(
                     "an order about upstream {uid} cannot be carried out: {error}"
                 ));
-                FolderEvent::OrderNotPersisted(request)
+                FolderEvent::OrderNotStored(request)
             }
         }
     }
 }
 
-/// Whether the list has to be read again.
+/// Whether the offline list has to be read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
     /// The list is up to date, or cannot be made so by another read.
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -19,7 +19,7 @@
 /// Size of an endpoint entry in bytes.
 const ENTRY_SIZE: usize = 22;
 /// Maximum number of endpoint lists that are stored at a time.
-pub const MAX_TABLES: usize = 16;
+pub const MAX_ENDPOINT_LISTS: usize = 16;
 
 /// Malformed input: a frame that cannot be decoded, or invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,8 +75,8 @@
 /// A decoded event record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts.
-    PowerOn {
+    /// An instance of the decision module starts.
+    InstanceStarted {
         /// Number of the instance.
         instance: u32,
         /// Seed of its random numbers.
@@ -85,15 +85,15 @@
         settings: &'a [u8],
     },
     /// An instance ends.
-    Retire(u32),
+    InstanceEnded(u32),
     /// The number and entries of an endpoint list.
-    Table(usize, Vec<EndpointEntry>),
+    EndpointList(usize, Vec<EndpointEntry>),
     /// Discovery announces an endpoint list to an instance.
     Announce {
         /// Number of the instance.
         instance: u32,
         /// Number of the list.
-        table: usize,
+        list_number: usize,
         /// Whether the list holds only the entries that changed.
         delta: bool,
     },
@@ -134,8 +134,8 @@
     records.chunks_exact(EVENT_SIZE).map(move |record| decode_record(record, tail))
 }
 
-/// The part of the tail that a record refers to. The field at `field_offset` holds the part's offset in the tail and
-/// the number of its items.
+/// The part of the tail that a record refers to. The record states at `field_offset` where in the tail that part
+/// starts, and then the number of its items.
 fn tail_part<'a>(
     record: &[u8],
     field_offset: usize,
@@ -159,12 +159,12 @@
     let event = match record[0] {
         0 => {
             let settings = tail_part(record, 13, 1, tail)?;
-            return Ok(Record::PowerOn { instance, seed: u64_at(record, 5), settings });
+            return Ok(Record::InstanceStarted { instance, seed: u64_at(record, 5), settings });
         }
         1 => match record[13] {
             kind @ 0..=2 => {
-                let table = decode_table_number(u32_at(record, 9))?;
-                return Ok(Record::Announce { instance, table, delta: kind == 0 });
+                let list_number = decode_list_number(u32_at(record, 9))?;
+                return Ok(Record::Announce { instance, list_number, delta: kind == 0 });
             }
             3 => Event::DiscoveryFailed,
             kind => return Err(WireError::new(format!("unknown form {kind} of ANNOUNCE"))),
@@ -199,26 +199,28 @@
             decode_load_report(record, 18)?,
         ),
         8 => return Ok(Record::Ignored),
-        9 => return Ok(Record::Retire(instance)),
+        9 => return Ok(Record::InstanceEnded(instance)),
         10 => {
             let entries = tail_part(record, 5, ENTRY_SIZE, tail)?;
             let entries = entries.chunks_exact(ENTRY_SIZE).map(decode_entry).collect::<Result<_, _>>()?;
-            return Ok(Record::Table(decode_table_number(u32_at(record, 1))?, entries));
+            return Ok(Record::EndpointList(decode_list_number(u32_at(record, 1))?, entries));
         }
         code => return Err(WireError::new(format!("unknown event code {code}"))),
     };
     Ok(Record::Event(instance, event))
 }
 
-fn decode_table_number(number: u32) -> Result<usize, WireError> {
-    let table = number as usize;
-    if table < MAX_TABLES {
-        Ok(table)
+/// Checks the number of an endpoint list.
+fn decode_list_number(number: u32) -> Result<usize, WireError> {
+    let list_number = number as usize;
+    if list_number < MAX_ENDPOINT_LISTS {
+        Ok(list_number)
     } else {
         Err(WireError::new(format!("endpoint list number {number} is over 15")))
     }
 }
 
+/// Decodes the outcome of an attempt or a load query.
 fn decode_outcome(code: u8) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
         0 => AttemptOutcome::Success,
@@ -233,6 +235,7 @@
     })
 }
 
+/// Decodes the load report at an offset of a record; `None` if it has no values.
 fn decode_load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
     let len = record[offset] as usize;
     if len > 4 {
@@ -245,12 +248,13 @@
     Ok((len > 0).then_some(report))
 }
 
+/// Decodes an entry of an endpoint list.
 fn decode_entry(bytes: &[u8]) -> Result<EndpointEntry, WireError> {
     let state = match bytes[9] {
         0 => EndpointState::Removed,
         1 => EndpointState::InService,
         2 => EndpointState::Draining,
-        code => return Err(WireError::new(format!("unknown lifecycle {code}"))),
+        code => return Err(WireError::new(format!("unknown endpoint state {code}"))),
     };
     let started = u64_at(bytes, 14);
     Ok(EndpointEntry {
@@ -266,7 +270,9 @@
 /// The reply to a batch, to which actions are added one by one.
 #[derive(Debug, Default)]
 pub struct Reply {
+    /// The encoded action records.
     records: Vec<u8>,
+    /// Texts that records refer to, which follow the records in the frame.
     tail: Vec<u8>,
 }
 
@@ -328,6 +334,7 @@
 
 /// A value that is written to an action record, in little-endian order.
 trait Field {
+    /// Appends the value to `out`.
     fn write(&self, out: &mut Vec<u8>);
 }
 
@@ -495,6 +502,7 @@
     })
 }
 
+/// Converts a class of the settings.
 fn request_class(raw: RawClass) -> Result<RequestClass, WireError> {
     let idempotency = match raw.effect {
         RawEffect::ReadLike => Idempotency::Idempotent,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -75,7 +75,7 @@
             Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
             Record::Event(3, Event::ResponseStarted(id, 0)),
             Record::Event(3, Event::AttemptEnded(id, end)),
-            Record::Retire(3),
+            Record::InstanceEnded(3),
             Record::Event(3, Event::LoadQueryEnded(EndpointId(0x2c90_11f2), AttemptOutcome::Success, None)),
             Record::Ignored,
         ]
@@ -98,8 +98,8 @@
         started,
     };
     let entries = vec![entry(0x0312_4a07, 0, 1.0, None), entry(0x2c90_11f2, 1, 1.5, Some(6_100_000_000))];
-    assert_eq!(records[0], Record::Table(0, entries));
-    assert_eq!(records[1], Record::Announce { instance: 3, table: 0, delta: false });
+    assert_eq!(records[0], Record::EndpointList(0, entries));
+    assert_eq!(records[1], Record::Announce { instance: 3, list_number: 0, delta: false });
 }
 
 #[test]
@@ -331,7 +331,7 @@
         (batch(&["0a 00000000 00000000 ffffffff"], &[]), "outside a tail"),
         (
             batch(&["0a 00000000 00000000 01000000"], &[&[0; 9][..], &[7], &[0; 12]].concat()),
-            "unknown lifecycle 7",
+            "unknown endpoint state 7",
         ),
         (batch(&["04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 05"], &[]), "load report of 5"),
         (batch(&["07 03000000 f211902c 09"], &[]), "unknown outcome 9"),
