--- a/tests/offline_orders.rs
+++ b/tests/offline_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators where the folder that keeps them fails, is slow, or holds what a dead process left.
+//! Orders of operators while the shared folder that stores them fails, is slow, or holds files of a killed process.
 
 mod common;
 
@@ -13,19 +13,19 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-const LIST: &str = "woadstall-offline.json";
-const PENDING: &str = "woadstall-offline.pending";
-const LOCK: &str = "woadstall-offline.lock";
-/// All files that keep orders have names that begin so.
-const FILES: &str = "woadstall-offline";
-/// All files that announce a process have names that begin so.
-const ANNOUNCEMENTS: &str = "woadstall-process-";
-/// Enough that those never ordered about can serve alone: who is put back counts as cold.
-const UPSTREAMS: usize = 6;
-/// Calls by which upstreams show that they are out: more than there are turns in a round.
-const CALLS: usize = 24;
-/// Far more calls of a kind than two orders make.
-const MOST_STEPS: usize = 40;
+const LIST_FILE: &str = "woadstall-offline.json";
+const PENDING_FILE: &str = "woadstall-offline.pending";
+const LOCK_FILE: &str = "woadstall-offline.lock";
+/// Prefix of the names of all files that store orders.
+const OFFLINE_FILES_PREFIX: &str = "woadstall-offline";
+/// Prefix of the names of all files that announce a process.
+const ANNOUNCEMENT_PREFIX: &str = "woadstall-process-";
+/// Enough for the upstreams that no order names to serve alone: one that is brought back online counts as cold.
+const UPSTREAM_COUNT: usize = 6;
+/// Requests that show which upstreams are offline: more than one round over all upstreams.
+const REQUESTS: usize = 24;
+/// Far more system calls of one kind than two orders make.
+const MAX_STEPS: usize = 40;
 
 type Uids = BTreeSet<String>;
 
@@ -33,151 +33,155 @@
     names.iter().map(|&name| name.to_owned()).collect()
 }
 
-/// Upstreams `s-0` and so on, and the folder that the processes of a balancer share.
-struct Site {
+/// The upstreams `s-0`, `s-1` and so on, and the folder that the processes of a balancer share.
+struct Deployment {
     upstreams: Vec<Upstream>,
     config: Value,
     folder: PathBuf,
 }
 
-impl Site {
-    /// The folder holds a list of these, unless there are none.
+impl Deployment {
+    /// Starts the upstreams and creates the folder with `offline` as its list; without a list if `offline` is empty.
     fn new(name: &str, offline: &[&str]) -> Self {
-        let upstreams: Vec<Upstream> =
-            (0..UPSTREAMS).map(|_| Upstream::start(|_| UpstreamAction::Respond(ok_response("")))).collect();
+        let upstreams: Vec<Upstream> = (0..UPSTREAM_COUNT)
+            .map(|_| Upstream::start(|_| UpstreamAction::Respond(ok_response(""))))
+            .collect();
         let config =
             config_with_admin(refusing_address(), &in_service(&upstreams.iter().collect::<Vec<_>>()));
-        let site = Self { upstreams, config, folder: shared_folder(name) };
-        site.reset(offline);
-        site
+        let deployment = Self { upstreams, config, folder: shared_folder(name) };
+        deployment.reset(offline);
+        deployment
     }
 
-    /// Empties the folder but for a list of these.
+    /// Empties the folder and writes `offline` as its list, unless it is empty.
     fn reset(&self, offline: &[&str]) {
         fs::remove_dir_all(&self.folder).ok();
         fs::create_dir_all(&self.folder).unwrap();
         if !offline.is_empty() {
-            fs::write(self.folder.join(LIST), serde_json::to_string(offline).unwrap()).unwrap();
+            fs::write(self.folder.join(LIST_FILE), serde_json::to_string(offline).unwrap()).unwrap();
         }
     }
 
     fn start(&self) -> Balancer {
-        self.start_with(&[])
+        self.start_with_environment(&[])
     }
 
-    fn start_under(&self, faults: &Faults) -> Balancer {
-        self.start_with(&faults.environment())
+    fn start_with_faults(&self, faults: &Faults) -> Balancer {
+        self.start_with_environment(&faults.environment())
     }
 
-    fn start_with(&self, environment: &[(&str, String)]) -> Balancer {
+    fn start_with_environment(&self, environment: &[(&str, String)]) -> Balancer {
         let mut environment = environment.to_vec();
         environment.push(("TMPDIR", self.path("")));
         let mut program = Program::start_with(&self.config, &environment);
-        let door = admin_address(&mut program);
-        Balancer { program, door }
+        let admin = admin_address(&mut program);
+        Balancer { program, admin }
     }
 
-    /// The folder, or what begins so in it, as a plan of faults names it.
+    /// The path of the folder, or of the files in it whose names begin with `name`, for a plan of faults.
     fn path(&self, name: &str) -> String {
         let path = if name.is_empty() { self.folder.clone() } else { self.folder.join(name) };
         path.to_str().unwrap().to_owned()
     }
 
-    /// What a process that knows nothing of pending orders reads.
-    fn written(&self) -> Uids {
-        let text = fs::read_to_string(self.folder.join(LIST)).unwrap_or_else(|_| "[]".into());
+    /// The list file, as a program version reads it that knows nothing of pending orders.
+    fn stored_list(&self) -> Uids {
+        let text = fs::read_to_string(self.folder.join(LIST_FILE)).unwrap_or_else(|_| "[]".into());
         serde_json::from_str(&text).unwrap()
     }
 
-    /// Waits until no order is pending, and that process reads these.
-    fn settles_at(&self, offline: &Uids, context: &str) {
-        eventually(context, || !self.folder.join(PENDING).exists() && self.written() == *offline);
+    /// Waits until no order is pending and the list file holds these uids.
+    fn wait_until_committed(&self, offline: &Uids, context: &str) {
+        eventually(context, || !self.folder.join(PENDING_FILE).exists() && self.stored_list() == *offline);
     }
 }
 
-impl Drop for Site {
+impl Drop for Deployment {
     fn drop(&mut self) {
         fs::remove_dir_all(&self.folder).ok();
     }
 }
 
-/// A running process of the balancer. Dropped, it is killed.
+/// A running process of the balancer, killed when dropped.
 struct Balancer {
     program: Program,
-    door: SocketAddr,
+    admin: SocketAddr,
 }
 
 impl Balancer {
-    /// Gives an order; the status, unless the process dies over it.
+    /// Sends an order; returns the status, or `None` if the process is killed before it responds.
     fn order(&self, order: &Order) -> Option<u16> {
-        let verb = if order.offline { "offline" } else { "online" };
-        let path = format!("/control/upstreams/{}/{verb}", order.uid);
-        let call = format!("POST {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
-        send_raw(self.door, &call).map(|answer| answer.status())
+        let state = if order.offline { "offline" } else { "online" };
+        let path = format!("/control/upstreams/{}/{state}", order.uid);
+        let request = format!("POST {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
+        send_raw(self.admin, &request).map(|response| response.status())
     }
 
-    /// Gives an order that cannot be carried out.
-    fn refuses(&self, order: &Order) {
+    /// Sends an order that cannot be carried out and asserts that it is refused.
+    fn assert_refused(&self, order: &Order) {
         let status = self.order(order);
-        assert!(matches!(status, Some(500 | TOO_SLOW)), "{status:?}");
+        assert!(matches!(status, Some(500 | STATUS_TIMED_OUT)), "{status:?}");
     }
 
-    /// Gives an order that is carried out in the end: one that takes too long is refused, and to be given again.
-    fn carries_out(&self, order: &Order, offline: &mut Uids, context: &str) {
-        let carried_out = || match self.order(order) {
-            Some(TOO_SLOW) => false,
+    /// Sends an order until it is carried out: one that takes too long is refused and has to be sent again.
+    fn carry_out(&self, order: &Order, offline: &mut Uids, context: &str) {
+        let is_carried_out = || match self.order(order) {
+            Some(STATUS_TIMED_OUT) => false,
             status => {
-                assert_eq!(status, YES, "{context}");
+                assert_eq!(status, STATUS_OK, "{context}");
                 true
             }
         };
-        eventually(context, carried_out);
+        eventually(context, is_carried_out);
         order.apply(offline);
     }
 
-    /// Checks that these and no others are out.
-    fn has_offline(&self, site: &Site, offline: &Uids, context: &str) {
+    /// Asserts that these upstreams and no others are offline.
+    fn assert_offline(&self, deployment: &Deployment, offline: &Uids, context: &str) {
         let down = self.hosts_down();
-        assert!(down >= offline.len(), "{down} of {offline:?} are out, {context}");
-        self.sends_nothing_to(site, offline, context);
-        self.gets_offline(site, offline, context);
+        assert!(down >= offline.len(), "{down} of {offline:?} are offline, {context}");
+        self.assert_no_requests_to(deployment, offline, context);
+        self.wait_until_offline(deployment, offline, context);
     }
 
-    /// Waits until as many are out as these, and checks that it is these. Where the machine is busy, a breaker may be
-    /// open for a while too: it closes by the trial of a call.
-    fn gets_offline(&self, site: &Site, offline: &Uids, context: &str) {
-        let these_are_down = || {
+    /// Waits until as many upstreams are down as are listed here, and asserts that these are offline. On a busy machine
+    /// a circuit breaker may be open for a while too: requests are sent meanwhile, as a trial request closes it.
+    fn wait_until_offline(&self, deployment: &Deployment, offline: &Uids, context: &str) {
+        let expected_count_is_down = || {
             self.program.request("look");
             self.hosts_down() == offline.len()
         };
-        eventually(&format!("{offline:?} and no others are out, {context}"), these_are_down);
-        self.sends_nothing_to(site, offline, context);
+        eventually(&format!("{offline:?} and no others are offline, {context}"), expected_count_is_down);
+        self.assert_no_requests_to(deployment, offline, context);
     }
 
     fn hosts_down(&self) -> usize {
-        read_counters(self.door)["hosts_down"].as_u64().unwrap() as usize
+        read_counters(self.admin)["hosts_down"].as_u64().unwrap() as usize
     }
 
-    /// Makes calls that reach none of these. A request from before, read late where the machine is busy, is not one of
-    /// them.
-    fn sends_nothing_to(&self, site: &Site, offline: &Uids, context: &str) {
+    /// Sends requests and asserts that none reaches an offline upstream. Earlier requests, which an upstream may read
+    /// late on a busy machine, have other ids and are not counted.
+    fn assert_no_requests_to(&self, deployment: &Deployment, offline: &Uids, context: &str) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let mut ids = BTreeSet::new();
-        for _ in 0..CALLS {
+        for _ in 0..REQUESTS {
             let id = format!("0ff11e00{:08x}", NEXT.fetch_add(1, Ordering::Relaxed));
-            let mut caller = self.program.connect();
-            caller.write(&request_text_with_id(&id, "look", LONG_BUDGET, ""));
-            assert_eq!(caller.read_response().expect("an answer").status(), 200, "{context}");
+            let mut client = self.program.connect();
+            client.write(&request_text_with_id(&id, "look", LONG_BUDGET, ""));
+            assert_eq!(client.read_response().expect("a response").status(), 200, "{context}");
             ids.insert(id);
         }
-        for (at, upstream) in site.upstreams.iter().enumerate() {
-            let uid = format!("s-{at}");
-            let is_ours = |seen: &UpstreamEvent| {
-                let UpstreamEvent::Request(message) = seen else { return false };
+        for (index, upstream) in deployment.upstreams.iter().enumerate() {
+            let uid = format!("s-{index}");
+            let is_counted = |event: &UpstreamEvent| {
+                let UpstreamEvent::Request(message) = event else { return false };
                 message.headers.get("x-call-id").is_some_and(|id| ids.contains(id))
             };
-            let requests = upstream.events.try_iter().filter(is_ours).count();
-            assert!(!offline.contains(&uid) || requests == 0, "{uid} is used, {context}");
+            let requests = upstream.events.try_iter().filter(is_counted).count();
+            assert!(
+                !offline.contains(&uid) || requests == 0,
+                "{uid} is offline but got {requests} requests, {context}"
+            );
         }
     }
 }
@@ -198,336 +202,344 @@
     }
 }
 
-const fn take_out(uid: &'static str) -> Order {
+const fn take_offline(uid: &'static str) -> Order {
     Order { uid, offline: true }
 }
 
-const fn put_back(uid: &'static str) -> Order {
+const fn bring_online(uid: &'static str) -> Order {
     Order { uid, offline: false }
 }
 
-const YES: Option<u16> = Some(200);
-/// The door has not waited any longer.
-const TOO_SLOW: u16 = 503;
-/// When an order that hangs is answered at the latest: 0.8 s, and the time of a busy machine.
-const TOLD_WITHIN: Duration = Duration::from_millis(2000);
-/// Taken out before the orders that are tried.
-const BEFORE: &[&str] = &["s-1"];
-const ORDERS: [Order; 2] = [take_out("s-0"), put_back("s-1")];
-
-/// Gives the orders under a plan, and checks that a yes holds and a no does not: in this process, in the next one
-/// after this one is killed, and for a process that knows nothing of pending orders once that one has looked.
-fn a_yes_holds_and_a_no_does_not(site: &Site, faults: &Faults, plan: &str) {
-    site.reset(BEFORE);
-    let balancer = site.start_under(faults);
-    let mut offline = uids(BEFORE);
+const STATUS_OK: Option<u16> = Some(200);
+/// The status of an order that timed out.
+const STATUS_TIMED_OUT: u16 = 503;
+/// Limit for the response to an order that hangs: the balancer responds after 0.8 s, plus the delays of a busy machine.
+const MAX_ORDER_TIME: Duration = Duration::from_millis(2000);
+/// Offline before the first of `ORDERS`.
+const INITIALLY_OFFLINE: &[&str] = &["s-1"];
+const ORDERS: [Order; 2] = [take_offline("s-0"), bring_online("s-1")];
+
+/// Sends the orders under a plan of faults and asserts that exactly the confirmed ones are in force: in this process,
+/// in the next one after this one is killed, and in the list file once the next process has checked the folder.
+fn check_confirmed_orders_are_in_force(deployment: &Deployment, faults: &Faults, plan: &str) {
+    deployment.reset(INITIALLY_OFFLINE);
+    let balancer = deployment.start_with_faults(faults);
+    let mut offline = uids(INITIALLY_OFFLINE);
     for order in &ORDERS {
-        let status = balancer.order(order).expect("an answer");
-        if Some(status) == YES {
+        let status = balancer.order(order).expect("a response");
+        if Some(status) == STATUS_OK {
             order.apply(&mut offline);
         }
         assert!(!(300..500).contains(&status), "{status}, {plan}");
-        balancer.has_offline(site, &offline, &format!("after {order:?} got {status} under {plan}"));
+        balancer.assert_offline(deployment, &offline, &format!("after {order:?} got {status} under {plan}"));
     }
     drop(balancer);
-    let next = site.start();
-    next.has_offline(site, &offline, &format!("in the next process after {plan}"));
-    site.settles_at(&offline, plan);
-    for order in [take_out("s-2"), put_back("s-2")] {
-        next.carries_out(&order, &mut offline, &format!("the folder is whole again after {plan}"));
+    let next = deployment.start();
+    next.assert_offline(deployment, &offline, &format!("in the next process after {plan}"));
+    deployment.wait_until_committed(&offline, plan);
+    for order in [take_offline("s-2"), bring_online("s-2")] {
+        next.carry_out(&order, &mut offline, &format!("the folder works again after {plan}"));
     }
-    next.has_offline(site, &offline, &format!("after more orders, after {plan}"));
+    next.assert_offline(deployment, &offline, &format!("after more orders, after {plan}"));
 }
 
-/// Lets a call fail with an error, from each on that the orders make, once and for good.
-fn fails_at_each_step(name: &str, call: &str, error: &str, path: &str) {
-    let site = Site::new(name, BEFORE);
-    let path = site.path(path);
+/// Runs the check for each system call of this kind that the orders make, where that call alone fails with this error
+/// and where all calls from that one on fail.
+fn check_failure_at_each_step(name: &str, call: &str, error: &str, path: &str) {
+    let deployment = Deployment::new(name, INITIALLY_OFFLINE);
+    let path = deployment.path(path);
     for count in ["", ":count=1"] {
         let mut injected = 0;
-        for step in 1..MOST_STEPS {
+        for step in 1..MAX_STEPS {
             let plan = format!("{call}:{error}:path={path}:from={step}{count}");
             let faults = Faults::new(&plan);
-            a_yes_holds_and_a_no_does_not(&site, &faults, &plan);
+            check_confirmed_orders_are_in_force(&deployment, &faults, &plan);
             if faults.injected_count(call, error) == 0 {
                 break;
             }
             injected += 1;
         }
-        assert!(injected > 0 && injected + 1 < MOST_STEPS, "{injected} steps of {call}");
+        assert!(injected > 0 && injected + 1 < MAX_STEPS, "{injected} calls of {call} failed");
     }
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_writes_fail() {
-    fails_at_each_step("write-enospc", "write", "ENOSPC", FILES);
-    fails_at_each_step("write-eio", "write", "EIO", FILES);
-    fails_at_each_step("write-short", "write", "short=1", FILES);
+fn an_order_is_in_force_only_if_confirmed_where_writes_fail() {
+    check_failure_at_each_step("write-enospc", "write", "ENOSPC", OFFLINE_FILES_PREFIX);
+    check_failure_at_each_step("write-eio", "write", "EIO", OFFLINE_FILES_PREFIX);
+    check_failure_at_each_step("write-short", "write", "short=1", OFFLINE_FILES_PREFIX);
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_syncs_fail() {
-    fails_at_each_step("fsync-eio", "fsync", "EIO", "");
-    fails_at_each_step("fsync-enospc", "fsync", "ENOSPC", "");
+fn an_order_is_in_force_only_if_confirmed_where_syncs_fail() {
+    check_failure_at_each_step("fsync-eio", "fsync", "EIO", "");
+    check_failure_at_each_step("fsync-enospc", "fsync", "ENOSPC", "");
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_renames_fail() {
-    fails_at_each_step("rename-eio", "rename", "EIO", FILES);
-    fails_at_each_step("rename-enospc", "rename", "ENOSPC", FILES);
+fn an_order_is_in_force_only_if_confirmed_where_renames_fail() {
+    check_failure_at_each_step("rename-eio", "rename", "EIO", OFFLINE_FILES_PREFIX);
+    check_failure_at_each_step("rename-enospc", "rename", "ENOSPC", OFFLINE_FILES_PREFIX);
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_removals_fail() {
-    fails_at_each_step("unlink-eio", "unlink", "EIO", FILES);
+fn an_order_is_in_force_only_if_confirmed_where_removals_fail() {
+    check_failure_at_each_step("unlink-eio", "unlink", "EIO", OFFLINE_FILES_PREFIX);
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_files_cannot_be_opened() {
-    fails_at_each_step("open-enospc", "open", "ENOSPC", "woadstall-offline.new");
-    fails_at_each_step("open-emfile", "open", "EMFILE", LOCK);
-    fails_at_each_step("open-erofs", "open", "EROFS", LOCK);
+fn an_order_is_in_force_only_if_confirmed_where_files_cannot_be_opened() {
+    check_failure_at_each_step("open-enospc", "open", "ENOSPC", "woadstall-offline.new");
+    check_failure_at_each_step("open-emfile", "open", "EMFILE", LOCK_FILE);
+    check_failure_at_each_step("open-erofs", "open", "EROFS", LOCK_FILE);
 }
 
 #[test]
-fn an_order_holds_by_its_answer_where_the_lock_fails() {
-    fails_at_each_step("flock-enolck", "flock", "ENOLCK", FILES);
-    fails_at_each_step("flock-eintr", "flock", "EINTR", FILES);
+fn an_order_is_in_force_only_if_confirmed_where_the_lock_fails() {
+    check_failure_at_each_step("flock-enolck", "flock", "ENOLCK", OFFLINE_FILES_PREFIX);
+    check_failure_at_each_step("flock-eintr", "flock", "EINTR", OFFLINE_FILES_PREFIX);
 }
 
-/// Guards the no against a failure of what takes the order back.
+/// Guards against an order that is refused but comes into force because undoing it fails too.
 #[test]
-fn an_order_holds_by_its_answer_where_taking_it_back_fails_too() {
-    let site = Site::new("twice", BEFORE);
-    let (folder, files) = (site.path(""), site.path(FILES));
-    for sync in 1..=6 {
-        for then in ["rename:EIO:from=2", "rename:EIO:from=3", "unlink:EIO", "write:ENOSPC:from=3"] {
-            let plan = format!("fsync:EIO:path={folder}:from={sync};{then}:path={files}");
-            a_yes_holds_and_a_no_does_not(&site, &Faults::new(&plan), &plan);
+fn an_order_is_in_force_only_if_confirmed_where_undoing_it_fails_too() {
+    let deployment = Deployment::new("twice", INITIALLY_OFFLINE);
+    let (folder, files) = (deployment.path(""), deployment.path(OFFLINE_FILES_PREFIX));
+    for sync_number in 1..=6 {
+        for second_fault in ["rename:EIO:from=2", "rename:EIO:from=3", "unlink:EIO", "write:ENOSPC:from=3"] {
+            let plan = format!("fsync:EIO:path={folder}:from={sync_number};{second_fault}:path={files}");
+            check_confirmed_orders_are_in_force(&deployment, &Faults::new(&plan), &plan);
         }
     }
 }
 
-/// Guards the no for what is in place already: the list is replaced, its folder cannot be synced, nor the list be put
-/// back. The next process must not follow it.
+/// Guards against a refused order that comes into force in the next process: the list was replaced, but its folder
+/// could not be synced and the former list could not be restored.
 #[test]
-fn a_refused_order_whose_list_is_in_place_is_never_followed() {
-    let site = Site::new("in-place", BEFORE);
-    let (folder, files) = (site.path(""), site.path(FILES));
+fn a_refused_order_whose_list_was_written_is_never_in_force() {
+    let deployment = Deployment::new("in-place", INITIALLY_OFFLINE);
+    let (folder, files) = (deployment.path(""), deployment.path(OFFLINE_FILES_PREFIX));
     let plan = format!("fsync:EIO:path={folder}:from=4;rename:EIO:path={files}:from=3");
     let faults = Faults::new(&plan);
-    let balancer = site.start_under(&faults);
-    balancer.refuses(&take_out("s-0"));
-    eventually("the list is in place", || site.written() == uids(&["s-0", "s-1"]));
-    balancer.has_offline(&site, &uids(BEFORE), "in the process that said no");
-    let beside = site.start();
-    beside.has_offline(&site, &uids(BEFORE), "in one beside it");
-    site.settles_at(&uids(BEFORE), "the other process clears the order away");
-    drop((balancer, beside));
-    site.start().has_offline(&site, &uids(BEFORE), "in the next one");
-}
-
-/// Kills the process in place of each of these calls that the orders make. What was answered holds, and what was not
-/// is carried out or not; the next process goes on from there.
-fn is_killed_at_each_step(name: &str, call: &str, path: &str) {
-    let site = Site::new(name, BEFORE);
-    let path = site.path(path);
-    for step in 1..MOST_STEPS {
-        site.reset(BEFORE);
+    let balancer = deployment.start_with_faults(&faults);
+    balancer.assert_refused(&take_offline("s-0"));
+    eventually("the list is written", || deployment.stored_list() == uids(&["s-0", "s-1"]));
+    balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "in the process that refused the order");
+    let second = deployment.start();
+    second.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "in a process beside it");
+    deployment.wait_until_committed(&uids(INITIALLY_OFFLINE), "the other process removes the pending order");
+    drop((balancer, second));
+    deployment.start().assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "in the next process");
+}
+
+/// Kills the process at each system call of this kind that the orders make. A confirmed order stays in force, one
+/// without a response is carried out or not, and the next process goes on from there.
+fn check_kill_at_each_step(name: &str, call: &str, path: &str) {
+    let deployment = Deployment::new(name, INITIALLY_OFFLINE);
+    let path = deployment.path(path);
+    for step in 1..MAX_STEPS {
+        deployment.reset(INITIALLY_OFFLINE);
         let plan = format!("{call}:kill:path={path}:from={step}");
         let faults = Faults::new(&plan);
-        let balancer = site.start_under(&faults);
-        let mut offline = uids(BEFORE);
+        let balancer = deployment.start_with_faults(&faults);
+        let mut offline = uids(INITIALLY_OFFLINE);
         let mut unanswered = None;
         for order in ORDERS {
             let status = balancer.order(&order);
             match status {
-                YES => order.apply(&mut offline),
+                STATUS_OK => order.apply(&mut offline),
                 None => {
                     unanswered = Some(order);
                     break;
                 }
-                Some(status) => assert_eq!(status, TOO_SLOW, "{plan}"),
+                Some(status) => assert_eq!(status, STATUS_TIMED_OUT, "{plan}"),
             }
         }
         drop(balancer);
-        let next = site.start();
+        let next = deployment.start();
         if let Some(order) = unanswered {
-            let mut carried_out = offline.clone();
-            order.apply(&mut carried_out);
-            if read_counters(next.door)["hosts_down"] == carried_out.len() {
-                offline = carried_out;
+            let mut with_order = offline.clone();
+            order.apply(&mut with_order);
+            if read_counters(next.admin)["hosts_down"] == with_order.len() {
+                offline = with_order;
             }
         }
-        next.has_offline(&site, &offline, &format!("in the next process after {plan}"));
-        site.settles_at(&offline, &plan);
-        next.carries_out(&take_out("s-2"), &mut offline, &plan);
+        next.assert_offline(&deployment, &offline, &format!("in the next process after {plan}"));
+        deployment.wait_until_committed(&offline, &plan);
+        next.carry_out(&take_offline("s-2"), &mut offline, &plan);
         drop(next);
-        site.start().has_offline(&site, &offline, &format!("in the one after that, after {plan}"));
+        deployment.start().assert_offline(
+            &deployment,
+            &offline,
+            &format!("in the process after the next, after {plan}"),
+        );
         if unanswered.is_none() {
-            assert!(step > 1, "no {call} was made");
+            assert!(step > 1, "the orders made no call of {call}");
             return;
         }
     }
-    panic!("too many steps of {call}");
+    panic!("the orders made at least {MAX_STEPS} calls of {call}");
 }
 
 #[test]
-fn a_kill_at_any_step_of_a_write_leaves_answered_orders_in_force() {
-    is_killed_at_each_step("kill-flock", "flock", FILES);
-    is_killed_at_each_step("kill-open", "open", "woadstall-offline.new");
-    is_killed_at_each_step("kill-write", "write", FILES);
-    is_killed_at_each_step("kill-rename", "rename", FILES);
+fn a_kill_at_any_step_of_a_write_leaves_confirmed_orders_in_force() {
+    check_kill_at_each_step("kill-flock", "flock", OFFLINE_FILES_PREFIX);
+    check_kill_at_each_step("kill-open", "open", "woadstall-offline.new");
+    check_kill_at_each_step("kill-write", "write", OFFLINE_FILES_PREFIX);
+    check_kill_at_each_step("kill-rename", "rename", OFFLINE_FILES_PREFIX);
 }
 
 #[test]
-fn a_kill_at_any_step_of_a_commit_leaves_answered_orders_in_force() {
-    is_killed_at_each_step("kill-fsync", "fsync", "");
-    is_killed_at_each_step("kill-unlink", "unlink", FILES);
+fn a_kill_at_any_step_of_a_commit_leaves_confirmed_orders_in_force() {
+    check_kill_at_each_step("kill-fsync", "fsync", "");
+    check_kill_at_each_step("kill-unlink", "unlink", OFFLINE_FILES_PREFIX);
 }
 
-/// Guards callers against a disk that hangs, and an operator who was told no after 0.8 s against an order that comes
-/// into force when the disk goes on.
+/// Guards requests against a disk that hangs, and operators against an order that was refused after 0.8 s but comes
+/// into force when the disk responds again.
 #[test]
-fn a_slow_disk_holds_up_no_request_and_a_late_order_never_comes() {
+fn a_slow_disk_delays_no_request_and_a_timed_out_order_is_never_in_force() {
     std::thread::scope(|scope| {
         for (call, steps) in [("write", 2), ("rename", 2), ("fsync", 4)] {
             for step in 1..=steps {
-                scope.spawn(move || is_slow_at(call, step));
+                scope.spawn(move || check_delay_at(call, step));
             }
         }
     });
 }
 
-/// Lets one call hang that an order makes before its commit.
-fn is_slow_at(call: &str, step: usize) {
+/// Delays one system call that an order makes before its commit.
+fn check_delay_at(call: &str, step: usize) {
     const DELAY: &str = "delay=2500";
-    const CALL_EVERY: Duration = Duration::from_millis(10);
-    let site = Site::new(&format!("slow-{call}-{step}"), BEFORE);
-    let path = if call == "fsync" { site.path("") } else { site.path(FILES) };
+    const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+    let deployment = Deployment::new(&format!("slow-{call}-{step}"), INITIALLY_OFFLINE);
+    let path = if call == "fsync" { deployment.path("") } else { deployment.path(OFFLINE_FILES_PREFIX) };
     let plan = format!("{call}:{DELAY}:path={path}:from={step}:count=1");
     let faults = Faults::new(&plan);
-    let balancer = site.start_under(&faults);
-    let asked = Instant::now();
-    let door = balancer.door;
-    let operator = std::thread::spawn(move || send_order(door, "s-0", "offline"));
+    let balancer = deployment.start_with_faults(&faults);
+    let started = Instant::now();
+    let admin = balancer.admin;
+    let operator = std::thread::spawn(move || send_order(admin, "s-0", "offline"));
     let mut served = 0;
     while !operator.is_finished() {
         assert_eq!(balancer.program.request("look").status(), 200, "{plan}");
         served += 1;
-        std::thread::sleep(CALL_EVERY);
+        std::thread::sleep(REQUEST_INTERVAL);
     }
-    assert_eq!(operator.join().unwrap(), TOO_SLOW, "{plan}");
-    assert!(asked.elapsed() < TOLD_WITHIN, "told in time, {plan}");
-    assert!(served > 3, "only {served} served meanwhile, {plan}");
-    // The next order waits until the late one is done with.
-    let mut offline = uids(BEFORE);
-    balancer.carries_out(&take_out("s-2"), &mut offline, &plan);
+    assert_eq!(operator.join().unwrap(), STATUS_TIMED_OUT, "{plan}");
+    assert!(started.elapsed() < MAX_ORDER_TIME, "the order got no response in time, {plan}");
+    assert!(served > 3, "only {served} requests served meanwhile, {plan}");
+    // The next order is carried out only after the delayed one has ended.
+    let mut offline = uids(INITIALLY_OFFLINE);
+    balancer.carry_out(&take_offline("s-2"), &mut offline, &plan);
     assert_eq!(faults.injected_count(call, DELAY), 1, "{plan}");
-    balancer.has_offline(&site, &offline, &plan);
-    site.settles_at(&offline, &plan);
+    balancer.assert_offline(&deployment, &offline, &plan);
+    deployment.wait_until_committed(&offline, &plan);
     drop(balancer);
-    site.start().has_offline(&site, &offline, &format!("next, {plan}"));
+    deployment.start().assert_offline(&deployment, &offline, &format!("in the next process, {plan}"));
 }
 
-/// Guards the second within which an order is answered against another process that hangs with the lock.
+/// Guards the response within a second that an operator is owed against another process that hangs while it holds the
+/// lock.
 #[test]
 fn an_order_that_cannot_have_the_lock_is_refused_in_time() {
-    let site = Site::new("lock-held", BEFORE);
-    let balancer = site.start();
-    let held = File::create(site.folder.join(LOCK)).unwrap();
-    held.lock().unwrap();
-    let asked = Instant::now();
-    balancer.refuses(&take_out("s-0"));
-    assert!(asked.elapsed() < TOLD_WITHIN, "told in {:?}", asked.elapsed());
-    held.unlock().unwrap();
-    balancer.has_offline(&site, &uids(BEFORE), "after the no");
-    let mut offline = uids(BEFORE);
-    balancer.carries_out(&take_out("s-0"), &mut offline, "the lock is free");
-    balancer.has_offline(&site, &offline, "after the yes");
-}
-
-/// Guards an upstream that is out against a process that starts while the list cannot be read.
+    let deployment = Deployment::new("lock-held", INITIALLY_OFFLINE);
+    let balancer = deployment.start();
+    let lock_file = File::create(deployment.folder.join(LOCK_FILE)).unwrap();
+    lock_file.lock().unwrap();
+    let started = Instant::now();
+    balancer.assert_refused(&take_offline("s-0"));
+    assert!(started.elapsed() < MAX_ORDER_TIME, "refused only after {:?}", started.elapsed());
+    lock_file.unlock().unwrap();
+    balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "after the refused order");
+    let mut offline = uids(INITIALLY_OFFLINE);
+    balancer.carry_out(&take_offline("s-0"), &mut offline, "the lock is free");
+    balancer.assert_offline(&deployment, &offline, "after the confirmed order");
+}
+
+/// Guards against requests to an offline upstream from a process that starts while the list cannot be read.
 #[test]
 fn a_start_waits_for_a_list_that_cannot_be_read() {
-    let site = Site::new("unreadable-start", BEFORE);
+    let deployment = Deployment::new("unreadable-start", INITIALLY_OFFLINE);
     for call in ["open", "read"] {
-        let faults = Faults::new(format!("{call}:EIO:path={}:count=10", site.path(LIST)));
-        let balancer = site.start_under(&faults);
-        balancer.has_offline(&site, &uids(BEFORE), "from the first call on");
+        let faults = Faults::new(format!("{call}:EIO:path={}:count=10", deployment.path(LIST_FILE)));
+        let balancer = deployment.start_with_faults(&faults);
+        balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "from the first request on");
         assert_eq!(faults.injected_count(call, "EIO"), 10, "{call}");
     }
 }
 
-/// Guards a balancer against a list that stays unreadable: it serves in the end, says so, and refuses orders, which it
-/// could not keep beside those on the list.
+/// A balancer whose list stays unreadable logs this once, serves after all, and refuses orders, which it could not
+/// store together with those on the list.
 #[test]
-fn a_list_that_stays_unreadable_ends_no_service() {
-    let site = Site::new("stays-unreadable", &[]);
-    fs::create_dir(site.folder.join(LIST)).unwrap();
-    let mut program = Program::start_with(&site.config, &[("TMPDIR", site.path(""))]);
+fn a_balancer_serves_with_a_list_that_stays_unreadable() {
+    let deployment = Deployment::new("stays-unreadable", &[]);
+    fs::create_dir(deployment.folder.join(LIST_FILE)).unwrap();
+    let mut program = Program::start_with(&deployment.config, &[("TMPDIR", deployment.path(""))]);
     program.wait_for_log("the list of upstreams taken out cannot be read now");
-    let balancer = Balancer { door: admin_address(&mut program), program };
+    let balancer = Balancer { admin: admin_address(&mut program), program };
     assert_eq!(balancer.program.request("look").status(), 200);
-    balancer.refuses(&take_out("s-0"));
-    balancer.has_offline(&site, &uids(&[]), "after the no");
-    fs::remove_dir(site.folder.join(LIST)).unwrap();
-    balancer.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
-    balancer.has_offline(&site, &uids(&["s-0"]), "after the yes");
+    balancer.assert_refused(&take_offline("s-0"));
+    balancer.assert_offline(&deployment, &uids(&[]), "after the refused order");
+    fs::remove_dir(deployment.folder.join(LIST_FILE)).unwrap();
+    balancer.carry_out(&take_offline("s-0"), &mut Uids::new(), "the folder works");
+    balancer.assert_offline(&deployment, &uids(&["s-0"]), "after the confirmed order");
     balancer.program.terminate();
     let (_, log) = balancer.program.wait_for_exit();
-    assert!(!log.contains("cannot be read now"), "said once: {log}");
+    assert!(!log.contains("cannot be read now"), "logged more than once: {log}");
 }
 
-/// Guards the other process's orders: one that cannot read them must not write what it knows over them.
+/// Guards against a process that cannot read the list and overwrites the orders of another process in it.
 #[test]
-fn an_order_is_not_written_over_those_that_cannot_be_read() {
-    let site = Site::new("not-over", &[]);
-    let faults = Faults::new(format!("read:EIO:path={}", site.path(LIST)));
-    let blind = site.start_under(&faults);
-    let other = site.start();
-    other.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
-    blind.refuses(&take_out("s-1"));
-    blind.has_offline(&site, &uids(&[]), "in the one that cannot read");
+fn an_order_does_not_overwrite_a_list_that_cannot_be_read() {
+    let deployment = Deployment::new("not-over", &[]);
+    let faults = Faults::new(format!("read:EIO:path={}", deployment.path(LIST_FILE)));
+    let failing = deployment.start_with_faults(&faults);
+    let other = deployment.start();
+    other.carry_out(&take_offline("s-0"), &mut Uids::new(), "the folder works");
+    failing.assert_refused(&take_offline("s-1"));
+    failing.assert_offline(&deployment, &uids(&[]), "in the process that cannot read");
     assert!(faults.injected_count("read", "EIO") > 0);
-    drop(blind);
-    other.carries_out(&take_out("s-2"), &mut Uids::new(), "the folder is sound");
-    other.has_offline(&site, &uids(&["s-0", "s-2"]), "in the other");
+    drop(failing);
+    other.carry_out(&take_offline("s-2"), &mut Uids::new(), "the folder works");
+    other.assert_offline(&deployment, &uids(&["s-0", "s-2"]), "in the other process");
     drop(other);
-    site.start().has_offline(&site, &uids(&["s-0", "s-2"]), "in the next");
+    deployment.start().assert_offline(&deployment, &uids(&["s-0", "s-2"]), "in the next process");
 }
 
-/// Guards orders at both doors at once: the yes of the one crosses the change of the other.
+/// Guards against lost orders where two processes carry out orders at the same time: the commit of one overlaps with
+/// the change by the other.
 #[test]
-fn orders_at_two_doors_at_once_all_hold() {
-    let site = Site::new("two-doors", &[]);
-    let faults = Faults::new(format!("fsync:delay=20:path={}", site.path("")));
-    let (slow, quick) = (site.start_under(&faults), site.start());
+fn concurrent_orders_to_two_processes_are_all_in_force() {
+    let deployment = Deployment::new("two-doors", &[]);
+    let faults = Faults::new(format!("fsync:delay=20:path={}", deployment.path("")));
+    let (slow, quick) = (deployment.start_with_faults(&faults), deployment.start());
     for round in 0..10 {
         let offline = round % 2 == 0;
-        let verb = if offline { "offline" } else { "online" };
-        let (at_slow, at_quick) = (slow.door, quick.door);
-        let until_yes = |door, uid| eventually("a yes", || send_order(door, uid, verb) == 200);
+        let state = if offline { "offline" } else { "online" };
+        let (slow_admin, quick_admin) = (slow.admin, quick.admin);
+        let send_until_confirmed =
+            |admin, uid| eventually("the order is confirmed", || send_order(admin, uid, state) == 200);
         std::thread::scope(|scope| {
-            scope.spawn(|| until_yes(at_slow, "s-0"));
-            scope.spawn(|| until_yes(at_quick, "s-1"));
+            scope.spawn(|| send_until_confirmed(slow_admin, "s-0"));
+            scope.spawn(|| send_until_confirmed(quick_admin, "s-1"));
         });
         let expected = if offline { uids(&["s-0", "s-1"]) } else { uids(&[]) };
-        slow.gets_offline(&site, &expected, "in the one");
-        quick.gets_offline(&site, &expected, "in the other");
-        assert_eq!(site.written(), expected);
+        slow.wait_until_offline(&deployment, &expected, "in the first process");
+        quick.wait_until_offline(&deployment, &expected, "in the other process");
+        assert_eq!(deployment.stored_list(), expected);
     }
 }
 
-/// Guards the room that two processes share, where one could not announce itself at its start.
+/// Guards the memory and the descriptors that two processes share where one could not announce itself at its start.
 #[test]
-fn an_announcement_that_failed_is_made_later() {
+fn a_failed_announcement_is_retried() {
     for (call, error) in [("open", "ENOSPC"), ("flock", "ENOLCK"), ("rename", "EIO")] {
-        let site = Site::new(&format!("announced-late-{call}"), &[]);
-        let mut first = site.start();
-        let plan = format!("{call}:{error}:path={}:count=3", site.path(ANNOUNCEMENTS));
+        let deployment = Deployment::new(&format!("announced-late-{call}"), &[]);
+        let mut first = deployment.start();
+        let plan = format!("{call}:{error}:path={}:count=3", deployment.path(ANNOUNCEMENT_PREFIX));
         let faults = Faults::new(plan);
-        let mut second = site.start_under(&faults);
+        let mut second = deployment.start_with_faults(&faults);
         first.program.wait_for_log("this process serves beside another process");
         assert!(faults.injected_count(call, error) > 0, "{call}");
         drop(first);
@@ -535,81 +547,82 @@
     }
 }
 
-/// Guards the same while the announcement fails for good, or the others cannot be looked for.
+/// The same where the announcement fails permanently: the process has to assume that it serves beside another one.
 #[test]
 fn a_process_that_cannot_be_announced_counts_as_overlapping() {
-    let site = Site::new("unannounced", BEFORE);
-    let faults = Faults::new(format!("open:EROFS:path={}", site.path(ANNOUNCEMENTS)));
+    let deployment = Deployment::new("unannounced", INITIALLY_OFFLINE);
+    let faults = Faults::new(format!("open:EROFS:path={}", deployment.path(ANNOUNCEMENT_PREFIX)));
     let mut environment = faults.environment();
-    environment.push(("TMPDIR", site.path("")));
-    let mut program = Program::start_with(&site.config, &environment);
+    environment.push(("TMPDIR", deployment.path("")));
+    let mut program = Program::start_with(&deployment.config, &environment);
     program.wait_for_log("this process cannot be announced");
     program.wait_for_log("this process serves beside another process");
-    let balancer = Balancer { door: admin_address(&mut program), program };
-    balancer.has_offline(&site, &uids(BEFORE), "the list is followed all the same");
-    eventually("it is tried again", || faults.injected_count("open", "EROFS") > 5);
+    let balancer = Balancer { admin: admin_address(&mut program), program };
+    balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "the list is in force all the same");
+    eventually("the announcement is retried", || faults.injected_count("open", "EROFS") > 5);
     balancer.program.terminate();
     let (_, log) = balancer.program.wait_for_exit();
-    assert!(!log.contains("cannot be announced"), "said once: {log}");
+    assert!(!log.contains("cannot be announced"), "logged more than once: {log}");
     assert!(!log.contains("serves alone"), "{log}");
 }
 
-/// Guards a balancer on a folder that may be read only.
+/// A balancer whose folder is read-only follows the list in it and refuses orders.
 #[test]
 fn a_read_only_folder_is_followed_and_refuses_orders() {
-    let site = Site::new("read-only", BEFORE);
-    let files = ["woadstall-offline.new", LOCK, ANNOUNCEMENTS].map(|name| site.path(name));
+    let deployment = Deployment::new("read-only", INITIALLY_OFFLINE);
+    let files = ["woadstall-offline.new", LOCK_FILE, ANNOUNCEMENT_PREFIX].map(|name| deployment.path(name));
     let plan = files.map(|path| format!("open:EROFS:path={path}")).join(";");
-    let balancer = site.start_under(&Faults::new(plan));
-    balancer.has_offline(&site, &uids(BEFORE), "from the start");
+    let balancer = deployment.start_with_faults(&Faults::new(plan));
+    balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "from the start");
     for order in ORDERS {
-        balancer.refuses(&order);
+        balancer.assert_refused(&order);
     }
-    balancer.has_offline(&site, &uids(BEFORE), "after the no");
-    assert_eq!(site.written(), uids(BEFORE));
+    balancer.assert_offline(&deployment, &uids(INITIALLY_OFFLINE), "after the refused order");
+    assert_eq!(deployment.stored_list(), uids(INITIALLY_OFFLINE));
 }
 
-/// Guards a balancer whose folder is missing, and comes later.
+/// A balancer whose folder is missing refuses orders until the folder is created.
 #[test]
 fn a_missing_folder_refuses_orders_until_it_is_there() {
-    let site = Site::new("missing", &[]);
-    fs::remove_dir_all(&site.folder).unwrap();
-    let mut balancer = site.start();
-    balancer.refuses(&take_out("s-0"));
-    balancer.has_offline(&site, &uids(&[]), "after the no");
-    fs::create_dir(&site.folder).unwrap();
+    let deployment = Deployment::new("missing", &[]);
+    fs::remove_dir_all(&deployment.folder).unwrap();
+    let mut balancer = deployment.start();
+    balancer.assert_refused(&take_offline("s-0"));
+    balancer.assert_offline(&deployment, &uids(&[]), "after the refused order");
+    fs::create_dir(&deployment.folder).unwrap();
     balancer.program.wait_for_log("this process serves alone");
-    balancer.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
-    balancer.has_offline(&site, &uids(&["s-0"]), "after the yes");
+    balancer.carry_out(&take_offline("s-0"), &mut Uids::new(), "the folder works");
+    balancer.assert_offline(&deployment, &uids(&["s-0"]), "after the confirmed order");
     drop(balancer);
-    site.start().has_offline(&site, &uids(&["s-0"]), "in the next");
+    deployment.start().assert_offline(&deployment, &uids(&["s-0"]), "in the next process");
 }
 
-/// Guards what an operator was told against a folder whose list is lost or cut short under the process.
+/// Guards a confirmed order against a list file that is removed or truncated while the process runs.
 #[test]
 fn a_list_that_is_lost_or_damaged_is_written_anew() {
-    let site = Site::new("lost", &[]);
-    let balancer = site.start();
-    balancer.carries_out(&take_out("s-0"), &mut Uids::new(), "the folder is sound");
-    fs::remove_file(site.folder.join(LIST)).unwrap();
-    eventually("the list is there again", || site.folder.join(LIST).exists());
-    assert_eq!(site.written(), uids(&["s-0"]));
-    fs::write(site.folder.join(LIST), "[\"s-").unwrap();
-    let is_whole = || fs::read_to_string(site.folder.join(LIST)).unwrap() == r#"["s-0"]"#;
-    eventually("the list is whole again", is_whole);
-    balancer.has_offline(&site, &uids(&["s-0"]), "all the time");
-}
-
-/// Guards orders about upstreams that no list names any more: they hold, count for nothing, and can be taken back.
+    let deployment = Deployment::new("lost", &[]);
+    let balancer = deployment.start();
+    balancer.carry_out(&take_offline("s-0"), &mut Uids::new(), "the folder works");
+    fs::remove_file(deployment.folder.join(LIST_FILE)).unwrap();
+    eventually("the list is written again", || deployment.folder.join(LIST_FILE).exists());
+    assert_eq!(deployment.stored_list(), uids(&["s-0"]));
+    fs::write(deployment.folder.join(LIST_FILE), "[\"s-").unwrap();
+    let is_complete = || fs::read_to_string(deployment.folder.join(LIST_FILE)).unwrap() == r#"["s-0"]"#;
+    eventually("the list is complete again", is_complete);
+    balancer.assert_offline(&deployment, &uids(&["s-0"]), "while the list was damaged");
+}
+
+/// Orders for upstreams that discovery no longer lists stay in force, are not counted in `hosts_down`, and can be
+/// reverted.
 #[test]
-fn an_order_about_an_upstream_that_was_never_listed_here_can_be_taken_back() {
-    let site = Site::new("stale", &["s-0", "s-gone"]);
-    let balancer = site.start();
-    balancer.has_offline(&site, &uids(&["s-0"]), "of those that are listed");
-    balancer.carries_out(&take_out("s-gone"), &mut Uids::new(), "again is no mistake");
-    balancer.carries_out(&put_back("s-gone"), &mut Uids::new(), "the folder is sound");
-    balancer.carries_out(&put_back("s-gone"), &mut Uids::new(), "again is no mistake");
-    assert_eq!(balancer.order(&take_out("s-never")), Some(404));
-    assert_eq!(site.written(), uids(&["s-0"]));
-    balancer.has_offline(&site, &uids(&["s-0"]), "as before");
+fn an_order_for_an_upstream_that_was_never_listed_here_can_be_reverted() {
+    let deployment = Deployment::new("stale", &["s-0", "s-gone"]);
+    let balancer = deployment.start();
+    balancer.assert_offline(&deployment, &uids(&["s-0"]), "of the listed upstreams");
+    balancer.carry_out(&take_offline("s-gone"), &mut Uids::new(), "a repeated order succeeds");
+    balancer.carry_out(&bring_online("s-gone"), &mut Uids::new(), "the folder works");
+    balancer.carry_out(&bring_online("s-gone"), &mut Uids::new(), "a repeated order succeeds");
+    assert_eq!(balancer.order(&take_offline("s-never")), Some(404));
+    assert_eq!(deployment.stored_list(), uids(&["s-0"]));
+    balancer.assert_offline(&deployment, &uids(&["s-0"]), "as before");
 }
