--- a/tests/common/chain.rs
+++ b/tests/common/chain.rs
@@ -13,7 +13,7 @@
 /// distributed rest.
 const WORK_NS: (f64, f64) = (1e6, 1e6);
 
-/// Time until a client gives up. No answer takes that long, so that there is time for all attempts.
+/// Time until a client gives up. No response takes that long, so that there is time for all attempts.
 const CLIENT_TIMEOUT: u64 = 10 * SECOND;
 
 /// Decides whether a request fails at an endpoint, and how. The arguments are the tier, the endpoint, the
@@ -319,7 +319,7 @@
         }
     }
 
-    /// The tier above has given up a request: its balancer gets notified.
+    /// Cancels a request that the tier above has given up: the balancer sees its client disconnect.
     fn cancel_request(&mut self, balancer: usize, id: u32) {
         if self.requests[balancer].contains_key(&id) {
             self.handle(balancer, Event::ClientDisconnected(RequestId(id)));
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -66,7 +66,7 @@
     assert!(kept >= 90, "{kept} of some 400 requests of the other class went to it");
 }
 
-/// An endpoint that failed one class kept its breaker closed by its answers to the others, and a quarter of
+/// An endpoint that failed one class kept its breaker closed by its responses to the others, and a quarter of
 /// that class failed.
 #[test]
 fn endpoint_that_fails_one_class_gets_no_more_of_it() {
@@ -154,7 +154,7 @@
         balancer.now += 90 * MS;
         balancer.end_attempt(id, 0, outcome, 90 * MS);
     }
-    assert!(hung <= 3, "{hung} of 14 requests went to the endpoint that answers none");
+    assert!(hung <= 3, "{hung} of 14 requests went to the endpoint that responds to none");
 }
 
 /// Each failure of one burst opened the breaker anew: its open time grew to the maximum, and a recovered
@@ -196,7 +196,7 @@
     );
 }
 
-/// The latency of past answers shows an overload late; requests in flight relative to answers show it at
+/// The latency of past responses shows an overload late; requests in flight relative to responses show it at
 /// once.
 #[test]
 fn shedding_starts_while_the_overload_builds_up_and_ends_with_it() {
@@ -232,7 +232,7 @@
     assert!((0..20).all(|_| balancer.serve(IDEMPOTENT, 20 * MS).is_some()));
 }
 
-/// Failed requests counted as quick answers, so a tier that rejected most requests looked fast and nothing
+/// Failed requests counted as quick responses, so a tier that rejected most requests looked fast and nothing
 /// was shed.
 #[test]
 fn quick_failures_do_not_count_as_quick_answers() {
@@ -285,8 +285,8 @@
     assert_eq!(crossings, 0, "requests that left a healthy zone");
 }
 
-/// A balancer without any answer yet took its first requests in flight for an overload and sent the next ones
-/// to other zones.
+/// A balancer without any response yet mistook its first requests in flight for an overload and sent the next
+/// ones to other zones.
 #[test]
 fn new_balancer_stays_in_its_zone() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 6));
@@ -294,8 +294,8 @@
     assert!(endpoints.len() == 20 && endpoints.iter().all(|&endpoint| endpoint < 6), "{endpoints:?}");
 }
 
-/// An endpoint whose connections are all sent refuses new ones and answers on the others: breakers took it
-/// for dead, and when half of a zone was in that state, the zone was avoided.
+/// An endpoint whose connections are all in use refuses new ones and still responds on the open ones: breakers
+/// opened as if it were dead, and when half of a zone was in that state, the zone was avoided.
 #[test]
 fn failed_connections_to_an_answering_endpoint_do_not_trip_it() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(2, 4));
@@ -330,7 +330,7 @@
     assert!(in_zone >= 15, "{in_zone} of 20 requests stay in the zone, {elsewhere} attempts left it");
 }
 
-/// Of 20 requests half a second later, the number that are sent to the own zone.
+/// Serves 20 requests half a second later; returns how many of them were sent to the own zone.
 fn count_in_own_zone(balancer: &mut TestBalancer) -> usize {
     balancer.now += SECOND / 2;
     (0..20).filter_map(|_| balancer.serve(NON_IDEMPOTENT, 20 * MS)).filter(|&endpoint| endpoint < 4).count()
@@ -420,7 +420,7 @@
     assert_eq!(sent_to(&balancer.handle(Event::Timer(token))), None, "a stale timer sends nothing again");
 }
 
-/// A request with less time left than a load query takes got no answer before its deadline.
+/// A request with less time left than a load query takes got no response before its deadline.
 #[test]
 fn request_with_hardly_any_time_left_is_sent_without_load_queries() {
     let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
@@ -451,8 +451,8 @@
     assert!(sent_to(&last_actions).is_some_and(|endpoint| endpoint != queried[0]), "{last_actions:?}");
 }
 
-/// A balancer with one or two requests a second rejected some by chance: its window held only an answer or
-/// two.
+/// A balancer with one or two requests a second rejected some by chance: its window contained only one or
+/// two responses.
 #[test]
 fn low_traffic_balancer_sheds_none_by_chance() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 6));
@@ -536,7 +536,7 @@
     assert_eq!(crossings(4, 0.5), 0, "crossing zones costs more than it gains");
 }
 
-/// Where a fraction of the answers fails in every zone, balancers left their zone again and again and gained
+/// Where a fraction of the requests fails in every zone, balancers left their zone again and again and gained
 /// nothing.
 #[test]
 fn zone_is_kept_where_requests_fail_as_often_elsewhere() {
@@ -557,13 +557,13 @@
     assert!(crossings < 60, "{crossings} of 200 requests crossed zones");
 }
 
-/// In a complete stall no answers arrive, and a lateness computed from answers reported that all was well:
+/// In a complete stall no responses arrive, and a lateness computed from responses reported that all was well:
 /// nothing was shed.
 #[test]
 fn overload_without_any_answer_is_shed() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
     balancer.warm_up(200);
-    balancer.now += 3 * SECOND; // the answers under normal load are forgotten
+    balancer.now += 3 * SECOND; // the responses under normal load are forgotten
     let mut sent = 0;
     for _ in 0..400 {
         balancer.now += 5 * MS;
@@ -777,8 +777,8 @@
     assert!(!sent_to_endpoint_1(&again).is_empty(), "the new process accepts requests");
 }
 
-/// With hundreds of balancers, each gets a few requests a second: too few answers in a second to detect an
-/// overload. All of them together sent on until nothing was answered in time.
+/// With hundreds of balancers, each gets a few requests a second: too few responses in a second to detect
+/// an overload. All of them together went on sending until no response came in time.
 #[test]
 fn low_traffic_balancer_sheds_under_overload() {
     let with_long_objective =
@@ -788,8 +788,8 @@
     let mut balancer = TestBalancer::new(settings, &endpoints_in_zones(1, 12));
     let (mut in_flight, mut rejections) = (std::collections::VecDeque::new(), 0);
     for step in 0..300 {
-        // Three requests a second; answers take a quarter of a second, and under overload three seconds, at
-        // an objective of two.
+        // Three requests a second; responses take a quarter of a second, and under overload three seconds,
+        // at an objective of two.
         let latency = if step < 100 { 250 * MS } else { 3 * SECOND };
         balancer.now += 333 * MS;
         while in_flight.front().is_some_and(|&(_, _, due)| balancer.now >= due) {
@@ -855,7 +855,7 @@
     });
 }
 
-/// Requests with much work were sent for failures of their endpoints, and breakers of healthy endpoints
+/// Requests with much work were mistaken for failures of their endpoints, and breakers of healthy endpoints
 /// opened.
 #[test]
 fn heavy_requests_do_not_trip_a_healthy_endpoint() {
@@ -931,17 +931,17 @@
     waits.iter().enumerate().map(count_within).max().unwrap_or(0)
 }
 
-/// Guards the rule on drains where discovery is polled: a balancer counts as notified of a change 6 s after
-/// discovery is reachable. A poll without an answer takes 1 s to fail (a watch 3 s), a connect that hangs 0.5
-/// s, and an answer up to 1 s: `proxy/discovery.rs`. A hangup signal leaves 4 s. And balancers must not poll
-/// in step, neither after a failure that all of them see at once, nor at a start, nor at a hangup signal.
+/// Guards the drain rule where discovery is polled: a balancer counts as notified of a change 6 s after
+/// discovery is reachable, and 4 s after a SIGHUP. A poll without a response takes 1 s to fail (a watch 3 s), a
+/// connect that hangs 0.5 s, and a response up to 1 s: `proxy/discovery.rs`. Balancers must not poll in step
+/// either: not after a failure that all of them see at once, nor at a start, nor at a SIGHUP.
 #[test]
 fn lists_are_polled_in_time_and_not_by_all_at_once() {
     const FLEET_SIZE: usize = 870;
     const POLL_TIMEOUT: u64 = SECOND;
     const WATCH_TIMEOUT: u64 = 3 * SECOND;
     const CONNECT_TIMEOUT: u64 = SECOND / 2;
-    const ANSWER_TIME: u64 = SECOND;
+    const RESPONSE_TIME: u64 = SECOND;
     let settings = Settings { polls_discovery: true, replicas: FLEET_SIZE as u32, ..settings() };
     let (mut after_start, mut after_failures, mut after_discovery_moved) =
         (Vec::new(), vec![Vec::new(); 12], Vec::new());
@@ -958,8 +958,8 @@
     }
     let longest = |waits: &[u64]| *waits.iter().max().unwrap();
     let waits: Vec<u64> = after_failures.iter().map(|waits| longest(waits)).collect();
-    let retry_time = waits[0] + CONNECT_TIMEOUT + waits[1] + ANSWER_TIME;
-    assert!(WATCH_TIMEOUT + retry_time < 6 * SECOND, "after a watch without an answer: {waits:?}");
+    let retry_time = waits[0] + CONNECT_TIMEOUT + waits[1] + RESPONSE_TIME;
+    assert!(WATCH_TIMEOUT + retry_time < 6 * SECOND, "after a watch without a response: {waits:?}");
     assert!(
         longest(&after_start) + POLL_TIMEOUT + retry_time < 6 * SECOND,
         "at a start: {} {waits:?}",
@@ -967,15 +967,15 @@
     );
     assert!(
         longest(&after_discovery_moved) + POLL_TIMEOUT + retry_time < 4 * SECOND,
-        "at a hangup signal: {} {waits:?}",
+        "at a SIGHUP: {} {waits:?}",
         longest(&after_discovery_moved)
     );
     for pair in waits.windows(2) {
-        let sum = POLL_TIMEOUT + pair[0] + CONNECT_TIMEOUT + pair[1] + ANSWER_TIME;
+        let sum = POLL_TIMEOUT + pair[0] + CONNECT_TIMEOUT + pair[1] + RESPONSE_TIME;
         assert!(sum < 6 * SECOND, "after an outage: {waits:?}");
     }
     assert!(max_in_step(after_start) < FLEET_SIZE / 10, "at a start");
-    assert!(max_in_step(after_discovery_moved) < FLEET_SIZE / 3, "at a hangup signal");
+    assert!(max_in_step(after_discovery_moved) < FLEET_SIZE / 3, "at a SIGHUP");
     assert!(max_in_step(after_failures[0].clone()) < FLEET_SIZE / 3, "at the first failure");
     assert!(max_in_step(after_failures[11].clone()) < FLEET_SIZE / 8, "in an outage");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,5 +1,7 @@
-//! Tests of endpoint selection, circuit breakers, retries, slow start and load shedding, and of the four
-//! rules that every decision keeps, on the decision module alone.
+//! Tests of the decision module alone: endpoint selection, circuit breakers, retries, slow start and load
+//! shedding. Each request ends exactly once; one that may have run is sent again only where its class allows
+//! it; draining and removed endpoints get no new requests; and cold endpoints get no more than slow start
+//! allows.
 
 mod common;
 use balancer::decision::*;
@@ -35,8 +37,8 @@
     }
 }
 
-/// Guards against load shedding because of failed answers: they come as fast as others, and no requests queue
-/// up.
+/// Guards against load shedding because of failed responses: they come as fast as others, and no requests
+/// queue up.
 #[test]
 fn failed_answers_do_not_start_load_shedding() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
@@ -79,7 +81,7 @@
 fn zone_with_all_breakers_open_is_avoided() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 3));
     balancer.warm_up(40);
-    balancer.now += 2 * SECOND; // long enough that no earlier answer counts any more
+    balancer.now += 2 * SECOND; // long enough that no earlier response counts any more
     for _ in 0..40 {
         balancer.run_attempts(IDEMPOTENT, |endpoint| {
             if endpoint < 3 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success }
@@ -157,39 +159,39 @@
 }
 
 #[test]
-fn rule_1_every_request_is_answered_once() {
+fn every_request_is_answered_once() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 2));
     for outcome in
         [AttemptOutcome::Error, AttemptOutcome::Timeout, AttemptOutcome::Rejected, AttemptOutcome::NotSent]
     {
         for class in [IDEMPOTENT, NON_IDEMPOTENT, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-            let (tried, answer) = balancer.run_attempts(class, |_| outcome);
+            let (tried, last_action) = balancer.run_attempts(class, |_| outcome);
             assert!(tried.len() <= 4);
             assert!(
-                matches!(answer, Some(Action::Reject { .. } | Action::Fail(_))),
-                "{outcome:?} {answer:?}"
+                matches!(last_action, Some(Action::Reject { .. } | Action::Fail(_))),
+                "{outcome:?} {last_action:?}"
             );
         }
     }
 }
 
 #[test]
-fn rule_1_request_without_any_endpoint_is_rejected_at_once() {
+fn request_without_any_endpoint_is_rejected_at_once() {
     let mut balancer = TestBalancer::new(settings(), &[]);
     assert!(is_rejected(&balancer.request(NON_IDEMPOTENT).1));
 }
 
 #[test]
-fn rule_2_non_idempotent_request_that_may_have_run_fails_and_is_not_rejected_or_retried() {
+fn non_idempotent_request_that_may_have_run_fails_and_is_not_rejected_or_retried() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 4));
-    let (tried, answer) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Reset);
-    assert_eq!((tried.len(), answer), (1, Some(Action::Fail(RequestId(0)))));
+    let (tried, last_action) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Reset);
+    assert_eq!((tried.len(), last_action), (1, Some(Action::Fail(RequestId(0)))));
     let (tried, _) = balancer.run_attempts(NON_IDEMPOTENT, |_| AttemptOutcome::Rejected);
     assert_eq!(tried.len(), 4);
 }
 
 #[test]
-fn rule_2_keyed_request_is_retried_inside_its_group_and_window_only() {
+fn keyed_request_is_retried_inside_its_group_and_window_only() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(3, 4));
     let (tried, _) = balancer.run_attempts(KEYED_ZONE, |_| AttemptOutcome::Error);
     assert!(tried.len() > 1 && tried.iter().all(|endpoint| endpoint / 4 == tried[0] / 4), "{tried:?}");
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn rule_3_draining_and_removed_endpoints_get_no_new_requests() {
+fn draining_and_removed_endpoints_get_no_new_requests() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 3));
     let mut drained = endpoint_entry(1, 0);
     drained.state = EndpointState::Draining;
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn rule_4_cold_endpoint_gets_at_most_its_warm_share_times_its_relative_capacity() {
+fn cold_endpoint_gets_at_most_its_warm_share_times_its_relative_capacity() {
     let mut list = endpoints_in_zones(1, 4);
     let mut balancer = TestBalancer::new(settings(), &list);
     balancer.warm_up(500);
@@ -227,7 +229,7 @@
 }
 
 #[test]
-fn rule_4_zone_restarted_cold_as_a_whole_is_spared_by_the_fallback_too() {
+fn zone_restarted_cold_as_a_whole_is_spared_by_the_fallback_too() {
     let mut list = endpoints_in_zones(3, 4);
     let mut balancer = TestBalancer::new(settings(), &list);
     balancer.warm_up(500);
@@ -289,7 +291,7 @@
     balancer.warm_up(100);
     let mut in_flight = std::collections::VecDeque::new();
     let mut served = [0, 0];
-    // 400 requests a second of each class, and 100 answers a second.
+    // 400 requests a second of each class, and 100 responses a second.
     for step in 0..2000 {
         balancer.now += 5 * MS;
         for class in [IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT] {
@@ -307,7 +309,7 @@
     assert!(served[IDEMPOTENT] * 10 < served[NON_IDEMPOTENT], "{served:?}");
     assert!(
         in_flight.len() < 100,
-        "{} in flight at 100 answers a second and a latency objective of 500 ms",
+        "{} in flight at 100 responses a second and a latency objective of 500 ms",
         in_flight.len()
     );
 }
@@ -444,8 +446,8 @@
     }
 }
 
-/// Guards an endpoint that streams long answers against counting as full, and other endpoints against one
-/// that breaks off its answers.
+/// Guards an endpoint that streams long responses against counting as full, and clients against an endpoint
+/// that breaks its responses off.
 #[test]
 fn a_started_response_is_not_in_flight_and_counts_as_a_failure_if_it_breaks_off() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 2));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Property tests: random legal sequences of events never break rules 1 to 3, never panic, and always give
-//! the same actions.
+//! Property tests: after any random legal sequence of events, each request ends exactly once, one that may have
+//! run is sent again only where its class allows it, and draining and removed endpoints get no new requests.
+//! The module never panics, and the same events always give the same actions.
 
 mod common;
 use balancer::decision::*;
@@ -97,7 +98,7 @@
 }
 
 /// The clients, the endpoints and discovery around one balancer: tracks which events are legal next, and
-/// checks every action against the rules.
+/// checks that every action is allowed.
 struct Simulation {
     balancer: TestBalancer,
     requests: BTreeMap<u32, Request>,
@@ -140,22 +141,26 @@
         match action {
             Action::Send { id, endpoint, .. } => {
                 let request = self.requests.get_mut(&id.0).expect("the request was sent by a client");
-                assert!(!request.answered && !request.disconnected, "rule 1: sent after the end of {id:?}");
-                assert!(request.in_flight.is_none(), "rule 2: two attempts in flight for {id:?}");
+                assert!(!request.answered && !request.disconnected, "sent after the end of {id:?}");
+                assert!(request.in_flight.is_none(), "two attempts in flight for {id:?}");
                 assert!(request.attempts < 4, "{id:?} has more attempts than the limit");
                 let entry = &self.listed[&endpoint.0];
-                assert_eq!(entry.state, EndpointState::InService, "rule 3: sent to {endpoint:?}");
+                assert_eq!(
+                    entry.state,
+                    EndpointState::InService,
+                    "sent to {endpoint:?}, which is not in service"
+                );
                 if let Some((first, sent_at)) = request.first_run {
                     let (first, window) = (&self.listed[&first], SECOND);
                     match request.class {
                         IDEMPOTENT => {}
-                        NON_IDEMPOTENT => panic!("rule 2: non-idempotent {id:?} sent again"),
-                        _ if now - sent_at > window => panic!("rule 2: {id:?} sent after its window"),
+                        NON_IDEMPOTENT => panic!("non-idempotent {id:?} sent again"),
+                        _ if now - sent_at > window => panic!("{id:?} sent after its window"),
                         KEYED_ZONE => {
-                            assert_eq!(first.zone, entry.zone, "rule 2: {id:?} sent out of its zone")
+                            assert_eq!(first.zone, entry.zone, "{id:?} sent out of its zone")
                         }
                         KEYED_CELL => {
-                            assert_eq!(first.cell, entry.cell, "rule 2: {id:?} sent out of its cell")
+                            assert_eq!(first.cell, entry.cell, "{id:?} sent out of its cell")
                         }
                         _ => {}
                     }
@@ -165,12 +170,12 @@
             }
             Action::Reject { id, .. } | Action::Fail(id) => {
                 let request = self.requests.get_mut(&id.0).expect("the request was sent by a client");
-                assert!(!request.answered && !request.disconnected, "rule 1: a second answer for {id:?}");
-                assert!(request.in_flight.is_none(), "rule 1: {id:?} answered with an attempt in flight");
+                assert!(!request.answered && !request.disconnected, "a second response for {id:?}");
+                assert!(request.in_flight.is_none(), "{id:?} ended with an attempt in flight");
                 let rejected = matches!(action, Action::Reject { .. });
                 let may_be_rejected =
                     request.first_run.is_none() || request.class == IDEMPOTENT || request.class == KEYED_ALL;
-                assert!(!rejected || may_be_rejected, "rule 2: {id:?} rejected though it may have run");
+                assert!(!rejected || may_be_rejected, "{id:?} rejected though it may have run");
                 request.answered = true;
             }
             Action::SetTimer { token, .. } => self.timers.push(*token),
@@ -339,10 +344,10 @@
     })]
 
     #[test]
-    fn rules_hold_on_random_legal_orders(variant in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
+    fn random_legal_events_lead_to_legal_actions(variant in 0u8..64, steps in prop::collection::vec(step(), 1..300)) {
         let mut simulation = Simulation::new(settings_variant(variant));
         steps.iter().for_each(|step| simulation.apply(step));
-        // Rule 1: once every attempt has ended by its deadline, every request has its answer.
+        // Once every attempt has ended by its deadline, every request has its response.
         loop {
             // Every timer fires in the end, and so do the timers that are set then.
             for token in std::mem::take(&mut simulation.timers) {
@@ -353,7 +358,7 @@
             simulation.end_attempt(id, AttemptOutcome::Timeout);
         }
         for (id, request) in &simulation.requests {
-            prop_assert!(request.answered || request.disconnected, "request {id} has no answer");
+            prop_assert!(request.answered || request.disconnected, "request {id} has no response");
         }
     }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -16,7 +16,7 @@
     burst: (20, 24, 6.0),
 };
 
-/// Settings in which answers after the latency objective are worthless, so that requests are given up then.
+/// Settings in which responses after the latency objective are worthless, so that requests are given up then.
 fn settings_without_late_value() -> Settings {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|class| class.late_weight = 0.0);
@@ -69,7 +69,7 @@
     );
 }
 
-/// An endpoint that answers, even with an error, has no work left over, so sending to it is better than
+/// An endpoint that responds, even with an error, has no work left over, so sending to it is better than
 /// rejecting the request.
 #[test]
 fn endpoints_that_answer_with_errors_are_used_though_all_breakers_are_open() {
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -30,7 +30,7 @@
     assert!(overall <= 1.5, "{overall} attempts per request over the 20 s");
 }
 
-/// Guards the other classes: their answers must not pay for the futile retries of the class that fails.
+/// Guards the other classes: their responses must not pay for the futile retries of the class that fails.
 #[test]
 fn a_class_that_fails_completely_gets_few_retries() {
     let fault_rule: FaultRule =
@@ -134,9 +134,10 @@
     assert_eq!(retried.count(), 6);
 }
 
-/// Rule 2: a request that may have run is retried only where its class allows it.
+/// Guards against requests that run twice: one that may have run is retried only where its class allows it, even
+/// if retries usually succeed.
 #[test]
-fn rule_2_holds_however_useful_retries_are() {
+fn requests_that_may_have_run_are_retried_only_where_their_class_allows_it() {
     let fails_with = |outcome: AttemptOutcome| -> FaultRule {
         Box::new(move |_, _, _, _, rng| (rng.f64() < 0.3).then_some(outcome))
     };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Rule 4 over a whole fleet: the requests that thirty independent balancers send to a cold endpoint
-//! together.
+//! Slow start in a whole fleet: the requests that thirty independent balancers together send to a cold endpoint
+//! must not overload it.
 
 mod common;
 use common::SECOND;
@@ -9,7 +9,7 @@
 const SEEDS: u64 = 2;
 
 #[test]
-fn rule_4_one_cold_endpoint() {
+fn one_cold_endpoint() {
     assert_slow_start_limits(
         &[
             base_case("plain"),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn rule_4_heavy_requests() {
+fn heavy_requests() {
     assert_slow_start_limits(
         &[
             Case { heavy: HEAVY, ..base_case("heavy") },
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn rule_4_overload() {
+fn overload() {
     assert_slow_start_limits(
         &[
             Case { load: OVERLOAD, ..base_case("overload") },
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn rule_4_endpoint_lists_that_arrive_late() {
+fn endpoint_lists_that_arrive_late() {
     let late = |name| Case { max_list_delay: 3 * SECOND, drained: false, ..base_case(name) };
     assert_slow_start_limits(
         &[
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn rule_4_several_cold_endpoints_of_a_zone() {
+fn several_cold_endpoints_of_a_zone() {
     assert_slow_start_limits(
         &[
             Case { endpoints_per_zone: 13, cold_endpoints: vec![0, 5], ..base_case("two of 39") },
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn rule_4_requests_that_cross_from_many_zones() {
+fn requests_that_cross_from_many_zones() {
     let eight = |name| Case { zones: 8, endpoints_per_zone: 3, ..base_case(name) };
     assert_slow_start_limits(
         &[
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn rule_4_whole_cold_fleet() {
+fn whole_cold_fleet() {
     let fleet = |name| Case { cold_endpoints: (0..12).collect(), ..base_case(name) };
     assert_slow_start_limits(
         &[
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn rule_4_endpoints_with_load_queries() {
+fn endpoints_with_load_queries() {
     assert_slow_start_limits(
         &[
             Case { answers_load_queries: true, ..base_case("load queries") },
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -227,7 +227,7 @@
     assert!(String::from_utf8_lossy(&output.stdout).contains("missing field `Classes`"));
 }
 
-/// The text of the fault with which the adapter answers these settings.
+/// The text of the fault that the adapter reports for these settings.
 fn settings_fault(text: &str) -> String {
     let length = format!("{:02x}{:02x}0000", text.len() % 256, text.len() / 256);
     let record = format!("00 03000000 0100000000000000 00000000 {length}");
