--- a/tests/attempt_timing.rs
+++ b/tests/attempt_timing.rs
@@ -1,5 +1,5 @@
 //! When an attempt may begin and which time budget its upstream receives. The events that race between the choice of an
-//! upstream and the write are forced by stand-ins that hold one side at a step. docs/design.md lists them.
+//! upstream and the write are forced by stand-ins that block one side at a step. docs/design.md lists them.
 
 mod common;
 
@@ -22,7 +22,7 @@
     /// By FIN.
     Fin,
     /// By RST.
-    Reset,
+    Rst,
     /// By FIN, but it keeps its side open for reading.
     HalfClose,
     /// By FIN after a few further bytes.
@@ -33,7 +33,7 @@
 
 const DISCONNECTS: [Disconnect; 5] = [
     Disconnect::Fin,
-    Disconnect::Reset,
+    Disconnect::Rst,
     Disconnect::HalfClose,
     Disconnect::FinAfterBytes,
     Disconnect::FinAfterFlood,
@@ -46,11 +46,11 @@
     let mut stream = client.input.into_inner();
     match disconnect {
         Disconnect::Fin | Disconnect::HalfClose => {}
-        Disconnect::Reset => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
+        Disconnect::Rst => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
         Disconnect::FinAfterBytes => stream.write_all(&[b'm'; 10]).unwrap(),
         Disconnect::FinAfterFlood => fill_send_buffer(&mut stream),
     }
-    if matches!(disconnect, Disconnect::Reset) {
+    if matches!(disconnect, Disconnect::Rst) {
         drop(stream);
         program.wait_until_clients_disconnected();
         return None;
@@ -298,11 +298,11 @@
 const BUDGET: Duration = Duration::from_secs(60);
 /// `BUDGET` as the client writes it in `X-Budget`.
 const BUDGET_HEADER: &str = LONG_BUDGET;
-/// How long a test holds a step back.
+/// How long a test delays a step.
 const DELAY: Duration = Duration::from_millis(400);
 
 /// Guards the budget that an upstream receives where a new process waits for its first list. A busy machine may delay
-/// the process so that it reads the requests late or stops waiting for the list, so one of several trials has to
+/// the process so that it reads the requests late or stops waiting for the list, so one of several tries has to
 /// succeed.
 #[test]
 fn a_request_that_waits_for_the_first_list_forwards_the_remaining_budget() {
@@ -360,12 +360,12 @@
     });
 }
 
-/// Trials after which a timed check fails.
-const MAX_TRIALS: usize = 40;
+/// Tries after which a timed check fails.
+const MAX_TRIES: usize = 40;
 
-/// Repeats a trial until it succeeds, at most `MAX_TRIALS` times.
-fn assert_eventually_succeeds(mut trial_succeeds: impl FnMut() -> bool) {
-    assert!((0..MAX_TRIALS).any(|_| trial_succeeds()), "no success in {MAX_TRIALS} trials");
+/// Repeats a try until it succeeds, at most `MAX_TRIES` times.
+fn assert_eventually_succeeds(mut try_succeeds: impl FnMut() -> bool) {
+    assert!((0..MAX_TRIES).any(|_| try_succeeds()), "no success in {MAX_TRIES} tries");
 }
 
 /// The same for a retry and for a connection that is established late.
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -334,7 +334,8 @@
         self.discovery.publish(&[restarted, target("s-1", self.other.address, "in_service")]);
     }
 
-    /// Sends up to `max_requests` requests before `end`; returns how many the restarted upstream got, and how many were sent.
+    /// Sends up to `max_requests` requests before `end`; returns how many the restarted upstream got and how many were
+    /// sent.
     fn count_requests(&mut self, max_requests: u32, end: Instant) -> (u32, u32) {
         let (mut to_restarted, mut requests) = (0, 0);
         let started = Instant::now();
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -29,7 +29,7 @@
 }
 
 /// The smallest descriptor limit that may be configured.
-fn config_with_few_sockets(upstream: &Upstream) -> serde_json::Value {
+fn config_with_few_descriptors(upstream: &Upstream) -> serde_json::Value {
     let mut config = config_with_upstream(upstream);
     config["limits"]["sockets"] = 96.into();
     config
@@ -155,7 +155,7 @@
     assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Occupies all client connections with requests that the upstream does not answer; returns the clients.
+/// Occupies all client connections with requests without a response; returns the clients.
 fn occupy_all_connections(program: &Program, upstream: &Upstream) -> Vec<Client> {
     (0..MAX_CLIENTS)
         .map(|_| {
@@ -171,7 +171,7 @@
 #[test]
 fn the_refusal_of_a_surplus_client_is_not_reset() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&config_with_few_sockets(&upstream));
+    let program = Program::start(&config_with_few_descriptors(&upstream));
     let _busy = occupy_all_connections(&program, &upstream);
     let request = request_text("post", LONG_BUDGET, &"b".repeat(LONG_BODY));
     for late_bytes in [0, LONG_BODY / 2] {
@@ -187,7 +187,7 @@
 #[test]
 fn a_request_read_behind_a_refused_one_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
-    let program = Program::start(&config_with_few_sockets(&upstream));
+    let program = Program::start(&config_with_few_descriptors(&upstream));
     let _busy = occupy_all_connections(&program, &upstream);
     let mut client = program.connect();
     client.write(&format!(
@@ -269,7 +269,7 @@
 #[test]
 fn a_request_begun_on_a_connection_closed_for_another_client_is_refused() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&config_with_few_sockets(&upstream));
+    let program = Program::start(&config_with_few_descriptors(&upstream));
     let complete_request = request_text("look", LONG_BUDGET, "");
     let mut partial_clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| program.connect()).collect();
     for client in &mut partial_clients {
@@ -290,7 +290,7 @@
 #[test]
 fn a_request_begun_on_an_idle_connection_that_is_closed_gets_a_response() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&config_with_few_sockets(&upstream));
+    let program = Program::start(&config_with_few_descriptors(&upstream));
     let mut idle_clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| program.connect()).collect();
     for client in &mut idle_clients {
         assert_eq!(client.request("look", LONG_BUDGET, "").expect("served").status(), 200);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Races between events on different sockets. Each is forced: the test holds one peer at a step and releases it at the
-//! other event. docs/design.md lists them.
+//! Races between events on different sockets. Each is forced: the test blocks one peer at a step and lets it go on at
+//! the other event. docs/design.md lists them.
 
 mod common;
 
@@ -435,7 +435,7 @@
 // ---- The signal to stop ----
 
 /// Connections are closed at most 0.7 s after the signal to stop; the process may be killed 1.1 s after it.
-fn short_lived(upstream: std::net::SocketAddr) -> serde_json::Value {
+fn config_with_short_deadlines(upstream: std::net::SocketAddr) -> serde_json::Value {
     let mut config = config_with_upstream_at(upstream, refusing_address(), true);
     for class in config["settings"]["Classes"].as_array_mut().unwrap() {
         class["AimNs"] = 300_000_000_u64.into();
@@ -451,7 +451,7 @@
 fn a_request_half_read_when_connections_are_closed_gets_its_answer() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
     for (split, part) in [(7, "its head"), (request_text("pay", "0.4", "a body").len() - 3, "its body")] {
-        let program = Program::start(&short_lived(upstream.address));
+        let program = Program::start(&config_with_short_deadlines(upstream.address));
         let (mut idle, mut half_read) = (program.connect(), program.connect());
         assert_eq!(idle.request("look", "0.4", "").unwrap().status(), 200);
         assert_eq!(half_read.request("look", "0.4", "").unwrap().status(), 200);
@@ -476,7 +476,7 @@
 #[test]
 fn requests_in_the_backlog_at_the_signal_are_answered() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
-    let program = Program::start(&short_lived(upstream.address));
+    let program = Program::start(&config_with_short_deadlines(upstream.address));
     let mut idle_client = program.connect();
     assert_eq!(idle_client.request("look", "0.4", "").unwrap().status(), 200);
     program.pause();
@@ -841,9 +841,11 @@
 
 // ---- Idle clients that use up the descriptors ----
 
-/// A small descriptor limit, and the connections to upstreams and from clients that the balancer allows with it.
+/// A small descriptor limit.
 const MAX_DESCRIPTORS: usize = 96;
+/// Connections to upstreams that the balancer allows with this limit.
 const MAX_UPSTREAM_CONNECTIONS: usize = 32;
+/// Connections from clients that the balancer allows with this limit.
 const MAX_CLIENT_CONNECTIONS: usize = 32;
 /// Descriptors of the standard streams, the listener and the runtime.
 const PROCESS_DESCRIPTORS: usize = 10;
@@ -905,7 +907,7 @@
 fn check_discovery_with_idle_clients(mode: &str, text_index: usize) {
     let case = format!("{mode}, {text_index}");
     let response_gate = Arc::new(Mutex::new(()));
-    let held_gate = response_gate.lock().unwrap();
+    let gate_guard = response_gate.lock().unwrap();
     let upstream_gate = response_gate.clone();
     let old = Upstream::start(move |message| {
         if message.first_line.starts_with("POST") {
@@ -977,7 +979,7 @@
     );
     wait_unless_partial_request("last");
 
-    drop((held_gate, idle_clients));
+    drop((gate_guard, idle_clients));
     busy_clients
         .iter_mut()
         .for_each(|client| assert_eq!(client.read_response().expect("no response").body, b"old", "{case}"));
@@ -1013,12 +1015,12 @@
     }
 }
 
-/// Connections that the backlog holds for sure; the connect of one more might not complete.
+/// Connections that certainly fit into the backlog; the connect of one more might not complete.
 const BACKLOG_SIZE: usize = 120;
 
 /// Starts a program that finds this many requests in its backlog after the time in which clients are served.
 fn shut_down_with_backlog(upstream: &Upstream, size: usize) -> (Program, Vec<Client>) {
-    let mut config = short_lived(upstream.address);
+    let mut config = config_with_short_deadlines(upstream.address);
     config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
     let program = Program::start_with_descriptor_limit(&config);
     program.terminate();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -38,7 +38,7 @@
     assert!(budget > 0.0 && budget < 12.5, "the upstream receives a budget of {budget} s");
 }
 
-/// Guards the tiers behind against work for a response that nobody awaits any more.
+/// Guards the next tiers against work for a response that no client waits for any more.
 #[test]
 fn forwards_the_time_for_which_a_response_is_awaited() {
     let upstream = Upstream::start(|_| UpstreamAction::Respond(ok_response("")));
@@ -134,7 +134,7 @@
     assert_eq!(response.status(), 502);
     assert!(started.elapsed() >= Duration::from_millis(300), "the balancer waits as long as the client");
     upstream.next_request();
-    upstream.wait_for_close(); // otherwise the upstream would work on for nobody
+    upstream.wait_for_close(); // otherwise the upstream would keep working without a client
 }
 
 #[test]
