--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -340,7 +340,7 @@
         let (mut to_restarted, mut requests) = (0, 0);
         let started = Instant::now();
         while requests < max_requests && Instant::now() < end {
-            let response = self.client.request("look", LONG_BUDGET, "").expect("a response");
+            let response = self.client.request("look", LONG_BUDGET, "").expect("no response");
             to_restarted += u32::from(response.body == b"restarted");
             requests += 1;
             std::thread::sleep((REQUEST_INTERVAL * requests).saturating_sub(started.elapsed()));
--- a/tests/offline_orders.rs
+++ b/tests/offline_orders.rs
@@ -139,7 +139,7 @@
     /// Asserts that these upstreams and no others are offline.
     fn assert_offline(&self, deployment: &Deployment, offline: &Uids, context: &str) {
         let down = self.hosts_down();
-        assert!(down >= offline.len(), "{down} of {offline:?} are offline, {context}");
+        assert!(down >= offline.len(), "{down} upstreams are down, not all of {offline:?}, {context}");
         self.assert_no_requests_to(deployment, offline, context);
         self.wait_until_offline(deployment, offline, context);
     }
@@ -168,7 +168,7 @@
             let id = format!("0ff11e00{:08x}", NEXT.fetch_add(1, Ordering::Relaxed));
             let mut client = self.program.connect();
             client.write(&request_text_with_id(&id, "look", LONG_BUDGET, ""));
-            assert_eq!(client.read_response().expect("a response").status(), 200, "{context}");
+            assert_eq!(client.read_response().expect("no response").status(), 200, "{context}");
             ids.insert(id);
         }
         for (index, upstream) in deployment.upstreams.iter().enumerate() {
@@ -226,7 +226,7 @@
     let balancer = deployment.start_with_faults(faults);
     let mut offline = uids(INITIALLY_OFFLINE);
     for order in &ORDERS {
-        let status = balancer.order(order).expect("a response");
+        let status = balancer.order(order).expect("no response");
         if Some(status) == STATUS_OK {
             order.apply(&mut offline);
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -30,7 +30,7 @@
     {
         assert_eq!(admin_request(admin, "GET", path).status(), 404, "{path}");
     }
-    assert_eq!(send_raw(admin, "what is this\r\n\r\n").expect("a response").status(), 400);
+    assert_eq!(send_raw(admin, "what is this\r\n\r\n").expect("no response").status(), 400);
     assert_eq!(program.request("look").status(), 200, "clients have an address of their own");
     assert_eq!(send_raw(program.address, "GET /control/ready HTTP/1.1\r\n\r\n").unwrap().status(), 404);
 }
@@ -59,7 +59,7 @@
     assert!(started.elapsed() < Duration::from_secs(20), "20 requests took more than a second each");
     for connection in &mut idle_connections {
         connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        assert_eq!(connection.read(&mut [0]).unwrap_or(0), 0, "an idle connection is closed in the end");
+        assert_eq!(connection.read(&mut [0]).unwrap_or(0), 0, "an idle connection is not closed");
     }
 }
 
@@ -155,10 +155,7 @@
     let started = Instant::now();
     while first.take_request_count() == 0 {
         serve(1);
-        assert!(
-            started.elapsed() < TEST_TIMEOUT,
-            "an upstream that was brought back online gets no requests"
-        );
+        assert!(started.elapsed() < TEST_TIMEOUT, "the upstream brought back online gets no requests");
     }
 }
 
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -69,7 +69,7 @@
         let mut client = program.connect();
         eventually("no connection can be accepted", || faults.injected_count("accept", error) == 4);
         client.send("look", LONG_BUDGET, "");
-        assert_eq!(client.read_response().expect("a response").status(), 200, "{error}");
+        assert_eq!(client.read_response().expect("no response").status(), 200, "{error}");
         assert_eq!(program.request("look").status(), 200, "{error}");
     }
 }
@@ -86,14 +86,14 @@
         program.terminate();
         program.wait_until_signals_delivered();
         program.pause();
-        // The pause is longer than connections are accepted: these wait in the backlog when that time is over.
+        // The program is paused until after the time in which connections are accepted: these wait in the backlog then.
         let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
         clients.iter_mut().for_each(|client| client.send("look", LONG_BUDGET, ""));
         std::thread::sleep(PAST_LAST_ACCEPTED);
         program.resume();
         for client in &mut clients {
             // A request that is accepted very late is refused.
-            assert!(matches!(client.read_response().expect("a response").status(), 200 | 503));
+            assert!(matches!(client.read_response().expect("no response").status(), 200 | 503));
         }
         let (status, log) = program.wait_for_exit();
         assert!(status.success(), "{log}");
@@ -111,7 +111,7 @@
     let mut client = program.connect();
     for class in ["look", "pay", "post"] {
         let body = if class == "look" { String::new() } else { "0123456789".repeat(300) };
-        let response = client.request(class, LONG_BUDGET, &body).expect("a response");
+        let response = client.request(class, LONG_BUDGET, &body).expect("no response");
         assert_eq!((response.status(), response.body), (200, body.into_bytes()), "{class}");
     }
     assert!(
@@ -148,7 +148,7 @@
         assert_eq!(
             take_request_count_of("post", &upstream),
             REQUESTS / 3,
-            "{call} {error}: each request runs once"
+            "{call} {error}: a request did not run exactly once"
         );
         assert!(!opened_a_circuit_breaker(program), "{call} {error}");
     }
@@ -208,7 +208,11 @@
         }
         assert!(faults.injected_count(call, error) > REQUESTS / 6, "{call} {error} was hardly injected");
         let posts = [&first, &second].map(|upstream| take_request_count_of("post", upstream));
-        assert_eq!(posts.iter().sum::<usize>(), REQUESTS / 3, "{call} {error}: each request runs once");
+        assert_eq!(
+            posts.iter().sum::<usize>(),
+            REQUESTS / 3,
+            "{call} {error}: a request did not run exactly once"
+        );
         assert!(!opened_a_circuit_breaker(program), "{call} {error}");
     }
 }
@@ -257,7 +261,7 @@
     let faults = Faults::new(format!("connect:ENOBUFS:port={}", upstream.address.port()));
     let program = start(&faults, &[&upstream]);
     let started = Instant::now();
-    let response = program.connect().request("look", "1", "").expect("a response");
+    let response = program.connect().request("look", "1", "").expect("no response");
     assert!(matches!(response.status(), 502 | 503), "{response:?}");
     // Less than the connect timeout, and no request waits past its deadline.
     assert!(started.elapsed() < Duration::from_secs(3), "it took {:?}", started.elapsed());
@@ -325,10 +329,7 @@
     let program = Program::start_with(&config, &faults.environment());
     assert_eq!(program.request("pay").status(), 502);
     assert!(faults.injected_count("connect", "ENFILE") > 0, "the connect was not retried");
-    assert!(
-        faults.injected_count("connect", "ENFILE") < 40,
-        "the retry was not given up before connects succeeded"
-    );
+    assert!(faults.injected_count("connect", "ENFILE") < 40, "the retry was not given up");
     assert_eq!(upstream.take_request_count(), 1);
 }
 
@@ -484,14 +485,14 @@
     let started = Instant::now();
     loop {
         if let Some(response) = send_raw(admin, "GET /control/counters HTTP/1.1\r\nHost: door\r\n\r\n") {
-            return serde_json::from_slice(&response.body).expect("counters in JSON");
+            return serde_json::from_slice(&response.body).expect("the counters are not JSON");
         }
         assert!(started.elapsed() < TEST_TIMEOUT, "the admin listener sent no counters in time");
     }
 }
 
-/// Guards all rules at once: each request gets one response in time, a non-idempotent request runs at most once, the
-/// counters agree with the responses, and all descriptors are closed.
+/// Where all faults occur together, each request still gets one response in time, a non-idempotent request runs at most
+/// once, the counters agree with the responses, and all descriptors are closed.
 #[test]
 fn all_failures_together_break_no_rule() {
     for seed in 1..=3 {
@@ -515,7 +516,7 @@
             let threads: Vec<_> = (0..SOAK_THREADS).map(start_thread).collect();
             threads
                 .into_iter()
-                .flat_map(|thread| thread.join().expect("each response comes in time"))
+                .flat_map(|thread| thread.join().expect("a response did not come in time"))
                 .collect()
         });
         let count = |status| statuses.iter().filter(|&&other| other == status).count();
@@ -528,7 +529,7 @@
 
         let counters = read_counters_with_faults(admin);
         let sum = |end: &str| {
-            let classes = counters["calls"].as_object().expect("counters by class").values();
+            let classes = counters["calls"].as_object().expect("no counters by class").values();
             classes.map(|class| class[end].as_u64().expect("a count")).sum::<u64>() as usize
         };
         assert_eq!((sum("success"), sum("busy"), sum("failure")), (count(200), count(503), count(502)));
@@ -553,7 +554,8 @@
     let class = ["look", "pay", "post"][index % 3];
     let mut client = program.connect();
     let started = Instant::now();
-    let response = client.request(class, SOAK_BUDGET, &"m".repeat(40 * (index % 5) + 1)).expect("a response");
+    let response =
+        client.request(class, SOAK_BUDGET, &"m".repeat(40 * (index % 5) + 1)).expect("no response");
     assert!(started.elapsed() < SOAK_RESPONSE_LIMIT, "{class} took {:?}", started.elapsed());
     assert!(matches!(response.status(), 200 | 502 | 503), "{class}: {response:?}");
     response.status()
