--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -10,17 +10,17 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-/// How long discovery holds a watch request open. This and the two timeouts below are those of the balancer's own
-/// discovery client.
+/// How long discovery holds a watch request open. This value and the two timeouts below are those of the discovery
+/// client in the real balancer.
 const WATCH_WAIT: Time = 2 * SECOND;
-/// How long the client waits for a response, beyond the time that the request may be held open.
+/// How long a balancer waits for a response, beyond the time for which the request may be held open.
 const RESPONSE_TIMEOUT: Time = SECOND;
-/// How long the client waits for a new connection.
+/// How long a balancer waits for a new connection.
 const CONNECT_TIMEOUT: Time = SECOND / 2;
 /// Pause before the next watch request after a response without changes.
 const WATCH_PAUSE: Time = SECOND / 20;
 
-/// Configuration of the simulated discovery service.
+/// Configuration of the simulated discovery service and its agents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoveryConfig {
@@ -130,14 +130,14 @@
     known_version: usize,
     /// Number of the latest request or push.
     request_number: u32,
-    /// A request or a push is in progress.
+    /// Whether a request or a push is in progress.
     in_progress: bool,
     alive: bool,
-    /// The instance is in a region that is partitioned from discovery.
+    /// Whether the instance is in a region that is partitioned from discovery.
     partitioned: bool,
     /// Since when the instance can be reached.
     reachable_since: Time,
-    /// The next request continues a watch.
+    /// Whether the request in progress, or else the next one, continues a watch.
     continues_watch: bool,
 }
 
@@ -338,7 +338,8 @@
             Event::ListDelivered(..) if reachable => return (index, self.on_list_delivered(instance, queue)),
             Event::ListDelivered(..) if !self.config.ask => self.watchers[index].in_progress = false,
             Event::RequestReceived(..) if reachable => {
-                // The first request of a watch is not held open: it gets a response even without changes.
+                // The first request of a watch fetches what the balancer missed. It is not held open, and so gets a
+                // response even without changes.
                 if known_version < self.lists[service].changes.len() || !continues_watch {
                     self.send_response(instance, number, queue);
                 } else {
@@ -364,7 +365,8 @@
                 return (index, Notification::Failed);
             }
             Event::NextRequest(..) => self.send_request(instance, queue),
-            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {} // unreachable: the request times out
+            // Discovery cannot be reached, so the request times out.
+            Event::ListDelivered(..) | Event::RequestReceived(..) | Event::WatchWaitOver(..) => {}
         }
         (index, Notification::Nothing)
     }
@@ -379,11 +381,11 @@
         let list = &self.lists[watcher.service];
         let new_changes = &list.changes[watcher.known_version..];
         for change in new_changes {
-            let age = now - change.changed_at;
+            let delay = now - change.changed_at;
             let propagation = &mut self.propagation;
             propagation.count += 1;
-            propagation.total_delay += u128::from(age);
-            propagation.max_delay = propagation.max_delay.max(age);
+            propagation.total_delay += u128::from(delay);
+            propagation.max_delay = propagation.max_delay.max(delay);
             let notification_delay = now.saturating_sub(change.listed_at.max(watcher.reachable_since));
             propagation.max_notification_delay = propagation.max_notification_delay.max(notification_delay);
         }
--- a/emulator/src/faults.rs
+++ b/emulator/src/faults.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The loss of a zone: its machines disappear, and return with new processes.
+/// The loss of a zone: its machines vanish, and return with new processes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ZoneLoss {
--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -28,7 +28,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::ops::Range;
 
-/// Initial value of the virtual clock: late enough that times well before the start of the run are not negative.
+/// Initial value of the virtual clock: large, so that an upstream may have started long before the run without a
+/// negative start time.
 const START: Time = 1_000 * SECOND;
 /// Number of buckets of the sliding window over which attempts to a cold upstream are counted.
 const OVERLOAD_WINDOW_BUCKETS: usize = 10;
@@ -93,7 +94,7 @@
     Attempt(Key),
 }
 
-/// A request at a balancer that awaits its response or has an active attempt.
+/// A request at a balancer, kept until it has its response and no active attempt.
 #[derive(Debug)]
 struct Request {
     instance: usize,
@@ -102,11 +103,11 @@
     class: usize,
     arrived_at: Time,
     deadline: Time,
-    /// Neither a response was sent nor did the client disconnect.
+    /// Whether neither a response was sent nor the client disconnected.
     awaiting_response: bool,
     attempt_count: u32,
     active_attempt: Option<Key>,
-    /// The client request that led to this request arrived in the measured interval.
+    /// Whether the client request that led to this request arrived in the measured interval.
     measured: bool,
 }
 
@@ -132,11 +133,11 @@
     class: usize,
     sent_at: Time,
     until: Time,
-    /// The attempt opens a connection.
+    /// Whether the attempt opens a connection.
     opens_connection: bool,
-    /// The attempt uses a connection to a process that has ended.
+    /// Whether the attempt uses a connection to a process that has ended.
     connection_stale: bool,
-    /// The balancer still waits for the response.
+    /// Whether the balancer still waits for the response.
     awaited: bool,
     stage: AttemptStage,
     outcome: AttemptOutcome,
@@ -168,7 +169,7 @@
     queue: VecDeque<Key>,
     /// Number of attempts in each bucket of the overload window, while the upstream is cold.
     recent_attempts: [u32; OVERLOAD_WINDOW_BUCKETS],
-    /// Number of the latest bucket since the start of the clock.
+    /// Number of the bucket of the latest attempt, counted from time 0.
     last_bucket: Time,
 }
 
@@ -392,8 +393,9 @@
             }
             Event::EndpointUpdate(update) => self.on_endpoint_update(update as usize),
             Event::Fault(step) => self.on_fault(self.fault_plan[step as usize]),
+            // The process has ended already, for example because its zone was lost.
             Event::UpstreamStop(upstream)
-                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {} // already down: its zone was lost
+                if self.upstream_states[upstream as usize].process_state != ProcessState::Up => {}
             Event::UpstreamStop(upstream) => {
                 self.stop_upstream(upstream as usize, ProcessState::Down);
                 let downtime = seconds(self.config.rolling_restart.down_s);
@@ -605,7 +607,8 @@
         self.counts.tiers[tier].attempts += u64::from(request.measured);
         self.counts.retries += u64::from(request.measured && number > 0);
         self.counts.attempts_sent += 1;
-        self.counts.attempts_in_window += u64::from(now >= self.measurement_start && now < self.arrivals_end);
+        self.counts.attempts_in_interval +=
+            u64::from(now >= self.measurement_start && now < self.arrivals_end);
         self.counts.connections_opened += u64::from(opens_connection);
         self.counts.cross_zone += u64::from(zone != upstream_zone);
         self.counts.cross_region += u64::from(Topology::regions_differ(self.config, zone, upstream_zone));
@@ -643,8 +646,8 @@
         self.on_attempt_ended(&timed_out, outcome);
     }
 
-    /// Stops waiting for an attempt and closes its connection. The upstream sees that, unless `silent` is set
-    /// because the balancer's machine vanished, or the regions are partitioned.
+    /// Stops waiting for an attempt and closes its connection. The upstream sees that the connection was closed, unless
+    /// its own machine has vanished, the balancer's has (`silent`), or the regions are partitioned.
     fn abandon_attempt(&mut self, key: Key, silent: bool) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         attempt.awaited = false;
@@ -872,7 +875,7 @@
             None if awaited => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
                     attempt.stage = AttemptStage::Lost;
-                    attempt.opens_connection = false; // may have been processed: not a failed connect
+                    attempt.opens_connection = false; // may have been processed, so it is not a failed connect
                 }
             }
             None => drop(self.attempts.remove(key)),
@@ -892,7 +895,8 @@
                 self.on_client_disconnected(request);
             }
             AttemptStage::Lost => drop(self.attempts.remove(key)),
-            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {} // handled when this stage ends
+            // Noticed when the stage ends, as the attempt is no longer awaited.
+            AttemptStage::InTransit | AttemptStage::Processing | AttemptStage::Responding => {}
         }
     }
 
@@ -985,7 +989,7 @@
         }
     }
 
-    /// Takes down all upstreams and front balancers of a zone, or starts new processes for them.
+    /// Makes all machines of a zone vanish, with their upstreams and front balancers, or starts new processes on them.
     fn set_zone_lost(&mut self, zone: usize, lost: bool) {
         let now = self.queue.now();
         for upstream in (0..self.upstream_states.len())
@@ -1126,7 +1130,7 @@
         }
     }
 
-    /// Starts a new process of an upstream. It is cold, and takes requests once its balancer has its lists.
+    /// Starts a new process of an upstream. The upstream is cold, and accepts requests once its balancer has its lists.
     fn on_upstream_start(&mut self, upstream: usize) {
         let now = self.queue.now();
         self.upstream_states[upstream].started = Some(now);
--- a/emulator/src/hollow/outcome.rs
+++ b/emulator/src/hollow/outcome.rs
@@ -29,12 +29,12 @@
     pub refused: u64,
     /// Failed by a balancer after its last attempt.
     pub failed: u64,
-    /// Never answered, because the front balancer was down or went down.
+    /// Got no response: no front balancer was in rotation, or the chosen one was down or went down.
     pub lost: u64,
 }
 
-/// Counters of a run. Those of tiers and of client requests cover the measured interval; those of seconds, and the
-/// ones from `attempts_sent` on except for `retries`, cover the whole run.
+/// Counters of a run. `tiers`, `client_requests` and `retries` cover the client requests that arrived in the measured
+/// interval; the others cover the whole run, except for `attempts_in_interval`.
 #[derive(Default)]
 pub(super) struct Counts {
     pub tiers: Vec<TierCount>,
@@ -42,8 +42,8 @@
     pub client_requests: RequestCount,
     /// Attempts sent during the whole run.
     pub attempts_sent: u64,
-    /// Attempts sent during the measured interval.
-    pub attempts_in_window: u64,
+    /// Attempts sent during the measured interval, on behalf of any client request.
+    pub attempts_in_interval: u64,
     pub retries: u64,
     pub refused_requests: u64,
     pub module_events: u64,
@@ -57,7 +57,9 @@
     pub cold_attempts: u64,
     pub list_changes: u64,
     pub restarts: u64,
+    /// Longest time from the start of an upstream's process until its balancer has its lists.
     pub max_start_time: Time,
+    /// Maximum number of requests in flight at one module instance.
     pub max_in_flight: usize,
 }
 
@@ -101,7 +103,7 @@
             ("p50_ms", latency_ms(0.5)),
             ("p99_ms", latency_ms(0.99)),
             ("p999_ms", latency_ms(0.999)),
-            ("calls_per_virtual_s", counts.attempts_in_window as f64 / self.config.duration_s),
+            ("calls_per_virtual_s", counts.attempts_in_interval as f64 / self.config.duration_s),
             ("calls_per_request", ratio(attempts, requests.arrived)),
             ("calls_expected_per_request", self.topology.requests_per_client_request),
             ("retries_per_request", ratio(counts.retries, requests.arrived)),
--- a/emulator/src/interrupt.rs
+++ b/emulator/src/interrupt.rs
@@ -5,7 +5,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// Tells whether SIGINT or SIGTERM has been received, and which.
+/// A handle that shows whether SIGINT or SIGTERM has been received, and which.
 #[derive(Clone, Debug)]
 pub struct Interrupt(watch::Receiver<Option<Signal>>);
 
--- a/emulator/src/load.rs
+++ b/emulator/src/load.rs
@@ -10,7 +10,8 @@
 /// How long the upstreams of a group drop repeats of a keyed request.
 const DEDUPLICATION_WINDOW: Time = 10 * SECOND;
 
-/// Creates the request classes of a configuration. Their idempotency alternates; half of them are idempotent.
+/// Creates the request classes of a configuration. Of every four, two are idempotent, one is keyed and one is
+/// non-idempotent; the first class is idempotent.
 pub fn classes(config: &Config) -> Vec<RequestClass> {
     let idempotency = |class: usize| match class % 4 {
         1 => Idempotency::Keyed(DeduplicationGroup::Zone, DEDUPLICATION_WINDOW),
@@ -45,8 +46,8 @@
     rng: ChaCha8Rng,
     /// Mean time between requests, in nanoseconds.
     mean_gap: f64,
-    /// Time of the latest arrival, in nanoseconds; not rounded, so that rounding errors do not add up.
-    next_at: f64,
+    /// Time of the arrival drawn last, in nanoseconds; not rounded, so that rounding errors do not add up.
+    latest_at: f64,
     /// Classes and their fraction of the requests: idempotent, keyed and non-idempotent.
     groups: [(Vec<usize>, f64); 3],
     /// Number of entry services.
@@ -67,13 +68,13 @@
             (keyed, keyed_share),
             (non_idempotent, unsafe_share),
         ];
-        Self { rng, mean_gap: SECOND as f64 / rate, next_at: from as f64, groups, entry_services }
+        Self { rng, mean_gap: SECOND as f64 / rate, latest_at: from as f64, groups, entry_services }
     }
 
     /// Draws the next request.
     pub fn next_arrival(&mut self) -> Arrival {
         let wait: f64 = Exp1.sample(&mut self.rng);
-        self.next_at += wait * self.mean_gap;
+        self.latest_at += wait * self.mean_gap;
         let mut draw: f64 = self.rng.random();
         let mut group = 0;
         while group + 1 < self.groups.len() && draw >= self.groups[group].1 {
@@ -82,6 +83,6 @@
         }
         let classes = if self.groups[group].0.is_empty() { &self.groups[0].0 } else { &self.groups[group].0 };
         let class = classes[self.rng.random_range(0..classes.len())];
-        Arrival { at: self.next_at as Time, class, entry: self.rng.random_range(0..self.entry_services) }
+        Arrival { at: self.latest_at as Time, class, entry: self.rng.random_range(0..self.entry_services) }
     }
 }
--- a/emulator/tests/hollow.rs
+++ b/emulator/tests/hollow.rs
@@ -40,7 +40,7 @@
     served / arrived
 }
 
-/// Checks and runs a configuration without reporting reports.
+/// Checks and runs a configuration and discards its progress reports.
 fn run_silently(config: &Config, seed: u64) -> Outcome {
     config.check().expect("a valid configuration");
     run(config, seed, &|_, _| {})
@@ -115,21 +115,21 @@
     assert!(sizes.iter().all(|&size| size >= 2) && sizes.iter().max() > Some(&10), "{sizes:?}");
     // Each service receives requests, from services of lower tiers only, and the longest path has 21 services.
     let mut depth = vec![1; topology.services.len()];
-    for (at, service) in topology.services.iter().enumerate() {
-        assert!(service.requests_per_client_request > 0.0, "service {at} is never called");
+    for (index, service) in topology.services.iter().enumerate() {
+        assert!(service.requests_per_client_request > 0.0, "service {index} receives no requests");
         for callee in &service.callees {
             assert!(topology.services[callee.service].tier > service.tier);
-            depth[callee.service] = depth[callee.service].max(depth[at] + 1);
+            depth[callee.service] = depth[callee.service].max(depth[index] + 1);
         }
     }
     assert_eq!(depth.iter().max(), Some(&21));
     // The instances of a balancer send to the callees of its upstream's service, in the same order.
-    for (at, upstream) in topology.upstreams.iter().enumerate() {
+    for (index, upstream) in topology.upstreams.iter().enumerate() {
         let sends_to = upstream.instances.clone().map(|instance| topology.instances[instance].service);
         let callees = topology.services[upstream.service].callees.iter().map(|callee| callee.service);
         assert!(sends_to.eq(callees));
         let owners = upstream.instances.clone().map(|instance| topology.instances[instance].owner);
-        assert!(owners.into_iter().all(|owner| owner == Owner::Upstream(at)));
+        assert!(owners.into_iter().all(|owner| owner == Owner::Upstream(index)));
     }
 }
 
@@ -167,12 +167,12 @@
         let last_tier = figure(&outcome, "last_tier_calls_per_request");
         assert!(
             last_tier <= MAX_LAST_TIER_ATTEMPTS,
-            "depth {depth}: {last_tier} calls to the last tier, {MAX_LAST_TIER_ATTEMPTS} at most"
+            "depth {depth}: {last_tier} attempts per request to the last tier, {MAX_LAST_TIER_ATTEMPTS} at most"
         );
-        assert!(last_tier >= 0.9, "depth {depth}: only {last_tier} calls reached the last tier");
+        assert!(last_tier >= 0.9, "depth {depth}: only {last_tier} attempts per request to the last tier");
         assert!(figure(&outcome, "served_ratio") < 0.001, "depth {depth}");
         if depth == 1 {
-            assert!(last_tier < 1.1, "one tier: {last_tier}");
+            assert!(last_tier < 1.1, "one tier: {last_tier} attempts per request");
         }
     }
 }
@@ -188,7 +188,10 @@
         let outcome = run_silently(&config, 1);
         assert!(figure(&outcome, "served_ratio") >= 0.995, "depth {depth}: {:?}", outcome.figures);
         let last_tier = figure(&outcome, "last_tier_calls_per_request");
-        assert!((0.98..1.08).contains(&last_tier), "depth {depth}: {last_tier} calls to the last tier");
+        assert!(
+            (0.98..1.08).contains(&last_tier),
+            "depth {depth}: {last_tier} attempts per request to the last tier"
+        );
         assert!(figure(&outcome, "retries_per_request") > 0.01, "depth {depth}: nothing failed");
     }
 }
