--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -36,7 +36,6 @@
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limit for a balancer to exit after SIGTERM, in addition to the longest deadline.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-
 /// Interval between checks whether a balancer has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -54,7 +53,9 @@
         }
     };
     match path.is_file() {
-        true => path.canonicalize().with_context(|| format!("balancer {}", path.display())),
+        true => path
+            .canonicalize()
+            .with_context(|| format!("cannot resolve the balancer path {}", path.display())),
         false => bail!(
             "no balancer at {}: build it (cargo build --release --locked) or name one with --balancer PATH",
             path.display()
@@ -247,7 +248,7 @@
     }
 }
 
-/// Makes discovery unreachable for the configured time.
+/// Makes discovery stop responding for the configured time.
 async fn run_discovery_outage(config: &Config, discovery: &Discovery) {
     let Some(outage) = &config.discovery_down else { return };
     sleep(Duration::from_secs_f64(outage.at_s)).await;
@@ -295,8 +296,8 @@
     Ok(startup_times)
 }
 
-/// Accepts connections on a free port of the loopback address for as long as the runtime lives, and returns the
-/// address.
+/// Accepts and serves connections on a free port of the loopback address for as long as the runtime lives. Returns the
+/// address with the port.
 async fn listen<F>(
     serve: impl Fn(tokio::net::TcpStream) -> F + Send + 'static,
 ) -> Result<std::net::SocketAddr>
@@ -315,7 +316,7 @@
                     tokio::spawn(serve(connection));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept a connection");
+                    tracing::warn!(%error, "cannot accept a connection on {address}");
                     sleep(Duration::from_millis(5)).await;
                 }
             }
--- a/emulator/src/real/balancer.rs
+++ b/emulator/src/real/balancer.rs
@@ -79,27 +79,27 @@
 
 /// Idempotency of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated freely.
-    Safe,
+    Idempotent,
     /// May be repeated with an idempotency key.
     Keyed,
     /// Must not be repeated.
-    Unsafe,
+    NonIdempotent,
 }
 
-impl Effect {
-    /// Returns the idempotency of a request class: safe, keyed and unsafe in turn.
+impl Idempotency {
+    /// Returns the idempotency of a request class: idempotent, keyed and non-idempotent in turn.
     pub fn of_class(class: usize) -> Self {
-        [Self::Safe, Self::Keyed, Self::Unsafe][class % 3]
+        [Self::Idempotent, Self::Keyed, Self::NonIdempotent][class % 3]
     }
 
     /// Returns the value of the setting `Effect`.
     fn settings_value(self) -> &'static str {
         match self {
-            Self::Safe => "read_like",
+            Self::Idempotent => "read_like",
             Self::Keyed => "idempotency_key",
-            Self::Unsafe => "non_idempotent",
+            Self::NonIdempotent => "non_idempotent",
         }
     }
 }
@@ -112,8 +112,8 @@
         Ok(Self { path, config, seed, folder })
     }
 
-    /// Starts a balancer process. `restarts` counts the earlier processes of this balancer, `known_list` is the
-    /// endpoint list that the previous one has stored.
+    /// Starts a balancer process. `restarts` counts the earlier processes of this balancer; `known_list` is the
+    /// endpoint list that the latest of them has stored.
     pub fn start(
         &self,
         index: usize,
@@ -160,7 +160,7 @@
         let config = self.config;
         let deadline = config.deadline_ms * 1_000_000;
         let class_settings = |class: usize| {
-            json!({"Name": class_name(class), "Effect": Effect::of_class(class).settings_value(), "Group": "all",
+            json!({"Name": class_name(class), "Effect": Idempotency::of_class(class).settings_value(), "Group": "all",
                 "WindowNs": 60 * SECOND_NS, "AimNs": deadline / 2, "DeadlineNs": deadline, "LateWorth": 0.5,
                 "Value": 1.0, "Stream": false})
         };
@@ -233,7 +233,7 @@
     Ok(status?.is_success())
 }
 
-/// Forwards the log of a balancer to the own log until it is closed, at the latest when the process exits.
+/// Copies the log of a balancer to the emulator's log until the balancer closes it, at the latest when it exits.
 async fn forward_log(index: usize, mut log: Lines<BufReader<ChildStderr>>) {
     while let Ok(Some(line)) = log.next_line().await {
         tracing::info!(balancer = index, "{line}");
--- a/emulator/src/real/client.rs
+++ b/emulator/src/real/client.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients: each request is due at its own time, independent of earlier requests, and its latency is measured
-//! from that time. A stalled balancer thus also pays for the requests that it delayed.
+//! from that time. The latencies thus include the time for which a stalled balancer delays further requests.
 
-use super::balancer::{Effect, class_name};
+use super::balancer::{Idempotency, class_name};
 use super::config::Config;
 use super::pool::Pool;
 use super::upstream::DIRECT_HEADER;
@@ -29,9 +29,9 @@
 /// File descriptors that one request may use in this process: its own, those of its attempts, and one just closed.
 const DESCRIPTORS_PER_REQUEST: u64 = 4;
 /// Minimum and maximum of the recorded latencies in nanoseconds, and their significant digits.
-const RECORDED_LATENCIES: (u64, u64, u8) = (1_000, 120_000_000_000, 3);
+const LATENCY_HISTOGRAM_BOUNDS: (u64, u64, u8) = (1_000, 120_000_000_000, 3);
 
-/// Distributes requests over the balancers that are in use, in turn.
+/// Distributes requests over the balancers in rotation, in turn.
 pub struct Front {
     balancers: Mutex<Vec<Option<SocketAddr>>>,
     next_index: AtomicUsize,
@@ -53,7 +53,7 @@
     pub fn remove(&self, index: usize) {
         let address = lock(&self.balancers)[index].take();
         if let Some(address) = address {
-            self.pool.remove(address);
+            self.pool.close_idle(address);
         }
     }
 
@@ -75,7 +75,7 @@
     pub served: u64,
     /// Answered with 429 or 503.
     pub refused: u64,
-    /// Other errors and timeouts.
+    /// Got any other status, an error or no response, or had no balancer in rotation to go to.
     pub failed: u64,
     /// Skipped because too many requests were open: a limit of the clients, not of the balancers or upstreams.
     pub not_sent: u64,
@@ -85,7 +85,7 @@
 
 impl Default for Tally {
     fn default() -> Self {
-        let (min, max, digits) = RECORDED_LATENCIES;
+        let (min, max, digits) = LATENCY_HISTOGRAM_BOUNDS;
         let mut latencies = Histogram::new_with_bounds(min, max, digits)
             .or_else(|_| Histogram::new(digits))
             .expect("the histogram accepts three significant digits");
@@ -275,7 +275,7 @@
             Some(Ok(StatusCode::OK)) => {}
             Some(Ok(status)) => tracing::debug!(%status, class, ?elapsed, "request not served"),
             Some(Err(error)) => tracing::debug!(%error, class, ?elapsed, "request failed"),
-            None => tracing::debug!(class, ?elapsed, "request not answered"),
+            None => tracing::debug!(class, ?elapsed, "request without response"),
         }
         self.finish(route, measured, |tally| {
             tally.sent += 1;
@@ -292,7 +292,7 @@
         });
     }
 
-    /// Builds a request and selects its destination; `None` if no balancer is in use.
+    /// Builds a request and selects its destination; `None` if no balancer is in rotation.
     fn build_request(&self, route: Route, class: usize) -> Option<(SocketAddr, Request<Full<Bytes>>)> {
         let address = match route {
             Route::Balanced => self.front.next_balancer()?,
@@ -301,24 +301,24 @@
                 *self.upstreams.get(next % self.upstreams.len())?
             }
         };
-        let effect = Effect::of_class(class);
+        let idempotency = Idempotency::of_class(class);
         let id = format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let name = class_name(class);
         let mut request = Request::builder()
-            .method(if effect == Effect::Safe { Method::GET } else { Method::POST })
+            .method(if idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST })
             .uri(format!("/{name}/1"))
             .header("Host", "backend.local")
             .header("X-Call-Id", &id)
             .header("X-Call-Class", name)
             .header("X-Caller", "acme")
             .header("X-Budget", format!("{:.3}", self.deadline.as_secs_f64()));
-        if effect == Effect::Keyed {
+        if idempotency == Idempotency::Keyed {
             request = request.header("Idempotency-Key", format!("{id}{id}"));
         }
         if route == Route::Direct {
             request = request.header(DIRECT_HEADER, "1");
         }
-        let body = if effect == Effect::Safe { Bytes::new() } else { self.body.clone() };
+        let body = if idempotency == Idempotency::Idempotent { Bytes::new() } else { self.body.clone() };
         Some((address, request.body(Full::new(body)).ok()?))
     }
 }
--- a/emulator/src/real/config.rs
+++ b/emulator/src/real/config.rs
@@ -24,7 +24,7 @@
     pub balancers: usize,
     /// Number of upstreams that discovery lists to each balancer.
     pub targets: usize,
-    /// Number of request classes: safe, keyed and unsafe in turn.
+    /// Number of request classes: idempotent, keyed and non-idempotent in turn.
     pub classes: usize,
     /// Number of zones, to which balancers and upstreams belong in turn.
     pub zones: usize,
@@ -68,9 +68,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListDelivery {
-    /// Pushed to an agent beside the balancer.
+    /// An agent beside the balancer receives each list at once.
     Push,
-    /// Requested by the balancer.
+    /// The balancer polls discovery for lists.
     Ask,
 }
 
@@ -98,7 +98,7 @@
     pub front_lag_s: f64,
 }
 
-/// Default of `front_lag_s`: the front of the protocol takes 0.2 to 0.4 s to notice.
+/// Default of `front_lag_s`: by the protocol, the front takes 0.2 to 0.4 s to notice that a balancer is being stopped.
 fn default_front_lag() -> f64 {
     0.3
 }
@@ -132,7 +132,7 @@
 }
 
 impl Config {
-    /// Refuses values that are invalid or exceed the limits of a run; the error names the key.
+    /// Checks that all values are valid and within the limits of a run; the error names the key.
     pub fn check(&self) -> Result<(), String> {
         let count_limits = [
             ("balancers", self.balancers, 1, MAX_BALANCERS),
@@ -149,7 +149,7 @@
         ];
         for (key, value, min, max) in count_limits {
             if !(min..=max).contains(&value) {
-                return Err(format!("`{key}` is {value}, not {min} to {max}"));
+                return Err(format!("`{key}` is {value}, not between {min} and {max}"));
             }
         }
         let limits = [
@@ -187,7 +187,10 @@
             return Err(format!("`targets` is {}: with `change_rate`, at least 2 are needed", self.targets));
         }
         if (self.rate + self.direct_rate) * (self.warmup_s + self.load_s) > MAX_REQUESTS {
-            return Err(format!("`rate` is {}: more than {MAX_REQUESTS} requests in total", self.rate));
+            return Err(format!(
+                "`rate` is {}: with `direct_rate`, the run would send more than {MAX_REQUESTS} requests",
+                self.rate
+            ));
         }
         Ok(())
     }
@@ -221,7 +224,7 @@
 /// Checks that each value is between 0 and its maximum; the error names the key within `table`.
 fn check_limits(table: &str, limits: &[(&str, f64, f64)]) -> Result<(), String> {
     match limits.iter().find(|(_, value, max)| !(0.0..=*max).contains(value)) {
-        Some((key, value, max)) => Err(format!("`{table}{key}` is {value}, not 0 to {max}")),
+        Some((key, value, max)) => Err(format!("`{table}{key}` is {value}, not between 0 and {max}")),
         None => Ok(()),
     }
 }
--- a/emulator/src/real/discovery.rs
+++ b/emulator/src/real/discovery.rs
@@ -60,7 +60,7 @@
     delayed_changes: usize,
     /// One for each version after the first.
     changes: Vec<Change>,
-    subscribers: Vec<Subscriber>,
+    watchers: Vec<Watcher>,
 }
 
 /// Entry of the list.
@@ -81,10 +81,10 @@
     propagation_delay: Option<Duration>,
 }
 
-/// Version known to a balancer.
+/// What discovery knows about a balancer.
 #[derive(Clone, Default)]
-struct Subscriber {
-    /// Highest version acknowledged by the balancer, which requests what is newer.
+struct Watcher {
+    /// Highest version that the balancer has acknowledged, by requesting newer ones.
     rev: u64,
     /// The propagation of changes after this version is tracked; `None` while the balancer is not tracked.
     tracked_from: Option<u64>,
@@ -113,14 +113,14 @@
             .into_iter()
             .map(|upstream| Target { upstream, draining: false, rev: FIRST_VERSION })
             .collect();
-        let subscribers = vec![Subscriber::default(); balancers];
+        let watchers = vec![Watcher::default(); balancers];
         let state = State {
             rev: FIRST_VERSION,
             targets,
             down: false,
             delayed_changes: 0,
             changes: Vec::new(),
-            subscribers,
+            watchers,
         };
         let meters = (0..balancers).map(|_| Meter::default()).collect();
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: watch::Sender::new(()), meters });
@@ -150,7 +150,7 @@
     /// Starts tracking the propagation of changes to a balancer.
     pub fn start_tracking(&self, balancer: usize) {
         let mut state = lock(&self.shared.state);
-        state.subscribers[balancer].tracked_from = Some(state.rev);
+        state.watchers[balancer].tracked_from = Some(state.rev);
     }
 
     /// Stops tracking a balancer that is about to end: pending changes no longer wait for it.
@@ -158,7 +158,7 @@
         let mut state = lock(&self.shared.state);
         let rev = state.rev;
         state.acknowledge(balancer, rev);
-        state.subscribers[balancer].tracked_from = None;
+        state.watchers[balancer].tracked_from = None;
     }
 
     /// Lists an upstream as draining or as in service.
@@ -169,7 +169,7 @@
         state.targets[upstream].draining = draining;
         state.targets[upstream].rev = rev;
         let pending_balancers =
-            state.subscribers.iter().filter(|subscriber| subscriber.tracked_from.is_some()).count();
+            state.watchers.iter().filter(|watcher| watcher.tracked_from.is_some()).count();
         state.changes.push(Change {
             available_since: Instant::now(),
             pending_balancers,
@@ -248,9 +248,9 @@
     /// this completed the propagation of a change.
     fn acknowledge(&mut self, balancer: usize, rev: u64) -> bool {
         let rev = rev.min(self.rev);
-        let subscriber = &mut self.subscribers[balancer];
-        let previous = subscriber.rev.max(subscriber.tracked_from.unwrap_or(u64::MAX)).min(rev);
-        subscriber.rev = subscriber.rev.max(rev);
+        let watcher = &mut self.watchers[balancer];
+        let previous = watcher.rev.max(watcher.tracked_from.unwrap_or(u64::MAX)).min(rev);
+        watcher.rev = watcher.rev.max(rev);
         let change_index = |rev: u64| (rev.max(FIRST_VERSION) - FIRST_VERSION) as usize;
         let mut completed_change = false;
         for change in &mut self.changes[change_index(previous)..change_index(rev)] {
--- a/emulator/src/real/pool.rs
+++ b/emulator/src/real/pool.rs
@@ -40,7 +40,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn remove(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         lock(&self.0).remove(&address);
     }
 
--- a/emulator/src/real/upstream.rs
+++ b/emulator/src/real/upstream.rs
@@ -38,7 +38,7 @@
     drains: Mutex<DrainTimes>,
 }
 
-/// Attempts during the drains of an upstream.
+/// When the drains of an upstream started and their last attempts arrived.
 #[derive(Default)]
 struct DrainTimes {
     /// Start of the current drain, and the time from then until the last attempt.
--- a/emulator/tests/cli.rs
+++ b/emulator/tests/cli.rs
@@ -46,8 +46,8 @@
 const RUN_ARGUMENTS: [&str; 2] = ["run", "s.toml"];
 const REAL_SCENARIO: &str = "name = \"n\"\nmode = \"real\"\n[real]\n";
 /// A small hollow fleet.
-const HOLLOW_SCENARIO: &str = "name = \"n\"\nmode = \"hollow\"\n[hollow]\nbalancers = 12\nservices = 3\ndepth = 3\nzones = 2\n\
-    regions = 1\nfronts = 2\nrate = 50\nduration_s = 0.2\nwarmup_s = 0\n";
+const HOLLOW_SCENARIO: &str = "name = \"n\"\nmode = \"hollow\"\n[hollow]\nbalancers = 12\nservices = 3\ndepth = 3\n\
+    zones = 2\nregions = 1\nfronts = 2\nrate = 50\nduration_s = 0.2\nwarmup_s = 0\n";
 
 #[test]
 fn an_unknown_key_is_refused_by_name_and_place() {
@@ -81,7 +81,7 @@
 #[test]
 fn a_value_out_of_its_range_is_refused_by_key_and_value() {
     let line = rejected_input(&format!("{REAL_SCENARIO}rate = 10\nbalancers = 33\n"), &RUN_ARGUMENTS);
-    assert_contains(&line, &["s.toml:5:1", "`real`", "`balancers` is 33, not 1 to 32"]);
+    assert_contains(&line, &["s.toml:5:1", "`real`", "`balancers` is 33, not between 1 and 32"]);
     let line = rejected_input(
         &format!("{REAL_SCENARIO}[real.discovery_down]\nat_s = 1\nfor_s = -2\n"),
         &RUN_ARGUMENTS,
@@ -123,7 +123,7 @@
     let line = rejected_input(REAL_SCENARIO, &["sweep", "s.toml", "--over", "real.rats=1,2"]);
     assert_contains(&line, &["s.toml", "--over real.rats=1", "unknown field `rats`"]);
     let line = rejected_input(REAL_SCENARIO, &["sweep", "s.toml", "--over", "real.balancers=1,64"]);
-    assert_contains(&line, &["--over real.balancers=64", "not 1 to 32"]);
+    assert_contains(&line, &["--over real.balancers=64", "not between 1 and 32"]);
     let line = rejected_input(
         REAL_SCENARIO,
         &["sweep", "s.toml", "--over", "real.balancers=64", "--over", "real.rate=1"],
