--- a/emulator/src/cli.rs
+++ b/emulator/src/cli.rs
@@ -166,21 +166,21 @@
         update_progress(&progress_bar, fraction)
     });
     progress_bar.finish_and_clear();
-    let (report, failure) = result?;
+    let (report, first_error) = result?;
     if let Some(out) = &common.out {
         write_reports(out, &report.markdown(), &report.json())?;
     }
     common.print(&report.markdown(), &report.json())?;
-    match failure {
+    match first_error {
         Some(error) => Err(error),
         None => Ok(report_broken(report.broken_messages())),
     }
 }
 
 /// Prints each broken expectation to standard error and returns the exit status.
-fn report_broken(broken: impl Iterator<Item = String>) -> ExitCode {
-    let broken = broken.inspect(|line| drop(writeln!(io::stderr(), "broken: {line}"))).count();
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_BROKEN_EXPECTATION) }
+fn report_broken(messages: impl Iterator<Item = String>) -> ExitCode {
+    let broken_count = messages.inspect(|line| drop(writeln!(io::stderr(), "broken: {line}"))).count();
+    if broken_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_BROKEN_EXPECTATION) }
 }
 
 /// Writes the reports for people and for programs into a folder.
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -43,7 +43,7 @@
         let mut balancer = None;
         let outcome = match scenario.mode {
             Mode::Hollow => {
-                let config = scenario.hollow.as_ref().context("`hollow` is missing")?;
+                let config = scenario.hollow.as_ref().context("the scenario has no table `hollow`")?;
                 let progress = |done, total| {
                     progress(fraction(done, total));
                     // Unwinding is the only way to end a hollow run early.
@@ -57,7 +57,7 @@
                 })?
             }
             Mode::Real => {
-                let config = scenario.real.as_ref().context("`real` is missing")?;
+                let config = scenario.real.as_ref().context("the scenario has no table `real`")?;
                 let program = real::find_program(self.balancer.as_deref())?;
                 let outcome = real::run(config, seed, &program, &self.interrupt, progress)?;
                 balancer = Some(program);
@@ -232,8 +232,8 @@
         let _ = writeln!(text, "Mode {}, {} of {} runs finished.", self.mode, self.runs.len(), self.planned);
         self.points().write_markdown(&mut text);
         self.fits().write_markdown(&mut text);
-        let broken = self.broken_messages().map(|line| vec![line]);
-        Table::new("Broken promises", ["broken"], broken.collect()).write_markdown(&mut text);
+        let rows = self.broken_messages().map(|line| vec![line]);
+        Table::new("Broken promises", ["broken"], rows.collect()).write_markdown(&mut text);
         self.environment.write_markdown(&mut text);
         text
     }
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -214,7 +214,7 @@
 }
 
 impl Table {
-    /// Creates a table.
+    /// Creates a table from its title, column headers and rows.
     pub fn new<const N: usize>(title: impl Into<String>, columns: [&str; N], rows: Vec<Vec<String>>) -> Self {
         Self { title: title.into(), columns: columns.map(String::from).to_vec(), rows }
     }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -203,7 +203,7 @@
     }
 }
 
-/// Checks what deserialization cannot check. An error names the table it is in, then the message.
+/// Checks what deserialization cannot check. An error consists of the table that it is in and the message.
 fn check(scenario: &Scenario) -> Result<(), (String, String)> {
     let (result, other_table) = match scenario.mode {
         Mode::Hollow => {
@@ -215,10 +215,7 @@
     };
     let mode = scenario.mode.to_string();
     if let Some(other_table) = other_table {
-        return Err((
-            other_table.into(),
-            format!("this table belongs to another mode than `mode`, \"{mode}\""),
-        ));
+        return Err((other_table.into(), format!("this table is not used in mode \"{mode}\"")));
     }
     match result {
         None => return Err(("mode".into(), format!("is \"{mode}\", but there is no table `{mode}`"))),
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -34,7 +34,8 @@
 
 #[test]
 fn a_broken_expectation_says_what_was_expected() {
-    let text = "name = \"n\"\nmode = \"hollow\"\n[expect]\na = { max = 1 }\nb = { min = 1 }\nc = { min = 0, max = 9 }\n";
+    let text = "name = \"n\"\nmode = \"hollow\"\n[expect]\na = { max = 1 }\n\
+        b = { min = 1 }\nc = { min = 0, max = 9 }\n";
     let scenario = toml::from_str(text).unwrap();
     let figures = BTreeMap::from([("a".to_owned(), 1.5), ("c".to_owned(), 5.0)]);
     let expectations = Expectation::evaluate_all(&scenario, &Outcome { figures, tables: Vec::new() });
