--- a/fault-injector/src/lib.rs
+++ b/fault-injector/src/lib.rs
@@ -45,8 +45,8 @@
 //!
 //! This crate and the balancer's handling of its inherited descriptor are the only places with `unsafe` code. Each
 //! wrapper has the signature and contract of the C library function it replaces and passes its arguments on unchanged,
-//! except that a fault may limit the number of bytes. A wrapper reads the memory behind them only where the kernel
-//! would.
+//! except that a fault may limit the number of bytes. A wrapper reads the memory behind its arguments only where
+//! the kernel would.
 
 mod interpose;
 mod log;
--- a/fault-injector/tests/wall_clock.rs
+++ b/fault-injector/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 use wall_clock::WallClock;
 
 const HOUR_MS: i64 = 3_600_000;
-/// More than a program takes to start, in milliseconds.
+/// Upper bound for the time that `date` takes to start, in milliseconds.
 const MAX_START_MS: u64 = 30_000;
 
 /// The wall clock that `date` shows, in milliseconds of Unix time.
