--- a/emulator/src/hollow.rs
+++ b/emulator/src/hollow.rs
@@ -489,7 +489,7 @@
         instance_state.requests.insert(id, key);
         self.counts.max_in_flight = self.counts.max_in_flight.max(instance_state.requests.len());
         let time_left = deadline.saturating_sub(now);
-        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
+        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, body_incomplete: false };
         if let RequestSource::Attempt(source) = source
             && let Some(attempt) = self.attempts.get_mut(source)
         {
@@ -1213,8 +1213,8 @@
 
     fn apply_action(&mut self, instance: usize, action: Action) {
         match action {
-            Action::Send { id, endpoint, until, begin_by } => {
-                self.send_attempt(instance, id, endpoint, (until, begin_by))
+            Action::Send { id, endpoint, times_out_at, begin_by } => {
+                self.send_attempt(instance, id, endpoint, (times_out_at, begin_by))
             }
             Action::Reject { id, .. } => self.respond_by_id(instance, id, Response::Refused),
             Action::Fail(id) => self.respond_by_id(instance, id, Response::Failed),
@@ -1307,8 +1307,8 @@
         initial_capacity: config.start_capacity,
         overload_multiple: config.tip_multiple,
         warm_up_time: seconds(config.ramp_s),
-        in_flight_figure_position: None,
-        load_on_request: false,
+        in_flight_value_position: None,
+        load_on_query: false,
         cross_zone_price: config.cross_price,
         load_query_price: 1.0,
     };
--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -11,9 +11,9 @@
         id: RequestId,
         /// The endpoint to send to.
         endpoint: EndpointId,
-        /// When the attempt times out.
-        until: Time,
-        /// The latest time at which sending may begin, else the attempt is not sent: a repeat that arrives after the
+        /// When the attempt times out if it has not ended.
+        times_out_at: Time,
+        /// Latest time at which sending may begin. After it, the attempt is not sent: a repeat that arrives after the
         /// idempotency window would run again.
         begin_by: Option<Time>,
     },
--- a/src/decision/attempt_learning.rs
+++ b/src/decision/attempt_learning.rs
@@ -8,7 +8,7 @@
 use super::idle_connections::IdleTimeBucket;
 use super::rejections::ClassRejections;
 use super::request_table::{Lateness, PendingRequest};
-use super::statistics::OUTCOME_GAIN;
+use super::statistics::ATTEMPT_GAIN;
 
 /// A timeout counts as a failure of the endpoint only if the attempt ran for at least this multiple of the class's
 /// baseline latency: a time limit that is too short even for a healthy endpoint is set by the client.
@@ -17,10 +17,10 @@
 impl LoadBalancer {
     /// Updates all statistics at the end of an attempt.
     pub(super) fn learn_from_attempt(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        // While the body was still being received, the client determined how long the attempt took.
-        let is_timed = !(request.streaming && request.response_started);
+        // If the body was incomplete and the response started early, the client determined how long the attempt took.
+        let is_timed = !(request.body_was_incomplete && request.response_started);
         if is_timed {
-            self.learn_zone_lateness(request, position, end);
+            self.learn_zone_latency_ratio(request, position, end);
         }
         self.retries.on_attempt_end(request, end.outcome, self.now, &self.settings);
         self.learn_outcome(request, position, end);
@@ -29,17 +29,17 @@
         }
     }
 
-    /// Learns how late attempts in the zone of the endpoint are. A rejection counts as an attempt that took at least
-    /// as long as the latency objective.
-    fn learn_zone_lateness(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
-        let min_lateness = match end.outcome {
+    /// Learns the latency ratio (latency divided by objective) of the endpoint's zone. A rejection counts as
+    /// an attempt that took at least as long as the latency objective.
+    fn learn_zone_latency_ratio(&mut self, request: &PendingRequest, position: usize, end: &AttemptEnd) {
+        let min_latency_ratio = match end.outcome {
             AttemptOutcome::Success | AttemptOutcome::Cancelled | AttemptOutcome::Timeout => 0.0,
             AttemptOutcome::Rejected => 1.0,
             _ => return,
         };
         let objective = self.settings.classes[request.class].latency_objective.max(1) as f64;
-        let lateness = (end.elapsed as f64 / objective).max(min_lateness);
-        self.endpoints.zone_pool(position).learn_lateness(lateness, self.now);
+        let latency_ratio = (end.elapsed as f64 / objective).max(min_latency_ratio);
+        self.endpoints.zone_pool(position).learn_latency_ratio(latency_ratio, self.now);
     }
 
     /// Updates the circuit breaker, the rejections and the connection limit of the endpoint by the outcome.
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Whether a timeout is not a failure of its endpoint: it has already been counted as overdue, or its time limit
-    /// was too short. That is judged by the baseline latency, because the timeouts of a stuck endpoint raise the mean:
-    /// compared with the mean, they would be ignored.
+    /// Whether a timeout is not a failure of its endpoint: the attempt has already been counted as overdue, its
+    /// lateness is not monitored, or its time limit was too short. A time limit is judged by the baseline latency,
+    /// because the timeouts of a stuck endpoint raise the mean: compared with the mean, they would be ignored.
     fn is_timeout_ignored(&self, request: &PendingRequest, elapsed: Duration) -> bool {
         let baseline = self.traffic.class_latencies[request.class].baseline;
         request.lateness == Lateness::Overdue || (elapsed as f64) < MIN_TIMEOUT_MULTIPLE * baseline
     }
 
-    /// Updates the endpoint and its connection after a response.
+    /// Updates the endpoint and its connection after a success.
     fn on_success(&mut self, request: &PendingRequest, position: usize) {
-        self.traffic.count_response(self.now);
+        self.traffic.count_successful_response(self.now);
         self.learn_own_zone_share(position);
         let endpoint = &mut self.endpoints[position];
         endpoint.on_response(self.now);
@@ -115,7 +115,7 @@
             self.slow_start.on_response(self.now, request.class, mean, request.work);
         }
         if request.reported_in_flight > 0.0 {
-            self.traffic.latency_per_in_flight.learn(latency_ns / request.reported_in_flight, OUTCOME_GAIN);
+            self.traffic.latency_per_in_flight.learn(latency_ns / request.reported_in_flight, ATTEMPT_GAIN);
         }
     }
 
--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -11,9 +11,10 @@
 /// Probability that the breaker of an endpoint no worse than the rest trips by chance; it determines the
 /// consecutive failures needed.
 const FALSE_TRIP_PROBABILITY: f64 = 0.01;
-/// Fewest consecutive failures that trip a breaker: a single failure is not a series.
+/// Minimum number of consecutive failures that trip a breaker: a single failure is not a series.
 const MIN_FAILURES: f64 = 2.0;
-/// Most consecutive failures that trip a breaker, so that in a failing tier the worst endpoints still trip.
+/// Maximum number of consecutive failures that trip a breaker, so that in a failing tier the worst endpoints
+/// still trip.
 const MAX_FAILURES: f64 = 6.0;
 /// Lower bound of the failure ratio of all attempts, so that its logarithm is finite.
 const MIN_FAILURE_RATIO: f64 = 0.001;
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -9,22 +9,23 @@
 pub(crate) const WATCH_TOKEN: u64 = u64::MAX;
 /// The first watches are spread over this time for each replica, as the capacity of discovery is fixed.
 const SPREAD_PER_REPLICA: Duration = SECOND / 10;
-/// Cap of that spread. It leaves time for two failed calls before changes made during startup count as
-/// notified, after 6 s.
+/// Upper bound of the spread of the first watches. It leaves time for two failed calls before changes made
+/// during startup count as notified, after 6 s.
 const MAX_SPREAD: Duration = 2 * SECOND;
-/// Delay before a failed watch is reopened. It is part of the sums in docs/design.md, which must stay below
-/// the 6 s after which a change counts as notified.
+/// Maximum delay before a failed watch is reopened; the delay itself is drawn at random. The maximum is part of
+/// the sums in docs/design.md, which must stay below the 6 s after which a change counts as notified.
 const WATCH_BACKOFF: Backoff = Backoff { first: 7 * SECOND / 20, cap: 3 * SECOND / 2 };
 
 /// The watch on the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointListWatch {
-    /// Consecutive failures; `None` before the first list.
+    /// Consecutive failures; `None` before the first list, failure or move.
     consecutive_failures: Option<u32>,
 }
 
 impl EndpointListWatch {
-    /// Handles a list. The first one opens the watch, if discovery has to be polled.
+    /// Handles a list. The first one opens the watch if discovery has to be polled, unless a failure or a move has
+    /// already opened it.
     pub fn on_list(&mut self, settings: &Settings, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) {
         let is_first = self.consecutive_failures.replace(0).is_none();
         if is_first && settings.polls_discovery {
--- a/src/decision/endpoint_pool.rs
+++ b/src/decision/endpoint_pool.rs
@@ -2,12 +2,12 @@
 
 use super::endpoint::Endpoint;
 use super::event::{Duration, SECOND, Time};
-use super::statistics::{DecayingRatio, LatencyStatistics, OUTCOME_GAIN};
+use super::statistics::{ATTEMPT_GAIN, DecayingFailureRatio, LatencyStatistics};
 
 /// Time constant at which the statistics of a zone decay, after which the zone is tried again.
 pub(crate) const ZONE_TIME_CONSTANT: Duration = 10 * SECOND;
-/// Smoothing factor of the lateness of a zone: about ten attempts, so that small balancers follow a change.
-const LATENESS_GAIN: f64 = 0.1;
+/// Smoothing factor of the latency ratio of a zone: about ten attempts, so that small balancers follow a change.
+const LATENCY_RATIO_GAIN: f64 = 0.1;
 
 /// A pool of endpoints in service, and the statistics of their attempts.
 #[derive(Debug, Default)]
@@ -23,10 +23,10 @@
     /// Requests in flight at the members.
     pub in_flight: u32,
     /// Fraction of the attempts that failed.
-    failure_ratio: DecayingRatio,
-    /// Lateness: the latency of attempts divided by their latency objective.
-    pub lateness: LatencyStatistics,
-    lateness_updated_at: Time,
+    failure_ratio: DecayingFailureRatio,
+    /// Latency ratio: the latency of attempts divided by their latency objective.
+    pub latency_ratio: LatencyStatistics,
+    latency_ratio_updated_at: Time,
 }
 
 impl EndpointPool {
@@ -37,19 +37,19 @@
 
     /// Updates the failure ratio with the outcome of an attempt.
     pub fn learn_failure_ratio(&mut self, failed: bool, now: Time) {
-        self.failure_ratio.learn(failed, now, OUTCOME_GAIN, ZONE_TIME_CONSTANT);
+        self.failure_ratio.learn(failed, now, ATTEMPT_GAIN, ZONE_TIME_CONSTANT);
     }
 
-    /// Updates the lateness with that of an attempt.
-    pub fn learn_lateness(&mut self, lateness: f64, now: Time) {
-        self.lateness.learn(lateness, LATENESS_GAIN);
-        self.lateness_updated_at = now;
+    /// Updates the latency ratio with that of an attempt.
+    pub fn learn_latency_ratio(&mut self, latency_ratio: f64, now: Time) {
+        self.latency_ratio.learn(latency_ratio, LATENCY_RATIO_GAIN);
+        self.latency_ratio_updated_at = now;
     }
 
-    /// Expected lateness of a request. Without new samples it decays from the mean to `baseline`.
-    pub fn expected_lateness(&self, baseline: f64, now: Time) -> f64 {
-        let age = now.saturating_sub(self.lateness_updated_at) as f64 / ZONE_TIME_CONSTANT as f64;
-        baseline + (self.lateness.mean - baseline) * (-age).exp()
+    /// Expected latency ratio of a request. Without new samples it decays from the mean to `baseline`.
+    pub fn expected_latency_ratio(&self, baseline: f64, now: Time) -> f64 {
+        let age = now.saturating_sub(self.latency_ratio_updated_at) as f64 / ZONE_TIME_CONSTANT as f64;
+        baseline + (self.latency_ratio.mean - baseline) * (-age).exp()
     }
 
     /// Number of members whose breaker is closed.
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
 
-/// Identifies an upstream endpoint. The id encodes neither its zone nor its kind nor its age.
+/// Identifies an upstream endpoint. The id says nothing about the endpoint's zone or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointId(pub u32);
 
@@ -40,7 +40,8 @@
     pub endpoint: EndpointId,
     /// The zone it runs in.
     pub zone: ZoneId,
-    /// The cell whose endpoints share the idempotency keys they have seen.
+    /// Its deduplication cell: with [`DeduplicationGroup::Cell`](super::DeduplicationGroup::Cell), the endpoints of
+    /// a cell share the idempotency keys they have seen.
     pub cell: u16,
     /// Its lifecycle state.
     pub state: EndpointState,
@@ -53,7 +54,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint responded.
+    /// The endpoint responded without an error.
     Success,
     /// The endpoint responded with an error; the request may have run.
     Error,
@@ -80,12 +81,12 @@
     }
 }
 
-/// The load that an endpoint reports, in the order of the deployment's report fields.
+/// The load that an endpoint reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The reported values; only the first `len` are valid.
-    pub figures: [f32; 4],
-    /// Number of valid values.
+    /// The reported values, in the order of the deployment's report fields; only the first `len` are valid.
+    pub values: [f32; 4],
+    /// Number of reported values.
     pub len: usize,
 }
 
@@ -98,10 +99,10 @@
     pub tenant: usize,
     /// How much longer the client waits for the response.
     pub time_left: Duration,
-    /// An estimate of the work it causes, if known.
+    /// Estimated work that the request causes at an endpoint, in nanoseconds, if known.
     pub work: Option<Duration>,
     /// The body is still being received. The client's wait and the time limits of the attempts start at its last byte.
-    pub streaming: bool,
+    pub body_incomplete: bool,
 }
 
 /// The end of an attempt.
@@ -111,9 +112,10 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time since the attempt was sent.
+    /// Duration of the attempt, counted from when it was sent or, if later, from the last byte of the request body that
+    /// was received from the client.
     pub elapsed: Duration,
-    /// The request already has its final response.
+    /// The request already has its final response, or its client has disconnected.
     pub request_closed: bool,
     /// Part of the request body has been consumed, so the request cannot be sent again.
     pub body_consumed: bool,
@@ -130,11 +132,12 @@
     EndpointList(&'a [EndpointEntry]),
     /// A call to discovery failed or the watch broke; the endpoint list is unchanged.
     DiscoveryFailed,
-    /// Discovery has moved to another service that has not been called yet; the endpoint list is unchanged.
+    /// The discovery address now names another service, which has not been called yet; the endpoint list is unchanged.
     DiscoveryMoved,
     /// A client sent a request, which needs exactly one final response.
     Request(RequestId, IncomingRequest),
-    /// The response to a streaming request started at this attempt, which ends all deadlines of the request.
+    /// The response to this attempt started and is streamed to the client, because it is too long or too slow to be
+    /// buffered. This ends all deadlines of the request.
     ResponseStarted(RequestId, u32),
     /// An attempt ended.
     AttemptEnded(RequestId, AttemptEnd),
@@ -146,6 +149,6 @@
     Offline(EndpointId),
     /// An operator brought an endpoint back online.
     Online(EndpointId),
-    /// A timer that this balancer set has fired.
+    /// A timer set by an [`Action::SetTimer`](super::Action::SetTimer) with this token has fired.
     Timer(u64),
 }
--- a/src/decision/idle_connections.rs
+++ b/src/decision/idle_connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections: how likely they are to have been dropped silently, and how many are kept.
 
 use super::event::{Duration, SECOND, Time};
-use super::statistics::DecayingRatio;
+use super::statistics::DecayingFailureRatio;
 
 /// Maximum number of idle connections kept open to an endpoint: a fuller connection table costs the endpoint
 /// capacity, until it refuses connections.
@@ -26,8 +26,8 @@
 /// Number of buckets of idle time.
 const BUCKET_COUNT: usize = 10;
 
-/// Bucket of the time that a connection has been idle: 0 for new or busy ones, and each further bucket for
-/// twice the idle time.
+/// Bucket of the time that a connection has been idle: 0 below [`MIN_IDLE_TIME`], as for new
+/// connections, and each further bucket for twice the idle time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct IdleTimeBucket(usize);
 
@@ -38,7 +38,7 @@
         Self(bucket.min(BUCKET_COUNT - 1))
     }
 
-    /// Whether the connection was idle at all.
+    /// Whether the connection counts as idle: unused for at least [`MIN_IDLE_TIME`].
     pub fn was_idle(self) -> bool {
         self.0 > 0
     }
@@ -47,7 +47,7 @@
 /// Failure ratios of attempts, by how long their connection had been idle.
 #[derive(Debug, Default)]
 pub(crate) struct IdleRisk {
-    failure_ratios: [DecayingRatio; BUCKET_COUNT],
+    failure_ratios: [DecayingFailureRatio; BUCKET_COUNT],
 }
 
 impl IdleRisk {
@@ -90,7 +90,8 @@
 }
 
 impl ConnectionLimit {
-    /// How many connections may be in use now. The limit grows with time, so that its end is detected.
+    /// How many connections may be in use now. The limit grows with time, so that the balancer
+    /// notices when the endpoint accepts more connections again.
     pub fn allowed(&self, now: Time) -> u64 {
         u64::from(self.connections) + now.saturating_sub(self.learned_at) / CONNECTION_LIMIT_GROWTH_INTERVAL
     }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -7,16 +7,16 @@
 };
 
 /// Expected response time, as a multiple of the latency objective, from which load is shed. If this and
-/// [`SHED_ALL_LATENESS`] were higher, the slowest responses would miss the objective; if they were lower, requests that
-/// are slow by nature would be rejected without an overload.
-const SHED_START_LATENESS: f64 = 0.5;
+/// [`SHED_ALL_LATENCY_RATIO`] were higher, the slowest responses would miss the objective; if they were lower, requests
+/// that are slow by nature would be rejected without an overload.
+const SHED_START_LATENCY_RATIO: f64 = 0.5;
 /// Expected response time, as a multiple of the latency objective, from which the maximum fraction of the load is shed.
-const SHED_ALL_LATENESS: f64 = 0.65;
+const SHED_ALL_LATENCY_RATIO: f64 = 0.65;
 /// Maximum fraction of the load that is shed: the remaining requests show when the overload ends.
 const MAX_SHED_FRACTION: f64 = 0.9;
-/// Minimum time constant of the response rate.
+/// Minimum time constant of the rate at which requests end.
 const MIN_RATE_TIME_CONSTANT: Duration = SECOND;
-/// Maximum time constant of the response rate at a balancer with few requests, as a multiple of the longest latency
+/// Maximum of this time constant at a balancer with few requests, as a multiple of the longest latency
 /// objective: an overload builds up and ends within a few objectives.
 const MAX_RATE_TIME_CONSTANT_OBJECTIVES: u64 = 2;
 
@@ -26,7 +26,7 @@
     /// Load shedding has started.
     pub active: bool,
     /// Expected response time, as a multiple of the latency objective.
-    pub lateness: f64,
+    pub latency_ratio: f64,
 }
 
 /// The decision on a new request.
@@ -37,18 +37,18 @@
     pub change: Option<SheddingChange>,
 }
 
-/// State of load shedding: the load, the response rate and the requested work.
+/// State of load shedding: the load, the rate at which requests end and the requested work.
 #[derive(Debug)]
 pub(crate) struct LoadShedding {
     /// Sum over the open requests of the reciprocal of their latency objective, in 1/ns.
     load: f64,
     /// Integral of the load over time.
     accumulated_load: DecayingSum,
-    /// Number of requests that ended after an endpoint had processed them.
-    responses: DecayingSum,
-    /// Work requested of each class, within and over the quotas of the tenants, by [`DemandBucket`].
+    /// Decaying number of requests that ended and may have run, with or without success.
+    ended_requests: DecayingSum,
+    /// Decaying work requested of each class, within and over the quotas of the tenants, by [`DemandBucket`].
     demand: Vec<DecayingSum>,
-    /// Number of requests of each tenant.
+    /// Decaying number of requests of each tenant.
     tenant_requests: Vec<DecayingSum>,
     /// Whether load was shed at the last request.
     active: bool,
@@ -85,7 +85,7 @@
         Self {
             load: 0.0,
             accumulated_load: DecayingSum::default(),
-            responses: DecayingSum::default(),
+            ended_requests: DecayingSum::default(),
             demand: vec![DecayingSum::default(); 2 * settings.classes.len()],
             tenant_requests: vec![DecayingSum::default(); settings.tenants.len()],
             active: false,
@@ -111,22 +111,23 @@
         let demand = self.demand_relative_to(bucket, now, settings, &traffic.class_latencies);
         let time_constant = rate_time_constant(now, settings, traffic);
         self.update_load(0.0, now, time_constant);
-        let lateness = self.expected_lateness(now, time_constant);
-        let level = (lateness - SHED_START_LATENESS) / (SHED_ALL_LATENESS - SHED_START_LATENESS);
-        let change = self.update_active(level, lateness);
+        let latency_ratio = self.expected_latency_ratio(now, time_constant);
+        let level =
+            (latency_ratio - SHED_START_LATENCY_RATIO) / (SHED_ALL_LATENCY_RATIO - SHED_START_LATENCY_RATIO);
+        let change = self.update_active(level, latency_ratio);
         let shed_work = level.clamp(0.0, MAX_SHED_FRACTION) * demand.total - demand.lower_value;
         let is_shed = rng.f64() * demand.equal_value < shed_work;
         Admission { admitted: !is_shed, change }
     }
 
     /// Updates whether load is being shed, and returns the change if there is one.
-    fn update_active(&mut self, level: f64, lateness: f64) -> Option<SheddingChange> {
+    fn update_active(&mut self, level: f64, latency_ratio: f64) -> Option<SheddingChange> {
         let active = level > 0.0;
         if active == self.active {
             return None;
         }
         self.active = active;
-        Some(SheddingChange { active, lateness })
+        Some(SheddingChange { active, latency_ratio })
     }
 
     /// Adds the load of a new request, or changes that of an open one.
@@ -134,20 +135,20 @@
         self.update_load(change, now, rate_time_constant(now, settings, traffic));
     }
 
-    /// Removes the load of a request that ended, and counts it as a response if an endpoint has processed it. Failures
-    /// count too, because they no longer occupy an endpoint. Requests that no endpoint has processed do not count:
-    /// quick rejections would look like quick responses.
+    /// Removes the load of a request that ended, and counts the request if it may have run. Failed requests count too,
+    /// because they no longer occupy an endpoint. Requests that never ran do not count: quick rejections would look
+    /// like quick responses.
     pub fn on_request_ended(
         &mut self,
         load_weight: f64,
-        was_processed: bool,
+        may_have_run: bool,
         now: Time,
         settings: &Settings,
         traffic: &TrafficStatistics,
     ) {
         let time_constant = rate_time_constant(now, settings, traffic);
         self.update_load(-load_weight, now, time_constant);
-        self.responses.add(now, if was_processed { 1.0 } else { 0.0 }, time_constant);
+        self.ended_requests.add(now, if may_have_run { 1.0 } else { 0.0 }, time_constant);
     }
 
     /// Integrates the load up to now and then changes the load.
@@ -160,11 +161,12 @@
     }
 
     /// Response time that a new request can expect, as a multiple of the latency objective: the load divided by the
-    /// response rate (Little's law). Unlike the measured latency, it shows an overload while that builds up. Where all
-    /// endpoints are stuck there are no responses, so the number of responses counts as at least [`TRUSTED_SAMPLES`].
-    fn expected_lateness(&self, now: Time, time_constant: Duration) -> f64 {
-        let responses = self.responses.get(now, time_constant);
-        self.accumulated_load.get(now, time_constant) / responses.max(f64::from(TRUSTED_SAMPLES))
+    /// rate at which requests end (Little's law). Unlike the measured latency, this ratio shows an overload while the
+    /// overload builds up. Where all endpoints are stuck no requests end, so the number of ended requests counts as at
+    /// least [`TRUSTED_SAMPLES`].
+    fn expected_latency_ratio(&self, now: Time, time_constant: Duration) -> f64 {
+        let ended_requests = self.ended_requests.get(now, time_constant);
+        self.accumulated_load.get(now, time_constant) / ended_requests.max(f64::from(TRUSTED_SAMPLES))
     }
 
     /// Whether a request counts as over its tenant's quota: a random one, for the part of the tenant's requests that
@@ -211,13 +213,13 @@
     equal_value: f64,
 }
 
-/// Time constant of the response rate. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
+/// Time constant of the rate at which requests end. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
 /// responses, because it could not tell an overload from chance otherwise.
 fn rate_time_constant(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let longest = objectives.max().unwrap_or(0).saturating_mul(MAX_RATE_TIME_CONSTANT_OBJECTIVES);
     let max_time_constant = longest.clamp(MIN_RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
-    let rate = traffic.response_rate(now).max(1.0);
+    let rate = traffic.successful_response_rate(now).max(1.0);
     let needed_time_constant = (f64::from(TRUSTED_SAMPLES) / rate * SECOND as f64) as Duration;
     needed_time_constant.clamp(MIN_RATE_TIME_CONSTANT, max_time_constant)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -40,7 +40,7 @@
 use endpoints::EndpointTable;
 use event_log::{EventLog, Topic};
 use idle_connections::IdleRisk;
-use load_query::LoadQueries;
+use load_query::WaitingRequests;
 use load_shedding::LoadShedding;
 use request_table::{PendingRequest, RequestTable};
 use retry::RetryPolicy;
@@ -60,7 +60,7 @@
     endpoints: EndpointTable,
     list_watch: EndpointListWatch,
     requests: RequestTable,
-    load_queries: LoadQueries,
+    waiting_requests: WaitingRequests,
     traffic: TrafficStatistics,
     slow_start: SlowStart,
     idle_risk: IdleRisk,
@@ -85,7 +85,7 @@
             endpoints: EndpointTable::new(&settings),
             list_watch: EndpointListWatch::default(),
             requests: RequestTable::new(),
-            load_queries: LoadQueries::default(),
+            waiting_requests: WaitingRequests::default(),
             traffic: TrafficStatistics::new(&settings, now),
             slow_start: SlowStart::new(&settings, now),
             idle_risk: IdleRisk::default(),
@@ -130,7 +130,7 @@
         if token == WATCH_TOKEN {
             self.actions.push(Action::WatchEndpoints);
         } else if let Some(id) = load_query::request_of_timer(token) {
-            self.finish_load_query(id);
+            self.finish_load_queries(id);
         } else {
             self.on_lateness_timer(token);
         }
@@ -159,7 +159,7 @@
         }
         let used_by_requests = self.requests.values().flat_map(PendingRequest::referenced_endpoints);
         let referenced: HashSet<usize> =
-            used_by_requests.chain(self.load_queries.referenced_endpoints()).collect();
+            used_by_requests.chain(self.waiting_requests.referenced_endpoints()).collect();
         self.endpoints.forget_removed(&referenced);
     }
 
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -8,16 +8,17 @@
     AttemptEnd, AttemptOutcome, Duration, EndpointId, IncomingRequest, LoadReport, RequestId, Time,
 };
 use super::event_log::Topic;
-use super::load_query::{self, Candidate, LoadQuery, MAX_QUERIED_ENDPOINTS, QUERY_TIMEOUT};
+use super::load_query::{self, Candidate, MAX_QUERIED_ENDPOINTS, QUERY_TIMEOUT, WaitingRequest};
 use super::load_shedding::SheddingChange;
 use super::request_table::{Lateness, PendingRequest, SentAttempt};
 use super::settings::{Idempotency, RequestClass};
 use super::statistics::LatencyStatistics;
 use super::zone_routing::ZoneRouting;
 
-/// Mean deviations above the mean latency from which an attempt is late, which counts against its endpoint alone.
+/// Mean deviations above the mean latency after which an attempt is late: only its endpoint's slowness rises.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Mean deviations above the mean latency from which an attempt counts as failed; rare at a healthy endpoint.
+/// Mean deviations above the mean latency after which a retryable attempt times out; rare at a healthy endpoint. Any
+/// other is overdue, a failure, at twice the mean plus these: the second lateness timer starts when the first fires.
 const OVERDUE_DEVIATIONS: f64 = 20.0;
 
 /// Positions of an endpoint selected for a request and of the pool that it was picked from.
@@ -38,8 +39,8 @@
         let request = PendingRequest {
             class: incoming.class,
             // A request that is still being received does not occupy its endpoint yet, however long that takes.
-            load_weight: if incoming.streaming { 0.0 } else { 1.0 / objective },
-            streaming: incoming.streaming,
+            load_weight: if incoming.body_incomplete { 0.0 } else { 1.0 / objective },
+            body_was_incomplete: incoming.body_incomplete,
             work: incoming.work,
             deadline: self.now.saturating_add(self.max_wait(class, &incoming)),
             ..PendingRequest::default()
@@ -63,9 +64,9 @@
             &self.traffic,
             &mut self.rng,
         );
-        if let Some(SheddingChange { active, lateness }) = admission.change {
+        if let Some(SheddingChange { active, latency_ratio }) = admission.change {
             let change = if active { "began" } else { "ended" };
-            let text = format!("load shedding {change}: expected latency is {lateness:.2} of the objective");
+            let text = format!("load shedding {change}: expected latency / objective = {latency_ratio:.2}");
             self.log(Topic::LoadShedding, text);
         }
         admission.admitted
@@ -73,9 +74,9 @@
 
     /// The longest time that the client is kept waiting for a response.
     fn max_wait(&self, class: &RequestClass, incoming: &IncomingRequest) -> Duration {
-        let stretch = class.objective_stretch * incoming.work.unwrap_or(0) as f64;
-        let objective = class.latency_objective.saturating_add(stretch as Duration).min(class.deadline);
-        // Where a response after the objective earns nothing, waiting longer only occupies an endpoint. A deeper tier
+        let extension = class.objective_stretch * incoming.work.unwrap_or(0) as f64;
+        let objective = class.latency_objective.saturating_add(extension as Duration).min(class.deadline);
+        // Where a response after the objective has no weight, waiting longer only occupies an endpoint. A deeper tier
         // that receives no deadline must not keep working for a client that has long disconnected.
         let is_deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
         if class.late_weight <= 0.0 || is_deadline_unknown {
@@ -91,8 +92,8 @@
     fn start_attempt(&mut self, id: RequestId, request: PendingRequest) {
         let Some(selected) = self.select(&request) else { return self.give_up(id, &request) };
         // Close to the deadline there is no time to wait for load reports.
-        let in_time = self.now.saturating_add(2 * QUERY_TIMEOUT) < request.deadline;
-        if in_time && load_query::is_enabled(&self.settings) {
+        let has_time_to_query = self.now.saturating_add(2 * QUERY_TIMEOUT) < request.deadline;
+        if has_time_to_query && load_query::is_enabled(&self.settings) {
             self.query_load(id, request, selected);
         } else {
             self.send(id, request, selected.endpoint);
@@ -100,7 +101,7 @@
     }
 
     /// The zone routing, which chooses the pool, and a selector for picking an endpoint from it.
-    fn selector(&mut self) -> (&mut ZoneRouting, Selector<'_>) {
+    fn zone_routing_and_selector(&mut self) -> (&mut ZoneRouting, Selector<'_>) {
         let selector = Selector {
             settings: &self.settings,
             now: self.now,
@@ -114,7 +115,7 @@
 
     /// Selects an endpoint from the pool that zone routing chooses, or from all zones if that pool has none available.
     fn select(&mut self, request: &PendingRequest) -> Option<SelectedEndpoint> {
-        let (zone_routing, mut selector) = self.selector();
+        let (zone_routing, mut selector) = self.zone_routing_and_selector();
         let choice = zone_routing.choose(&mut selector);
         let all = selector.endpoints.all_endpoints_pool();
         let mut selected = selector.pick(choice.pool, request).map(|endpoint| (choice.pool, endpoint));
@@ -129,19 +130,19 @@
 
     /// Queries the load of the next endpoints in the round robin before the request is sent to one of them.
     fn query_load(&mut self, id: RequestId, request: PendingRequest, first: SelectedEndpoint) {
-        let candidates = self.query_candidates(&request, &first);
+        let candidates = self.pick_candidates(&request, &first);
         if candidates.len() == 1 {
             return self.send(id, request, first.endpoint);
         }
         let queries = candidates.iter().map(|&position| Action::QueryLoad(self.endpoints[position].id));
         self.actions.extend(queries);
         self.actions.push(Action::SetTimer { after: QUERY_TIMEOUT, token: load_query::timer_token(id) });
-        self.load_queries.insert(id, request, candidates);
+        self.waiting_requests.insert(id, request, candidates);
     }
 
-    fn query_candidates(&mut self, request: &PendingRequest, first: &SelectedEndpoint) -> Vec<usize> {
+    fn pick_candidates(&mut self, request: &PendingRequest, first: &SelectedEndpoint) -> Vec<usize> {
         let mut candidates = vec![first.endpoint];
-        let (_, mut selector) = self.selector();
+        let (_, mut selector) = self.zone_routing_and_selector();
         for _ in 1..MAX_QUERIED_ENDPOINTS {
             match selector.pick(first.pool, request) {
                 Some(endpoint) if !candidates.contains(&endpoint) => candidates.push(endpoint),
@@ -161,21 +162,21 @@
         let load = load.filter(|_| outcome == AttemptOutcome::Success);
         let Some(in_flight) = load_query::reported_in_flight(load, &self.settings) else { return };
         let Some(position) = self.endpoints.position(id) else { return };
-        for request in self.load_queries.on_report(position, in_flight) {
-            self.finish_load_query(request);
+        for request in self.waiting_requests.on_report(position, in_flight) {
+            self.finish_load_queries(request);
         }
     }
 
-    /// Ends the load query of a request and sends the request to the candidate with the fewest requests in flight for
-    /// its capacity, or to the first candidate if none has reported.
-    pub(super) fn finish_load_query(&mut self, id: RequestId) {
-        let Some(LoadQuery { request, candidates }) = self.load_queries.remove(id) else { return };
-        // Since the query, an endpoint may have begun to drain, or the window of an idempotency key may have ended.
+    /// Ends the load queries for a request and sends it to the candidate with the fewest requests in flight for the
+    /// capacity of the candidate, or to the first candidate if none has reported.
+    pub(super) fn finish_load_queries(&mut self, id: RequestId) {
+        let Some(WaitingRequest { request, candidates }) = self.waiting_requests.remove(id) else { return };
+        // The idempotency window may have ended since the queries. `least_loaded` skips endpoints that began to drain.
         if !request.is_safe_to_send(&self.settings, self.now) {
             return self.give_up(id, &request);
         }
         let Some(best) = self.least_loaded(candidates) else { return self.give_up(id, &request) };
-        let in_flight = best.in_flight.map_or(0.0, |in_flight| in_flight + 1.0);
+        let in_flight = best.in_flight.map_or(0.0, |in_flight| in_flight + 1.0); // with this request
         let reported = best.in_flight.is_some();
         if reported && load_query::is_too_late(&request, in_flight, self.now, &self.settings, &self.traffic) {
             return self.give_up(id, &request);
@@ -194,10 +195,10 @@
     }
 
     fn send(&mut self, id: RequestId, mut request: PendingRequest, position: usize) {
-        let until = self.attempt_deadline(&request);
+        let times_out_at = self.attempt_deadline(&request);
         let begin_by = request.idempotency_window_end(&self.settings);
         let latency = &self.traffic.class_latencies[request.class];
-        if latency.is_trusted() && !request.streaming {
+        if latency.is_trusted() && !request.body_was_incomplete {
             let token = lateness_token(id, request.attempts);
             self.actions
                 .push(Action::SetTimer { after: latency.mean_plus_deviations(LATE_DEVIATIONS), token });
@@ -215,29 +216,30 @@
         endpoint.warm_up.charge(request.warm_up_cost);
         request.is_trial = endpoint.breaker.tripped;
         endpoint.breaker.trial_in_flight |= request.is_trial;
-        self.actions.push(Action::Send { id, endpoint: endpoint.id, until, begin_by });
+        self.actions.push(Action::Send { id, endpoint: endpoint.id, times_out_at, begin_by });
         request.last_attempt = Some(SentAttempt { endpoint: position, sent_at: self.now });
         request.attempts += 1;
-        request.lateness = if request.streaming { Lateness::Overdue } else { Lateness::OnTime };
+        // A request that arrived with an incomplete body has no lateness timer, and its timeout is no failure.
+        request.lateness = if request.body_was_incomplete { Lateness::Overdue } else { Lateness::OnTime };
         self.requests.insert(id, request);
     }
 
     /// When the next attempt of a request times out. An attempt times out before the deadline only if the request may
-    /// be retried and enough time is left for a retry; otherwise it may still finish.
+    /// be retried and enough time is left for a retry; otherwise it may run until the deadline.
     fn attempt_deadline(&self, request: &PendingRequest) -> Time {
         let time_left = request.deadline.saturating_sub(self.now);
         let latency = &self.traffic.class_latencies[request.class];
-        let overdue = latency.mean_plus_deviations(OVERDUE_DEVIATIONS);
-        let attempts_left = request.attempts + 1 < self.settings.max_attempts;
-        let may_retry = attempts_left && self.settings.is_repeatable(request.class);
-        let is_limited = may_retry && latency.is_trusted() && overdue + latency.mean as Duration <= time_left;
-        if is_limited { self.now + overdue } else { request.deadline }
+        let limit = latency.mean_plus_deviations(OVERDUE_DEVIATIONS);
+        let has_attempts_left = request.attempts + 1 < self.settings.max_attempts;
+        let may_retry = has_attempts_left && self.settings.is_repeatable(request.class);
+        let is_limited = may_retry && latency.is_trusted() && limit + latency.mean as Duration <= time_left;
+        if is_limited { self.now + limit } else { request.deadline }
     }
 
     // ---- The end of an attempt ----
 
     /// Counts the request as ended once its response starts. How long the rest of the response takes depends on its
-    /// length and on the client, so it counts against the endpoint only if it breaks off.
+    /// length and on the client, so the rest counts against the endpoint only if it fails.
     pub(super) fn on_response_started(&mut self, id: RequestId, attempt: u32) {
         let is_current = |request: &PendingRequest| request.attempts == attempt + 1 && !request.closed;
         if !self.requests.get(&id).is_some_and(is_current) {
@@ -264,7 +266,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Marks a pending attempt as late or overdue: this detects a slow or stuck endpoint long before attempts time out.
+    /// Marks an attempt as late or overdue: this detects a stuck endpoint before the deadlines of its requests.
     pub(super) fn on_lateness_timer(&mut self, token: u64) {
         let (id, attempt) = attempt_of_timer(token);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -283,7 +285,7 @@
         }
     }
 
-    /// A late attempt is stuck at its endpoint and no longer counts as load, so that no other request is shed for it.
+    /// A late attempt may be stuck at its endpoint: it no longer counts as load, so no other request is shed for it.
     fn on_attempt_late(&mut self, id: RequestId, token: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(SentAttempt { endpoint, sent_at }) = request.last_attempt else { return };
@@ -293,7 +295,7 @@
         self.change_load(-load_weight);
         let latency: &LatencyStatistics = &self.traffic.class_latencies[class];
         self.endpoints[endpoint].learn_slowness(latency, self.now - sent_at);
-        let after = latency.mean_plus_deviations(OVERDUE_DEVIATIONS - LATE_DEVIATIONS);
+        let after = latency.mean_plus_deviations(OVERDUE_DEVIATIONS - LATE_DEVIATIONS); // from now
         self.actions.push(Action::SetTimer { after, token });
     }
 
@@ -325,7 +327,7 @@
         if !end.outcome.never_ran() {
             request.first_possible_run = request.first_possible_run.or(request.last_attempt);
         }
-        if !end.body_consumed && self.may_retry(&request) {
+        if !end.body_consumed && self.try_retry(&request) {
             self.start_attempt(id, request);
         } else {
             self.give_up(id, &request);
@@ -342,8 +344,8 @@
         }
     }
 
-    /// Whether the retry policy allows another attempt; if so, takes it from the retry budget.
-    fn may_retry(&mut self, request: &PendingRequest) -> bool {
+    /// Takes a retry from the retry budget if the retry policy allows another attempt, and returns whether it does.
+    fn try_retry(&mut self, request: &PendingRequest) -> bool {
         let latency = &self.traffic.class_latencies[request.class];
         self.retries.try_retry(request, latency, self.now, &self.settings)
     }
@@ -352,8 +354,8 @@
 
     /// Closes the request of a client that disconnected, and cancels its attempt where that is allowed.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
-        if let Some(query) = self.load_queries.remove(id) {
-            return self.on_request_ended(query.request.load_weight, false);
+        if let Some(waiting) = self.waiting_requests.remove(id) {
+            return self.on_request_ended(waiting.request.load_weight, false);
         }
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else { return };
         request.closed = true;
@@ -382,8 +384,8 @@
         self.shedding.change_load(change, self.now, &self.settings, &self.traffic);
     }
 
-    fn on_request_ended(&mut self, load_weight: f64, was_processed: bool) {
-        self.shedding.on_request_ended(load_weight, was_processed, self.now, &self.settings, &self.traffic);
+    fn on_request_ended(&mut self, load_weight: f64, may_have_run: bool) {
+        self.shedding.on_request_ended(load_weight, may_have_run, self.now, &self.settings, &self.traffic);
     }
 }
 
--- a/src/decision/request_table.rs
+++ b/src/decision/request_table.rs
@@ -24,7 +24,8 @@
     OnTime,
     /// It takes far longer than usual for its class.
     Late,
-    /// It already counts as a failure, or its lateness is not monitored.
+    /// A timeout of the attempt does not count as a failure: the attempt already counts as one, or its lateness is not
+    /// monitored because the request arrived with an incomplete body.
     Overdue,
 }
 
@@ -35,7 +36,7 @@
     /// Its contribution to the load: the reciprocal of its latency objective, in 1/ns.
     pub load_weight: f64,
     pub deadline: Time,
-    /// An estimate of the work it causes, in nanoseconds, if known.
+    /// Estimated work that the request causes at an endpoint, in nanoseconds, if known.
     pub work: Option<Duration>,
     /// Number of attempts sent so far.
     pub attempts: u32,
@@ -54,11 +55,11 @@
     pub idle_bucket: IdleTimeBucket,
     /// The first attempt that may have run.
     pub first_possible_run: Option<SentAttempt>,
-    /// The client has received the final response or needs none.
+    /// The request has its final response, or its client has disconnected.
     pub closed: bool,
-    /// The body was still being received when the first attempt was sent, so the duration of an attempt says nothing
-    /// about its endpoint.
-    pub streaming: bool,
+    /// The body was still being received when the request arrived. The client then determines when an attempt ends, so
+    /// lateness is not monitored and a response that starts early is not timed.
+    pub body_was_incomplete: bool,
     /// The response to the attempt in flight has started.
     pub response_started: bool,
 }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -8,7 +8,8 @@
 use super::settings::Settings;
 use super::statistics::{DecayingSum, LatencyStatistics};
 
-/// Retries that each request adds to the budget.
+/// Retries that each request adds to the budget. Each success that is not a repeat also offsets this many futile
+/// retries.
 const BUDGET_PER_REQUEST: f64 = 0.2;
 /// Maximum number of retries in the budget.
 const MAX_BUDGET: f64 = 10.0;
@@ -25,7 +26,7 @@
 pub(crate) struct RetryPolicy {
     /// Number of retries that may be sent now.
     budget: f64,
-    /// For each class, retries of failed requests that failed again, minus the credit for successes.
+    /// For each class, failed retries of requests that may have run before, minus the credit for successes.
     futile_retries: Vec<DecayingSum>,
 }
 
@@ -48,11 +49,11 @@
         now: Time,
         settings: &Settings,
     ) {
-        let was_retry = request.first_possible_run.is_some();
+        let may_be_repeat = request.first_possible_run.is_some();
         let change = match outcome {
-            AttemptOutcome::Success if was_retry => -1.0, // the retry succeeded
+            AttemptOutcome::Success if may_be_repeat => -1.0, // the retry succeeded
             AttemptOutcome::Success => -BUDGET_PER_REQUEST,
-            AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset if was_retry => 1.0,
+            AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset if may_be_repeat => 1.0,
             _ => 0.0,
         };
         let max_futile_retries = f64::from(settings.max_attempts - 1);
@@ -72,16 +73,16 @@
         now: Time,
         settings: &Settings,
     ) -> bool {
-        let in_time = request.deadline.saturating_sub(now) as f64 > latency.mean / 2.0;
+        let has_time_left = request.deadline.saturating_sub(now) as f64 > latency.mean / 2.0;
         // The budget also covers requests that never ran: where no endpoint can be reached, each request would
         // otherwise make all its attempts.
-        let attempts_left = request.attempts < settings.max_attempts;
+        let has_attempts_left = request.attempts < settings.max_attempts;
         // A request that never ran causes no work at deeper tiers that could multiply, and a failure to reach an
         // endpoint that restarts says nothing about the next endpoint.
         let may_help =
             request.first_possible_run.is_none() || !self.has_futile_retries(request.class, now, settings);
         let is_safe = request.is_safe_to_send(settings, now);
-        if !(is_safe && in_time && attempts_left && may_help && self.budget >= 1.0) {
+        if !(is_safe && has_time_left && has_attempts_left && may_help && self.budget >= 1.0) {
             return false;
         }
         self.budget -= 1.0;
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -31,7 +31,7 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time earns the full weight.
+    /// A response within this time has the full weight.
     pub latency_objective: Duration,
     /// The objective is extended by this multiple of the request's own work.
     pub objective_stretch: f64,
@@ -39,7 +39,7 @@
     pub deadline: Duration,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// Fraction of the weight that a response after the objective still earns, from 0 to 1.
+    /// Fraction of the weight that a response after the objective still has, from 0 to 1.
     pub late_weight: f64,
     /// Weight of one request, or of one unit of its work if [`Settings::weight_by_work`] is set.
     pub priority_weight: f64,
@@ -92,9 +92,9 @@
     /// Time after which a cold endpoint is warm.
     pub warm_up_time: Duration,
     /// Position of the number of requests in flight in load reports, if they contain it.
-    pub in_flight_figure_position: Option<usize>,
+    pub in_flight_value_position: Option<usize>,
     /// Endpoints report their load only in response to load queries, and load queries are allowed.
-    pub load_on_request: bool,
+    pub load_on_query: bool,
     /// Cost of sending every request to another zone, as a fraction of the weight of all requests.
     pub cross_zone_price: f64,
     /// Cost of one load query for every request, as a fraction of the weight of all requests.
@@ -194,7 +194,7 @@
         Ok(())
     }
 
-    /// Where a response after the objective earns nothing, clients are not kept waiting beyond it.
+    /// Where a response after the objective has no weight, clients are not kept waiting beyond the objective.
     fn longest_wait(&self) -> Duration {
         let ends_at_objective = self.late_weight <= 0.0 && self.objective_stretch <= 0.0;
         if ends_at_objective { self.latency_objective.min(self.deadline) } else { self.deadline }
--- a/src/decision/statistics.rs
+++ b/src/decision/statistics.rs
@@ -5,8 +5,9 @@
 
 /// Samples needed to trust a latency or a response rate.
 pub(crate) const TRUSTED_SAMPLES: u32 = 10;
-/// Smoothing factor of averages over outcomes: about a second's worth of requests at a small balancer.
-pub(crate) const OUTCOME_GAIN: f64 = 0.05;
+/// Smoothing factor of averages over the outcomes and latencies of attempts. They span about 20 attempts, a second's
+/// worth at a small balancer.
+pub(crate) const ATTEMPT_GAIN: f64 = 0.05;
 /// Time constant of request rates: long enough for a few requests at the smallest balancer.
 pub(crate) const RATE_TIME_CONSTANT: Duration = 5 * SECOND;
 /// Smoothing factor of the baseline latency while the mean is below it.
@@ -14,13 +15,14 @@
 /// Smoothing factor of the baseline latency while the mean is above it: much smaller than downwards, so that
 /// congestion does not become the baseline.
 const BASELINE_GAIN_UP: f64 = 0.001;
-/// Shortest latency from which a limit is derived, in nanoseconds.
+/// Lower bound of a limit derived from a latency, in nanoseconds.
 const MIN_LATENCY_LIMIT_NS: f64 = 1e6;
-/// Lower bound of the observed fraction by which a rate is divided, so that the first samples do not inflate
-/// the rate.
+/// Lower bound of the observed fraction of a rate's averaging window. The rate is divided by this fraction, and
+/// without a bound the first samples would inflate it.
 const MIN_OBSERVED_FRACTION: f64 = 0.05;
 
-/// Mean, mean deviation and baseline of a latency or a lateness, as exponentially weighted moving averages.
+/// Mean, mean deviation and baseline of a latency, of a latency ratio (latency divided by objective) or of the latency
+/// per request in flight, as exponentially weighted moving averages.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LatencyStatistics {
     pub mean: f64,
@@ -67,12 +69,13 @@
         Self::new(0.0, now, now)
     }
 
-    /// Creates a sum of amounts added since `started_at`, which was `sum` at its last update.
+    /// Creates a sum that counts amounts since `started_at` and has the value `sum` at `updated_at`.
     pub fn new(sum: f64, updated_at: Time, started_at: Time) -> Self {
         Self { sum, updated_at, started_at }
     }
 
-    /// The rate per second, corrected for the time observed, so that it is right from the first second on.
+    /// The rate per second. It is corrected for the part of the averaging window that lies before `started_at`, so that
+    /// it is right from the first second on.
     pub fn per_second(&self, now: Time, time_constant: Duration) -> f64 {
         let observed_fraction =
             1.0 - (-(now.saturating_sub(self.started_at) as f64) / time_constant as f64).exp();
@@ -98,14 +101,14 @@
     }
 }
 
-/// Failure ratio of attempts: an exponentially weighted moving average that also decays towards 0 over time.
+/// Fraction of attempts that fail: an exponentially weighted moving average that also decays towards 0 over time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct DecayingRatio {
+pub(crate) struct DecayingFailureRatio {
     value: f64,
     updated_at: Time,
 }
 
-impl DecayingRatio {
+impl DecayingFailureRatio {
     /// The decayed ratio.
     pub fn get(&self, now: Time, time_constant: Duration) -> f64 {
         self.value * decay(now, self.updated_at, time_constant)
@@ -133,7 +136,7 @@
     pub overall: LatencyStatistics,
     /// Latency divided by the requests in flight at the endpoint.
     pub latency_per_in_flight: LatencyStatistics,
-    responses: DecayingSum,
+    successful_responses: DecayingSum,
     /// Fraction of all attempts that fail.
     failure_ratio: f64,
 }
@@ -145,40 +148,40 @@
             class_latencies: vec![LatencyStatistics::default(); settings.classes.len()],
             overall: LatencyStatistics::default(),
             latency_per_in_flight: LatencyStatistics::default(),
-            responses: DecayingSum::starting_at(now),
+            successful_responses: DecayingSum::starting_at(now),
             failure_ratio: 0.0,
         }
     }
 
     /// Counts a successful response.
-    pub fn count_response(&mut self, now: Time) {
-        self.responses.add(now, 1.0, RATE_TIME_CONSTANT);
+    pub fn count_successful_response(&mut self, now: Time) {
+        self.successful_responses.add(now, 1.0, RATE_TIME_CONSTANT);
     }
 
     /// Successful responses per second.
-    pub fn response_rate(&self, now: Time) -> f64 {
-        self.responses.per_second(now, RATE_TIME_CONSTANT)
+    pub fn successful_response_rate(&self, now: Time) -> f64 {
+        self.successful_responses.per_second(now, RATE_TIME_CONSTANT)
     }
 
     /// Requests that would be in flight if all had the baseline latency (Little's law).
     pub fn baseline_in_flight(&self, now: Time) -> f64 {
-        self.response_rate(now) * self.overall.baseline / SECOND as f64
+        self.successful_response_rate(now) * self.overall.baseline / SECOND as f64
     }
 
     /// Records a failed attempt, and returns the updated failure ratio.
     pub fn learn_failure(&mut self) -> f64 {
-        self.failure_ratio += OUTCOME_GAIN * (1.0 - self.failure_ratio);
+        self.failure_ratio += ATTEMPT_GAIN * (1.0 - self.failure_ratio);
         self.failure_ratio
     }
 
     /// Records a successful attempt.
     pub fn learn_success(&mut self) {
-        self.failure_ratio -= OUTCOME_GAIN * self.failure_ratio;
+        self.failure_ratio -= ATTEMPT_GAIN * self.failure_ratio;
     }
 
     /// Records the latency of an attempt of a class, in nanoseconds.
     pub fn learn_latency(&mut self, class: usize, latency_ns: f64) {
-        self.class_latencies[class].learn(latency_ns, OUTCOME_GAIN);
-        self.overall.learn(latency_ns, OUTCOME_GAIN);
+        self.class_latencies[class].learn(latency_ns, ATTEMPT_GAIN);
+        self.overall.learn(latency_ns, ATTEMPT_GAIN);
     }
 }
--- a/src/decision/zone_routing.rs
+++ b/src/decision/zone_routing.rs
@@ -10,9 +10,9 @@
 
 /// Multiple of its baseline requests in flight above which a zone is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// Standard deviations of a Poisson count of the baseline requests that are added to that multiple.
+/// Standard deviations of a Poisson count of the baseline requests in flight, added to [`OVERLOAD_MULTIPLE`] of them.
 const OVERLOAD_DEVIATIONS: f64 = 3.0;
-/// Lower bound of that limit, in requests, as a small balancer reaches the multiple by chance alone.
+/// Lower bound of the overload limit of a zone, in requests, as a small balancer reaches the multiple by chance alone.
 const MIN_OVERLOAD_IN_FLIGHT: f64 = 4.0;
 /// Blackout threshold: with this fraction of the endpoints tripped, or of the requests failing, the rest
 /// would carry the whole zone.
@@ -21,13 +21,13 @@
 /// avoided: a small balancer sends each endpoint too few requests to trip it, and a crossing should gain more
 /// than it costs.
 const TOLERATED_EXCESS_FAILURE_RATIO: f64 = 0.08;
-/// Fraction of the requests that spill over per unit by which the own zone's lateness (latency divided by
+/// Fraction of the requests that spill over, per unit by which the own zone's latency ratio (latency divided by
 /// objective) exceeds another zone's.
-const SPILL_RATIO_PER_LATENESS: f64 = 3.0;
-/// Part of the price of a crossing that it must gain: less than 1, as it also makes room for the requests
+const SPILL_FRACTION_PER_LATENCY_RATIO: f64 = 3.0;
+/// Part of its price that a crossing must gain: less than 1, as it also makes room for the requests
 /// that stay.
 const SPILL_PRICE_FACTOR: f64 = 0.5;
-/// Lateness that a crossing must gain on top, as the few requests of a small balancer vary by chance.
+/// Latency ratio that a crossing must gain on top, as the few requests of a small balancer vary by chance.
 const MIN_SPILL_GAIN: f64 = 0.05;
 /// Healthy endpoints needed to use the own zone: with more than one, small zones would always be avoided.
 const MIN_HEALTHY_ENDPOINTS: usize = 1;
@@ -135,20 +135,20 @@
 /// Chooses another zone for a request that exceeds the capacity of a healthy own zone. With more traffic than
 /// its endpoints can carry, requests get late at all of them, and a balancer with few requests has too few in
 /// flight to detect an overload. Only the surplus crosses: a fraction of the requests in proportion to the
-/// excess lateness of the own zone.
+/// excess latency ratio of the own zone.
 fn spill_zone(selector: &mut Selector<'_>, own_zone: usize) -> Option<usize> {
-    if !selector.endpoints.pools[own_zone].lateness.is_trusted() {
+    if !selector.endpoints.pools[own_zone].latency_ratio.is_trusted() {
         return None;
     }
     let now = selector.now;
     let other_zone = random_zone(selector, |zone, pool| zone != own_zone && is_serving(pool, now))?;
     let pools = &selector.endpoints.pools;
-    let baseline = pools[own_zone].lateness.baseline;
+    let baseline = pools[own_zone].latency_ratio.baseline;
     let min_gain = SPILL_PRICE_FACTOR * selector.settings.cross_zone_price + MIN_SPILL_GAIN;
-    let gain = pools[own_zone].expected_lateness(baseline, now)
-        - pools[other_zone].expected_lateness(baseline, now)
+    let gain = pools[own_zone].expected_latency_ratio(baseline, now)
+        - pools[other_zone].expected_latency_ratio(baseline, now)
         - min_gain;
-    let should_spill = selector.rng.f64() < SPILL_RATIO_PER_LATENESS * gain;
+    let should_spill = selector.rng.f64() < SPILL_FRACTION_PER_LATENCY_RATIO * gain;
     should_spill.then_some(other_zone)
 }
 
--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -26,8 +26,8 @@
     /// Carries out an action of the decision module.
     pub(super) fn perform_action(&mut self, action: Action) {
         match action {
-            Action::Send { id, endpoint, until, begin_by } => {
-                self.send_attempt(id, endpoint, until, begin_by)
+            Action::Send { id, endpoint, times_out_at, begin_by } => {
+                self.send_attempt(id, endpoint, times_out_at, begin_by)
             }
             Action::Reject { id, retry_after } => {
                 self.respond(id, FinalResponse::Rejected(Duration::from_nanos(retry_after)));
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -305,13 +305,13 @@
     request
 }
 
-/// Parses a load report and returns its figures in the order of `fields`, or `None` if it is malformed or a field is
+/// Parses a load report and returns its values in the order of `fields`, or `None` if it is malformed or a field is
 /// missing.
 pub(super) fn parse_load_report(text: &[u8], fields: &[String]) -> Option<LoadReport> {
-    let values: HashMap<String, f32> = serde_json::from_slice(text).ok()?;
+    let reported: HashMap<String, f32> = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
-    for (figure, field) in report.figures.iter_mut().zip(fields) {
-        *figure = *values.get(field)?;
+    for (value, field) in report.values.iter_mut().zip(fields) {
+        *value = *reported.get(field)?;
         report.len += 1;
     }
     (report.len > 0).then_some(report)
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -12,16 +12,16 @@
         let (id, deadline, now) =
             (client_request.id, self.clock.time(client_request.deadline), self.clock.now());
         let time_left = deadline.saturating_sub(now);
-        let streaming = client_request.request.body().remainder.is_some();
+        let body_incomplete = client_request.request.body().remainder.is_some();
         let incoming = IncomingRequest {
             class: client_request.class,
             tenant: client_request.tenant,
             time_left,
             work: client_request.work,
-            streaming,
+            body_incomplete,
         };
         let client_deadline = deadline;
-        let request_deadline = Some(deadline).filter(|_| !streaming);
+        let request_deadline = Some(deadline).filter(|_| !body_incomplete);
         self.requests.insert(
             id,
             PendingRequest {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -176,7 +176,7 @@
                 tenant: u32_at(record, 17) as usize,
                 time_left: u64_at(record, 23),
                 work: (record[39] & 1 != 0).then(|| u64_at(record, 31)),
-                streaming: false,
+                body_incomplete: false,
             },
         ),
         3 => Event::ResponseStarted(id, record[9] as u32),
@@ -242,8 +242,8 @@
         return Err(WireError::new(format!("load report of {len} values, over the maximum of 4")));
     }
     let mut report = LoadReport { len, ..LoadReport::default() };
-    for (index, figure) in report.figures.iter_mut().enumerate().take(len) {
-        *figure = f32_at(record, offset + 1 + 4 * index);
+    for (index, value) in report.values.iter_mut().enumerate().take(len) {
+        *value = f32_at(record, offset + 1 + 4 * index);
     }
     Ok((len > 0).then_some(report))
 }
@@ -282,8 +282,8 @@
         match action {
             Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
             Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
-            Action::Send { id, endpoint, until, .. } => {
-                self.record(3, instance, &[&id.0, &endpoint.0, until])
+            Action::Send { id, endpoint, times_out_at, .. } => {
+                self.record(3, instance, &[&id.0, &endpoint.0, times_out_at])
             }
             Action::Log(text) => self.text(4, instance, text),
             Action::Fail(id) => self.record(6, instance, &[&id.0]),
@@ -495,10 +495,10 @@
         initial_capacity: raw.safety.start_capacity,
         overload_multiple: raw.safety.tip_multiple,
         warm_up_time: raw.safety.ramp_time_ns,
-        in_flight_figure_position: fields.iter().position(|field| field == "inflight"),
+        in_flight_value_position: fields.iter().position(|field| field == "inflight"),
         cross_zone_price: prices.cross_zone,
         load_query_price: prices.probe,
-        load_on_request: raw.limits.may_probe && via.as_deref() == Some("probe"),
+        load_on_query: raw.limits.may_probe && via.as_deref() == Some("probe"),
     })
 }
 
--- a/tests/common/chain.rs
+++ b/tests/common/chain.rs
@@ -224,7 +224,7 @@
             child: None,
         };
         self.requests[balancer].insert(id, request);
-        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, streaming: false };
+        let incoming = IncomingRequest { class, tenant: 0, time_left, work: None, body_incomplete: false };
         self.handle(balancer, Event::Request(RequestId(id), incoming));
         id
     }
@@ -234,8 +234,8 @@
         self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, endpoint, until, .. } => {
-                    self.send(balancer, id.0, endpoint.0 as usize, until)
+                Action::Send { id, endpoint, times_out_at, .. } => {
+                    self.send(balancer, id.0, endpoint.0 as usize, times_out_at)
                 }
                 Action::Reject { id, .. } | Action::Fail(id) => {
                     self.finish_request(balancer, id.0, AttemptOutcome::Error)
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -228,8 +228,8 @@
             initial_capacity: self.case.initial_capacity,
             overload_multiple: self.case.overload_multiple,
             warm_up_time: WARM_UP_TIME,
-            in_flight_figure_position: self.case.answers_load_queries.then_some(0),
-            load_on_request: self.case.answers_load_queries,
+            in_flight_value_position: self.case.answers_load_queries.then_some(0),
+            load_on_query: self.case.answers_load_queries,
             classes: {
                 let class = |priority_weight| RequestClass {
                     idempotency: Idempotency::Idempotent,
@@ -343,7 +343,8 @@
         self.offered += 1;
         self.requests.insert(id, (work, 0));
         let work = self.case.work_hinted.then_some(work as Duration);
-        let incoming = IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work, streaming: false };
+        let incoming =
+            IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work, body_incomplete: false };
         self.handle(balancer, Event::Request(id, incoming));
     }
 
@@ -354,8 +355,8 @@
         let generation = self.nodes[balancer].generation;
         for action in actions {
             match action {
-                Action::Send { id, endpoint, until, .. } => {
-                    self.send(balancer, id, endpoint.0 as usize, until)
+                Action::Send { id, endpoint, times_out_at, .. } => {
+                    self.send(balancer, id, endpoint.0 as usize, times_out_at)
                 }
                 Action::SetTimer { after, token } => {
                     self.schedule(now + after, SimulationEvent::Timer(balancer, generation, token))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,8 +62,8 @@
         initial_capacity: 0.25,
         overload_multiple: 3.0,
         warm_up_time: 10 * SECOND,
-        in_flight_figure_position: None,
-        load_on_request: false,
+        in_flight_value_position: None,
+        load_on_query: false,
         cross_zone_price: 0.0,
         load_query_price: 0.0,
     }
@@ -120,7 +120,7 @@
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let incoming =
-            IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work: None, streaming: false };
+            IncomingRequest { class, tenant: 0, time_left: 2 * SECOND, work: None, body_incomplete: false };
         (id, self.handle(Event::Request(id, incoming)))
     }
 
@@ -210,5 +210,5 @@
 
 /// A load report with one figure: the number of requests in flight.
 pub fn load_report(in_flight: f32) -> Option<LoadReport> {
-    Some(LoadReport { figures: [in_flight, 0.0, 0.0, 0.0], len: 1 })
+    Some(LoadReport { values: [in_flight, 0.0, 0.0, 0.0], len: 1 })
 }
--- a/tests/common/queued_tier.rs
+++ b/tests/common/queued_tier.rs
@@ -178,7 +178,7 @@
             tenant: 0,
             time_left: self.time_left,
             work: None,
-            streaming: false,
+            body_incomplete: false,
         };
         self.handle(balancer, Event::Request(RequestId(request), incoming));
     }
@@ -188,8 +188,8 @@
         self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, endpoint, until, .. } => {
-                    self.send(balancer, id.0, endpoint.0 as usize, until)
+                Action::Send { id, endpoint, times_out_at, .. } => {
+                    self.send(balancer, id.0, endpoint.0 as usize, times_out_at)
                 }
                 Action::SetTimer { after, token } => {
                     self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
--- a/tests/decision_actions.rs
+++ b/tests/decision_actions.rs
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct Request {
     class: usize,
-    streaming: bool,
+    body_incomplete: bool,
     response_started: bool,
     closed: bool,
     attempts: u32,
@@ -175,11 +175,11 @@
         let id = self.next_id;
         self.next_id += 1;
         let class = self.rng.usize(..5);
-        let streaming = self.rng.f64() < 0.03;
-        self.requests.insert(id, Request { class, streaming, ..Request::default() });
+        let body_incomplete = self.rng.f64() < 0.03;
+        self.requests.insert(id, Request { class, body_incomplete, ..Request::default() });
         let work = (self.rng.f64() < 0.5).then(|| self.rng.u64(..10 * MS));
         let tenant = self.rng.usize(..3);
-        let incoming = IncomingRequest { class, tenant, time_left: 1500 * MS, work, streaming };
+        let incoming = IncomingRequest { class, tenant, time_left: 1500 * MS, work, body_incomplete };
         if self.rng.f64() < 0.04 {
             let delay = self.rng.u64(..100 * MS);
             self.schedule_after(delay, ScheduledEvent::ClientDisconnects(id));
@@ -256,7 +256,7 @@
         else {
             return;
         };
-        if request.streaming && !request.response_started && outcome == AttemptOutcome::Success {
+        if request.body_incomplete && !request.response_started && outcome == AttemptOutcome::Success {
             request.response_started = true;
             request.closed = true;
             self.handle(Event::ResponseStarted(RequestId(id), attempt));
@@ -268,7 +268,7 @@
         request.closed = closed;
         self.in_flight[endpoint as usize] -= 1;
         self.idle_since[endpoint as usize] = self.now;
-        let body_consumed = request.streaming;
+        let body_consumed = request.body_incomplete;
         let elapsed = self.now - sent_at;
         let end = AttemptEnd { attempt, outcome, elapsed, request_closed: closed, body_consumed, load: None };
         self.handle(Event::AttemptEnded(RequestId(id), end));
@@ -344,9 +344,9 @@
 
     fn execute(&mut self, action: &Action) {
         match *action {
-            Action::Send { id, endpoint, until, begin_by } => {
+            Action::Send { id, endpoint, times_out_at, begin_by } => {
                 self.digest.add(&begin_by.unwrap_or(0).to_le_bytes()); // not part of the adapter's protocol
-                self.send(id.0, endpoint.0, until);
+                self.send(id.0, endpoint.0, times_out_at);
             }
             Action::SetTimer { after, token } => self.schedule_after(after, ScheduledEvent::Timer(token)),
             Action::Reject { id, .. } => {
@@ -407,8 +407,8 @@
         ..base_settings()
     };
     let queried = Settings {
-        in_flight_figure_position: Some(0),
-        load_on_request: true,
+        in_flight_value_position: Some(0),
+        load_on_query: true,
         weight_by_work: true,
         ..base_settings()
     };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -184,15 +184,15 @@
         balancer.serve(IDEMPOTENT, if index % 5 == 0 { 60 * MS } else { 10 * MS });
     }
     let (_, actions) = balancer.request(IDEMPOTENT);
-    let Some(Action::Send { until, .. }) =
+    let Some(Action::Send { times_out_at, .. }) =
         actions.iter().find(|action| matches!(action, Action::Send { .. }))
     else {
         panic!("{actions:?}")
     };
     assert!(
-        until - balancer.now > 150 * MS && until - balancer.now < 2 * SECOND,
+        times_out_at - balancer.now > 150 * MS && times_out_at - balancer.now < 2 * SECOND,
         "{} ms",
-        (until - balancer.now) / MS
+        (times_out_at - balancer.now) / MS
     );
 }
 
@@ -372,7 +372,7 @@
 
 /// Settings with which endpoints are queried for their load before each request.
 fn load_query_settings() -> Settings {
-    Settings { in_flight_figure_position: Some(0), load_on_request: true, ..settings() }
+    Settings { in_flight_value_position: Some(0), load_on_query: true, ..settings() }
 }
 
 /// A balancer with one request a second can't see by its own requests in flight that others keep an endpoint
@@ -425,7 +425,7 @@
 fn request_with_hardly_any_time_left_is_sent_without_load_queries() {
     let mut balancer = TestBalancer::new(load_query_settings(), &endpoints_in_zones(1, 6));
     let incoming =
-        IncomingRequest { class: IDEMPOTENT, tenant: 0, time_left: MS, work: None, streaming: false };
+        IncomingRequest { class: IDEMPOTENT, tenant: 0, time_left: MS, work: None, body_incomplete: false };
     let actions = balancer.handle(Event::Request(RequestId(7), incoming));
     assert!(sent_to(&actions).is_some() && queried_endpoints(&actions).is_empty(), "{actions:?}");
 }
@@ -804,7 +804,7 @@
             tenant: 0,
             time_left: 8 * SECOND,
             work: None,
-            streaming: false,
+            body_incomplete: false,
         };
         let actions = balancer.handle(Event::Request(id, incoming));
         rejections += u32::from(is_rejected(&actions));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -436,13 +436,18 @@
     let timer_count = |actions: &[Action]| {
         actions.iter().filter(|action| matches!(action, Action::SetTimer { .. })).count()
     };
-    for (streaming, expected) in [(false, 1), (true, 0)] {
-        let incoming =
-            IncomingRequest { class: IDEMPOTENT, tenant: 0, time_left: 2 * SECOND, work: None, streaming };
+    for (body_incomplete, expected) in [(false, 1), (true, 0)] {
+        let incoming = IncomingRequest {
+            class: IDEMPOTENT,
+            tenant: 0,
+            time_left: 2 * SECOND,
+            work: None,
+            body_incomplete,
+        };
         balancer.next_id += 1;
         let actions = balancer.handle(Event::Request(RequestId(balancer.next_id + 1000), incoming));
         assert!(sent_to(&actions).is_some());
-        assert_eq!(timer_count(&actions), expected, "streaming: {streaming}");
+        assert_eq!(timer_count(&actions), expected, "body_incomplete: {body_incomplete}");
     }
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -238,7 +238,7 @@
                     tenant: class,
                     time_left,
                     work: Some(time_left),
-                    streaming: false,
+                    body_incomplete: false,
                 };
                 self.handle(Event::Request(RequestId(id), incoming));
             }
@@ -279,7 +279,7 @@
             }
             Step::UnknownIds { id, attempt, token, load } => {
                 let id = RequestId(id);
-                let load = Some(LoadReport { figures: [load; 4], len: 4 });
+                let load = Some(LoadReport { values: [load; 4], len: 4 });
                 let end = AttemptEnd {
                     attempt,
                     outcome: AttemptOutcome::Reset,
@@ -328,8 +328,8 @@
         polls_discovery: variant & 4 == 0,
         replicas: if variant & 8 == 0 { 0 } else { 3 },
         zone: ZoneId(if variant & 16 == 0 { 0 } else { 2 }),
-        in_flight_figure_position: Some(0),
-        load_on_request: variant & 32 != 0,
+        in_flight_value_position: Some(0),
+        load_on_query: variant & 32 != 0,
         tenants: vec![Tenant { quota_rps: 0.0 }, Tenant { quota_rps: 10.0 }],
         ..settings()
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -56,7 +56,7 @@
         tenant: 0,
         time_left: 240_000_000,
         work: Some(12_000_000),
-        streaming: false,
+        body_incomplete: false,
     };
     let end = AttemptEnd {
         attempt: 0,
@@ -106,7 +106,7 @@
 fn load_reports_decode() {
     let frame = batch(&["04 03000000 c4913a5d a0491a0100000000 00 01 074a1203 02 02 0000803f 00002041"], &[]);
     let Record::Event(3, Event::AttemptEnded(_, end)) = &decode(&frame)[0] else { panic!() };
-    assert_eq!(end.load, Some(LoadReport { figures: [1.0, 10.0, 0.0, 0.0], len: 2 }));
+    assert_eq!(end.load, Some(LoadReport { values: [1.0, 10.0, 0.0, 0.0], len: 2 }));
     assert_eq!((end.attempt, end.outcome, end.request_closed), (1, AttemptOutcome::Rejected, false));
 }
 
@@ -114,7 +114,10 @@
 fn documented_actions_encode() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a_91c4);
-    reply.push(3, &Action::Send { id, endpoint: EndpointId(0x0312_4a07), until: 8492250000, begin_by: None });
+    reply.push(
+        3,
+        &Action::Send { id, endpoint: EndpointId(0x0312_4a07), times_out_at: 8492250000, begin_by: None },
+    );
     reply.push(3, &Action::SetTimer { after: 500_000_000, token: 0x4d });
     reply.push(5, &Action::Log("two servers known".into()));
     reply.push(3, &Action::Reject { id: RequestId(0x0e6f_2b19), retry_after: 250_000_000 });
@@ -150,7 +153,7 @@
     assert_eq!(settings.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[1].idempotency, Idempotency::Keyed(DeduplicationGroup::Zone, 5_000_000_000));
     assert_eq!((settings.replicas, settings.zones, settings.max_attempts), (4, 2, 4));
-    assert_eq!(settings.in_flight_figure_position, Some(1));
+    assert_eq!(settings.in_flight_value_position, Some(1));
     assert!(settings.polls_discovery && settings.propagates_deadline);
     assert_eq!(settings.idle_timeout, u64::MAX, "idle connections stay open without a setting");
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
