--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -70,7 +70,8 @@
         !self.trial_in_flight && now >= self.open_until.saturating_add(extra_wait)
     }
 
-    /// Whether the endpoint may still be working on abandoned requests, and gets none before its next trial.
+    /// Whether the endpoint may still be working on abandoned requests, and gets no request before its next
+    /// trial.
     /// If all endpoints are in this state, further requests would keep them busy with abandoned work forever.
     pub fn may_be_backlogged(&self, now: Time, repeatable: bool) -> bool {
         self.opened_by_unfinished_attempt && !self.admits(now, repeatable)
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -64,9 +64,9 @@
         Self { id, round_robin_order, turn_credit, slowness: 1.0, rejections, ..Self::default() }
     }
 
-    /// Resets the state for a new process, to which the failures and connections of the old one don't apply.
-    /// Its slow-start budget begins at `random_fraction`, from 0 to 1, of `min_cost`, the cost of a request
-    /// of the lightest class.
+    /// Resets the state for a new process or an endpoint brought back online, to which earlier failures and
+    /// connections don't apply. The slow-start budget begins at `random_fraction`, from 0 to 1, of `min_cost`, the
+    /// cost of a request of the lightest class.
     pub fn on_restart(&mut self, now: Time, random_fraction: f64, min_cost: f64) {
         self.breaker = CircuitBreaker::default();
         self.rejections.fill(ClassRejections::default());
@@ -116,8 +116,8 @@
 
     /// Chooses the connection for a request, and returns how long it has been idle. Something on the path
     /// may have dropped an idle connection silently: where requests on such connections fail and others
-    /// don't, the idle ones are closed and a new one is opened. Guards against reapers of idle connections and
-    /// restarts, at the cost of a handshake.
+    /// don't, the idle ones are closed and a new one is opened. This guards against reapers of idle connections
+    /// and restarts, at the cost of a handshake.
     pub fn choose_connection(
         &mut self,
         risk: &IdleRisk,
@@ -168,8 +168,8 @@
         self.connection_limit = Some(ConnectionLimit { connections, learned_at: now });
     }
 
-    /// Whether a request would need a connection beyond the learned limit. Guards against endpoints that
-    /// accept fewer connections than usual, where each attempt would take the whole time of a failed
+    /// Whether a request would need a connection beyond the learned limit. This guards against endpoints
+    /// that accept fewer connections than usual, where each attempt would take the whole time of a failed
     /// connection.
     pub fn is_at_connection_limit(&self, now: Time) -> bool {
         let Some(limit) = self.connection_limit else { return false };
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -9,8 +9,8 @@
 use super::slow_start::{self, PoolCapacities, SlowStart};
 use super::statistics::TrafficStatistics;
 
-/// Unavailable endpoints that one selection skips before the fallback, as in Ribbon's availability-filtering
-/// rule.
+/// Unavailable endpoints that one selection skips before it uses the fallback, if there is one, as in Ribbon's
+/// availability-filtering rule.
 const MAX_SKIPPED: u32 = 10;
 /// Passes over a pool before the fallback, as endpoints of a smaller capacity skip some of their turns.
 const MAX_ROUNDS: usize = 3;
--- a/src/decision/endpoints.rs
+++ b/src/decision/endpoints.rs
@@ -70,7 +70,7 @@
         &mut self.pools[self.endpoints[position].zone]
     }
 
-    /// Number of listed endpoints that get no requests now: offline, draining, or with a tripped breaker.
+    /// Number of listed endpoints that are offline, draining, or have a tripped breaker.
     pub fn unavailable_count(&self) -> usize {
         let listed = self.positions.values().map(|&position| &self.endpoints[position]);
         let listed = listed.filter(|endpoint| !endpoint.removed);
--- a/src/decision/load_query.rs
+++ b/src/decision/load_query.rs
@@ -60,7 +60,7 @@
     pub candidates: Vec<Candidate>,
 }
 
-/// The requests that wait for load queries.
+/// The requests that wait for load reports.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingRequests {
     pending: HashMap<RequestId, WaitingRequest>,
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -213,8 +213,8 @@
     equal_value: f64,
 }
 
-/// Time constant of the rate at which requests end. A balancer with few requests needs a longer one for [`TRUSTED_SAMPLES`]
-/// responses, because it could not tell an overload from chance otherwise.
+/// Time constant of the rate at which requests end. A balancer with few requests needs a longer one to count
+/// [`TRUSTED_SAMPLES`] requests, because it could not tell an overload from chance otherwise.
 fn rate_time_constant(now: Time, settings: &Settings, traffic: &TrafficStatistics) -> Duration {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let longest = objectives.max().unwrap_or(0).saturating_mul(MAX_RATE_TIME_CONSTANT_OBJECTIVES);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -120,8 +120,7 @@
         actions.append(&mut self.actions);
     }
 
-    /// Number of listed endpoints that receive no requests because they are offline, draining or have a tripped
-    /// circuit breaker.
+    /// Number of listed endpoints that are offline, draining, or have a tripped circuit breaker.
     pub fn unavailable_count(&self) -> usize {
         self.endpoints.unavailable_count()
     }
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -213,8 +213,8 @@
         endpoint.use_connection();
         let is_warm = endpoint.warm_up.is_warm(self.now, &self.settings);
         request.warm_up_cost = if is_warm { 0.0 } else { self.slow_start.cost(request.class, request.work) };
-        endpoint.warm_up.charge(request.warm_up_cost);
-        request.is_trial = endpoint.breaker.tripped;
+        endpoint.warm_up.charge(request.warm_up_cost); // to the slow-start budget
+        request.is_trial = endpoint.breaker.tripped; // a request to a tripped endpoint is a trial
         endpoint.breaker.trial_in_flight |= request.is_trial;
         self.actions.push(Action::Send { id, endpoint: endpoint.id, times_out_at, begin_by });
         request.last_attempt = Some(SentAttempt { endpoint: position, sent_at: self.now });
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -122,7 +122,7 @@
         self.work.admitted.add(now, class);
     }
 
-    /// Records a completed request. `mean` is the mean latency of its class in nanoseconds, and
+    /// Records a successfully completed request. `mean` is the mean latency of its class in nanoseconds, and
     /// `declared_work` the request's own work, if known.
     pub fn on_response(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
         self.work.learn(now, class, mean, declared_work);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -208,7 +208,7 @@
     actions.iter().filter_map(endpoint).collect()
 }
 
-/// A load report with one figure: the number of requests in flight.
+/// A load report with one value: the number of requests in flight.
 pub fn load_report(in_flight: f32) -> Option<LoadReport> {
     Some(LoadReport { values: [in_flight, 0.0, 0.0, 0.0], len: 1 })
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -557,7 +557,7 @@
     assert!(crossings < 60, "{crossings} of 200 requests crossed zones");
 }
 
-/// In a complete stall no responses arrive, and a lateness computed from responses reported that all was well:
+/// In a complete stall no responses arrive, and a latency ratio computed from responses reported that all was well:
 /// nothing was shed.
 #[test]
 fn overload_without_any_answer_is_shed() {
