--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -90,7 +90,7 @@
                 });
                 match balancer {
                     Ok(balancer) => drop(self.instances.insert(instance, balancer)),
-                    Err(error) => self.reply.fault(instance, &error.to_string()),
+                    Err(error) => self.reply.push_fault(instance, &error.to_string()),
                 }
             }
             Record::InstanceEnded(instance) => drop(self.instances.remove(&instance)),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -21,7 +21,7 @@
 /// Maximum number of endpoint lists that are stored at a time.
 pub const MAX_ENDPOINT_LISTS: usize = 16;
 
-/// Malformed input: a frame that cannot be decoded, or invalid settings.
+/// Malformed input: a frame that cannot be decoded, or invalid settings in a frame or in the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError(String);
 
@@ -134,8 +134,8 @@
     records.chunks_exact(EVENT_SIZE).map(move |record| decode_record(record, tail))
 }
 
-/// The part of the tail that a record refers to. The record states at `field_offset` where in the tail that part
-/// starts, and then the number of its items.
+/// The part of the tail that a record refers to. The record has two 32-bit numbers at `field_offset`: the offset of the
+/// part in the tail, and the number of items in the part, each of `item_size` bytes.
 fn tail_part<'a>(
     record: &[u8],
     field_offset: usize,
@@ -210,7 +210,7 @@
     Ok(Record::Event(instance, event))
 }
 
-/// Checks the number of an endpoint list.
+/// Converts the number of an endpoint list, and checks that it is less than [`MAX_ENDPOINT_LISTS`].
 fn decode_list_number(number: u32) -> Result<usize, WireError> {
     let list_number = number as usize;
     if list_number < MAX_ENDPOINT_LISTS {
@@ -280,36 +280,36 @@
     /// Adds an action of an instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
-            Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
-            Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
+            Action::SetTimer { after, token } => self.push_record(0, instance, &[after, token]),
+            Action::Reject { id, retry_after } => self.push_record(1, instance, &[&id.0, retry_after]),
             Action::Send { id, endpoint, until, .. } => {
-                self.record(3, instance, &[&id.0, &endpoint.0, until])
+                self.push_record(3, instance, &[&id.0, &endpoint.0, until])
             }
-            Action::Log(text) => self.text(4, instance, text),
-            Action::Fail(id) => self.record(6, instance, &[&id.0]),
-            Action::QueryLoad(endpoint) => self.record(10, instance, &[&endpoint.0]),
-            Action::CloseIdle(endpoint) => self.record(2, instance, &[&endpoint.0]),
-            Action::WatchEndpoints => self.record(8, instance, &[&1u8]),
+            Action::Log(text) => self.push_text(4, instance, text),
+            Action::Fail(id) => self.push_record(6, instance, &[&id.0]),
+            Action::QueryLoad(endpoint) => self.push_record(10, instance, &[&endpoint.0]),
+            Action::CloseIdle(endpoint) => self.push_record(2, instance, &[&endpoint.0]),
+            Action::WatchEndpoints => self.push_record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
-                self.record(11, instance, &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)]);
+                self.push_record(11, instance, &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)]);
             }
         }
     }
 
-    /// Reports that an instance has failed to start.
-    pub fn fault(&mut self, instance: u32, text: &str) {
-        self.text(9, instance, text);
+    /// Adds a fault action, which reports that an instance has failed to start.
+    pub fn push_fault(&mut self, instance: u32, text: &str) {
+        self.push_text(9, instance, text);
     }
 
     /// Adds a record that refers to a text in the tail.
-    fn text(&mut self, code: u8, instance: u32, text: &str) {
+    fn push_text(&mut self, code: u8, instance: u32, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.record(code, instance, &[&offset, &(text.len() as u32)]);
+        self.push_record(code, instance, &[&offset, &(text.len() as u32)]);
     }
 
     /// Adds a record, padded to its fixed size.
-    fn record(&mut self, code: u8, instance: u32, fields: &[&dyn Field]) {
+    fn push_record(&mut self, code: u8, instance: u32, fields: &[&dyn Field]) {
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_le_bytes());
@@ -349,7 +349,8 @@
 }
 impl_field!(u8, u32, u64);
 
-/// The settings in JSON, as the simulator and the configuration file write them.
+/// The settings in JSON, as a frame of the simulator and the configuration file contain them. [`Settings`] has the same
+/// values under the terms of the decision module.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawSettings {
@@ -492,7 +493,7 @@
         max_retry_after: raw.limits.max_retry_after_ns.unwrap_or(0),
         max_attempts: raw.limits.try_limit,
         idle_timeout: raw.limits.conn_idle_ns.unwrap_or(Duration::MAX),
-        initial_capacity: raw.safety.start_capacity,
+        initial_capacity: raw.safety.start_capacity, // a fraction of the capacity when warm
         overload_multiple: raw.safety.tip_multiple,
         warm_up_time: raw.safety.ramp_time_ns,
         in_flight_figure_position: fields.iter().position(|field| field == "inflight"),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -123,7 +123,7 @@
     reply.push(3, &Action::Cancel { id, attempt: 0 });
     reply.push(3, &Action::QueryLoad(EndpointId(0x2c90_11f2)));
     reply.push(3, &Action::CloseIdle(EndpointId(0x2c90_11f2)));
-    reply.fault(3, "index out of range");
+    reply.push_fault(3, "index out of range");
     let mut frame = Vec::new();
     reply.finish(12, &mut frame);
     let records = [
