--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -145,7 +145,7 @@
         Self::parse(&text, environment_variable("LB_LISTEN"), environment_variable("LB_DISCOVERY"))
     }
 
-    /// Reads the configuration again. The file's `discovery` takes precedence over `LB_DISCOVERY`, which is older.
+    /// Reads the configuration again. The file must state `discovery`: `LB_DISCOVERY` is not used, as it is older.
     pub async fn reload() -> Result<Self, String> {
         let path = config_path()?;
         let text =
--- a/src/proxy/durable_file.rs
+++ b/src/proxy/durable_file.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Pause between two attempts to acquire a lock.
+/// Pause between two tries to acquire a lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum number of attempts at a system call that signals keep interrupting.
-const MAX_INTERRUPTED_ATTEMPTS: usize = 16;
+/// Maximum number of tries of a system call that signals keep interrupting.
+const MAX_INTERRUPTED_TRIES: usize = 16;
 
 /// A step of a file operation, as named in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +68,7 @@
         retry_interrupted(|| fs::rename(&temporary, path)).map_err(FileError::from_io(FileStep::Rename, path))
     });
     if let Err(error) = rename_result {
-        fs::remove_file(&temporary).ok(); // a file that remains is overwritten by the next attempt
+        fs::remove_file(&temporary).ok(); // a file that remains is overwritten by the next call
         return Err(error);
     }
     sync_folder_of(path)
@@ -109,7 +109,7 @@
 
 /// Locks an open file, without waiting if another process holds the lock.
 pub fn try_lock(file: &File) -> Result<(), TryLockError> {
-    for _ in 1..MAX_INTERRUPTED_ATTEMPTS {
+    for _ in 1..MAX_INTERRUPTED_TRIES {
         match file.try_lock() {
             Err(TryLockError::Error(error)) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
@@ -118,9 +118,9 @@
     file.try_lock()
 }
 
-/// Repeats a system call that signals interrupt, up to `MAX_INTERRUPTED_ATTEMPTS` times.
+/// Repeats a system call that signals interrupt, up to `MAX_INTERRUPTED_TRIES` times.
 pub fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..MAX_INTERRUPTED_ATTEMPTS {
+    for _ in 1..MAX_INTERRUPTED_TRIES {
         match operation() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
--- a/src/proxy/offline_endpoints.rs
+++ b/src/proxy/offline_endpoints.rs
@@ -2,7 +2,8 @@
 //! share while one replaces the other.
 //!
 //! `woadstall-offline.json` contains the uids of these endpoints. An order is carried out under a lock, in three steps:
-//! it is written to the pending file, the list is replaced, and the pending file is removed. The removal is the commit.
+//! the order is written to the pending file, the list is replaced, and the pending file is removed. The removal is the
+//! commit.
 //!
 //! An order that is still pending has not been confirmed to its operator, so readers undo it in the list that they
 //! read. Whatever step fails, and wherever the process is killed, an order is in force for all processes if and only if
@@ -179,8 +180,8 @@
     /// Whether the last read found a pending order, or no valid list where one should be.
     fn needs_repair(&self) -> bool {
         let Some(last_read) = &self.last_read else { return false };
-        let is_missing = || !matches!(last_read.committed(), Ok(Some(_))) && !self.current.is_empty();
-        last_read.pending.is_some() || is_missing()
+        let lacks_valid_list = || !matches!(last_read.committed(), Ok(Some(_))) && !self.current.is_empty();
+        last_read.pending.is_some() || lacks_valid_list()
     }
 
     /// Reads the list in force for all processes; requires the lock. If the file is missing or damaged, returns the
--- a/src/proxy/process_handover.rs
+++ b/src/proxy/process_handover.rs
@@ -17,9 +17,10 @@
     folder: PathBuf,
     /// Name of this process's announcement file.
     own_name: OsString,
-    /// This process's announcement file, locked as long as the process runs; `None` if it could not be made yet.
+    /// This process's announcement file, locked as long as the process runs; `None` while it could not be created, or
+    /// not again after its removal from the folder.
     announcement: Option<File>,
-    /// Whether the last attempt to announce failed, which is logged once.
+    /// Whether the last try to announce failed, which is logged once.
     announce_failed: bool,
 }
 
@@ -47,7 +48,7 @@
             if name == self.own_name {
                 is_own_found = true;
             } else if is_announcement(&name) {
-                others_run |= may_run(&entry.path());
+                others_run |= may_be_running(&entry.path());
             }
         }
         if !is_own_found {
@@ -112,7 +113,7 @@
 
 /// Whether the process of an announcement may be running. Also true if that cannot be determined. The announcement of a
 /// process that has died is removed.
-fn may_run(path: &Path) -> bool {
+fn may_be_running(path: &Path) -> bool {
     let file = match retry_interrupted(|| File::open(path)) {
         Ok(file) => file,
         Err(error) => return error.kind() != ErrorKind::NotFound,
--- a/src/proxy/shared_folder.rs
+++ b/src/proxy/shared_folder.rs
@@ -1,6 +1,6 @@
-//! The folder that two processes share while one replaces the other. A thread of its own accesses it, as a disk that is
-//! slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the other.
-//! Tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
+//! The folder that two processes share while one replaces the other. A separate thread accesses the folder, as a disk
+//! that is slow, or hangs in a sync, must not delay requests. A single thread also carries out orders one after the
+//! other. Tasks on the runtime's blocking pool would need a lock for that, and would pile up behind a disk that hangs.
 
 use super::offline_endpoints::{OfflineEndpoints, ReadOutcome};
 use super::orders::{OfflineList, OrderRequest};
@@ -13,7 +13,7 @@
 /// How long the start of the process is delayed while the offline list cannot be read. Without the list, endpoints that
 /// operators have taken offline would get requests.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two attempts to read the list at the start.
+/// Pause between two tries to read the list at the start.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A job for the thread.
--- a/src/proxy/start_times.rs
+++ b/src/proxy/start_times.rs
@@ -56,10 +56,10 @@
         };
         if boot_ms != 0 && boot_ms != start.boot_ms {
             let reported = self.offsets.monotonic(WallTime::from_unix_millis(boot_ms), now);
-            let previous_last_known = start.started_at.max(start.confirmed_at.unwrap_or(0));
+            let previous_start_known_until = start.started_at.max(start.confirmed_at.unwrap_or(0));
             start.boot_ms = boot_ms;
             // Two starts of an endpoint never have the same time.
-            start.started_at = reported.max(previous_last_known.saturating_add(1));
+            start.started_at = reported.max(previous_start_known_until.saturating_add(1));
         }
         if origin == ListOrigin::Discovery {
             start.confirmed_at = Some(now);
--- a/src/transient_errors.rs
+++ b/src/transient_errors.rs
@@ -69,7 +69,7 @@
     Poll::Pending
 }
 
-/// Exponential backoff between tries: each pause is twice as long as the previous one.
+/// Exponential backoff between tries: each pause is twice as long as the previous one, up to `MAX_PAUSE`.
 pub struct Backoff {
     next_pause: Duration,
 }
