--- a/src/proxy/downstream/admission.rs
+++ b/src/proxy/downstream/admission.rs
@@ -39,7 +39,7 @@
             let overdue = clients
                 .values()
                 .filter(|client| lock(&client.connection.framing).is_overdue(REQUEST_READ_TIMEOUT));
-            overdue.for_each(|client| client.check_timeout.notify_one());
+            overdue.for_each(|client| client.close_check_notify.notify_one());
         }
     }
 
@@ -77,7 +77,7 @@
         if accept_failures.failures == 0 {
             return;
         }
-        self.dispatcher.send(DispatcherMessage::ResourceShortage).ok();
+        self.dispatcher_sender.send(DispatcherMessage::ResourceShortage).ok();
         let is_persistent = accept_failures.failures >= PERSISTENT_SHORTAGE_FAILURES;
         self.evict_idle_where(|state, _| {
             is_persistent
@@ -104,12 +104,12 @@
 
     /// Evicts one idle connection, and returns whether there was one.
     ///
-    /// Connections that linger, or have sent no request for a known class for a while, are evicted first. They are
-    /// followed by connections between requests, and by new connections on which nothing was received. Connections with
-    /// a partial request are last, as that request would be lost. Of each kind, the connection that has been idle for
-    /// longest is evicted.
+    /// Connections that linger, that were used only for unknown classes, or on which nothing was received for a while
+    /// are evicted first. They are followed by connections between requests, and by new connections on which nothing
+    /// was received. Connections with a partial request are last, as that request would be lost. Of each kind, the
+    /// connection that has been idle for longest is evicted.
     ///
-    /// Unserved connections may fill only a share of the limit. Once they exceed it, they are evicted before
+    /// Unserved connections may fill only a share of the limit. Once they exceed this share, they are evicted before
     /// connections between requests, so that many of them cannot displace clients that have been served.
     ///
     /// The evicted client may be sending right now. It then knows that its request was not processed.
@@ -140,12 +140,12 @@
             IdleState::BetweenRequests => 4,
         };
         let not_evicted =
-            idle_clients.into_iter().filter(|(_, client)| !client.evicted.load(Ordering::Relaxed));
+            idle_clients.into_iter().filter(|(_, client)| !client.is_evicted.load(Ordering::Relaxed));
         let candidates = not_evicted.filter(|((state, since), _)| is_candidate(*state, *since));
         let selected = candidates.min_by_key(|((state, since), _)| (eviction_rank(*state, *since), *since));
         let Some((_, client)) = selected else { return false };
-        client.evicted.store(true, Ordering::Relaxed);
-        client.evict.notify_one();
+        client.is_evicted.store(true, Ordering::Relaxed);
+        client.eviction_notify.notify_one();
         true
     }
 
@@ -154,13 +154,13 @@
         tcp.set_nodelay(true).ok();
         let exceeds_limit = self.client_count() >= self.config.limits.clients && !self.evict_idle();
         let (stream, connection) = SingleRequestStream::new(tcp);
-        let (evict, check_timeout) = (Notify::new(), Notify::new());
+        let (eviction_notify, close_check_notify) = (Notify::new(), Notify::new());
         let client = Arc::new(ClientHandle {
             exceeds_limit,
             connection,
-            evicted: AtomicBool::new(false),
-            evict,
-            check_timeout,
+            is_evicted: AtomicBool::new(false),
+            eviction_notify,
+            close_check_notify,
         });
         let client_id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
         lock(&self.clients).insert(client_id, client.clone());
--- a/src/proxy/downstream/client.rs
+++ b/src/proxy/downstream/client.rs
@@ -11,9 +11,10 @@
     /// The socket and its framing state.
     pub connection: ClientConnection,
     /// The connection was selected to be closed, so that another client can use its slot.
-    pub evicted: AtomicBool,
-    /// Notified on eviction: the connection is then closed between requests, or stops lingering.
-    pub evict: Notify,
-    /// Notified when the connection may be overdue or the process is shutting down.
-    pub check_timeout: Notify,
+    pub is_evicted: AtomicBool,
+    /// Notified when `is_evicted` is set: the connection is then closed between requests, or stops lingering.
+    pub eviction_notify: Notify,
+    /// Notified when the connection may have to be closed: the client may take too long to send its request or to read
+    /// its response, or the process is shutting down.
+    pub close_check_notify: Notify,
 }
--- a/src/proxy/downstream/client_task.rs
+++ b/src/proxy/downstream/client_task.rs
@@ -52,7 +52,7 @@
         if reason == CloseReason::Panicked {
             crate::proxy::logging::log(format_args!("the task that serves a client connection has panicked"));
         }
-        self.client.connection.close(reason, self.client.evict.notified()).await;
+        self.client.connection.close(reason, self.client.eviction_notify.notified()).await;
     }
 
     /// Serves requests until the connection is to be closed, and returns why.
@@ -68,12 +68,12 @@
             .max_buf_size(READ_BUFFER_SIZE)
             .serve_connection(TokioIo::new(stream), service);
         let mut http_connection = std::pin::pin!(http_connection);
-        // Set once the connection is to be closed between requests: how long it still stays open if it has never
-        // received anything.
+        // Set once the connection is to be closed between requests: how long the connection still stays open if nothing
+        // was ever received on it.
         let mut silent_grace = None;
-        let mut evicted = false;
+        let mut is_evicted = false;
         loop {
-            if evicted
+            if is_evicted
                 && matches!(lock(&client_connection.framing).idle_state(), Some((IdleState::PartialHead, _)))
             {
                 return CloseReason::Evicted;
@@ -84,7 +84,7 @@
             tokio::select! {
                 biased; // a request that was received is read before the connection is closed between requests
                 _ = http_connection.as_mut() => return CloseReason::Done,
-                () = self.client.check_timeout.notified() => {
+                () = self.client.close_check_notify.notified() => {
                     // Bytes that were just received are read first.
                     let read_time =
                         if client_connection.has_unread_bytes() { TIMEOUT_CHECK_INTERVAL / 10 } else { Duration::ZERO };
@@ -105,8 +105,8 @@
                 {
                     silent_grace = Some(NEW_CONNECTION_GRACE);
                 }
-                () = self.client.evict.notified() => {
-                    (silent_grace, evicted) = (Some(Duration::ZERO), true);
+                () = self.client.eviction_notify.notified() => {
+                    (silent_grace, is_evicted) = (Some(Duration::ZERO), true);
                 }
                 () = sleep(TIMEOUT_CHECK_INTERVAL / 10), if silent_grace.is_some() => {}
             }
@@ -137,7 +137,7 @@
 
     /// Whether the state of the client or of the server requires that the connection is closed after its next response.
     pub fn closes_after_response(&self) -> bool {
-        let evicted = self.client.evicted.load(Ordering::Relaxed);
-        self.client.exceeds_limit || evicted || self.server.draining.load(Ordering::Relaxed)
+        let is_evicted = self.client.is_evicted.load(Ordering::Relaxed);
+        self.client.exceeds_limit || is_evicted || self.server.draining.load(Ordering::Relaxed)
     }
 }
--- a/src/proxy/downstream/closing.rs
+++ b/src/proxy/downstream/closing.rs
@@ -13,7 +13,8 @@
 use tokio::io::Interest;
 use tokio::time::timeout;
 
-/// How long a connection stays half-closed after the last response, so that the client can read the response.
+/// How long a connection stays half-closed after the last response, so that the client can read the response. Before
+/// that, the same limit applies to writing a response that is still due.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum bytes of an answered request that are read and dropped. To read more would suggest that the request is
 /// still being processed.
@@ -52,7 +53,7 @@
         if let Some(response) = closing_response(reason, pending_response) {
             timeout(LINGER_TIMEOUT, self.write_response(response)).await.ok();
         }
-        if lock(&self.framing).reset_on_close || !self.would_reset_on_close() {
+        if lock(&self.framing).reset_requested || !self.would_lose_response() {
             return;
         }
         SockRef::from(&*self.tcp).shutdown(Shutdown::Write).ok(); // an error also ends the connection
@@ -77,18 +78,19 @@
         }
     }
 
-    /// Whether closing the socket would reset the connection: because the kernel has unread bytes, or because the rest
-    /// of the current request may still arrive.
-    fn would_reset_on_close(&self) -> bool {
-        let is_closed_by_client = self.peek_length() == Some(0);
+    /// Whether closing the socket would reset the connection, so that the client might lose the response: because the
+    /// kernel has unread bytes, or because the rest of the current request may still arrive.
+    fn would_lose_response(&self) -> bool {
+        let is_closed_by_client = self.peek_one_byte() == Some(0);
         let framing = lock(&self.framing);
         !is_closed_by_client && !framing.eof_received() && framing.outstanding() > 0
             || self.has_unread_bytes()
     }
 
-    /// The number of bytes that the kernel returns for a peek of one byte, including bytes that the runtime has not
-    /// been notified of. `Some(0)` after the client's FIN or an error, and `None` if there is nothing to read.
-    fn peek_length(&self) -> Option<usize> {
+    /// Peeks one byte from the kernel, which may have bytes that the runtime has not been notified of. Returns
+    /// `Some(1)` if there is a byte, `Some(0)` after the client's FIN or an error, and `None` if there is nothing to
+    /// read.
+    fn peek_one_byte(&self) -> Option<usize> {
         match SockRef::from(&*self.tcp).peek(&mut [MaybeUninit::uninit()]) {
             Ok(length) => Some(length),
             Err(error) if error.raw_os_error() == Some(Errno::AGAIN.raw_os_error()) => None,
@@ -98,7 +100,7 @@
 
     /// Whether the kernel has unread bytes.
     pub fn has_unread_bytes(&self) -> bool {
-        self.peek_length().is_some_and(|length| length > 0)
+        self.peek_one_byte().is_some_and(|length| length > 0)
     }
 
     /// Reads the rest of the answered request and waits for the client's FIN. Pipelined bytes behind that request are
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -83,7 +83,7 @@
     /// only at its next poll, and a read returns it only after all bytes that were received before.
     ///
     /// While the receive buffer is full, the client cannot send its FIN. The bytes that follow the request are
-    /// therefore read here if the whole request was received, which the caller states by `request_complete`.
+    /// therefore read here if the whole request was received, according to `request_complete` or to the framing state.
     pub fn is_disconnected(&self, request_complete: bool) -> bool {
         let (Some(tcp), Some(framing)) = (self.tcp.upgrade(), self.framing.upgrade()) else { return true };
         let mut framing = lock(&framing);
@@ -161,7 +161,7 @@
 
 impl Drop for SingleRequestStream {
     fn drop(&mut self) {
-        if lock(&self.0.framing).reset_on_close {
+        if lock(&self.0.framing).reset_requested {
             SockRef::from(&*self.0.tcp).set_linger(Some(Duration::ZERO)).ok();
         }
     }
--- a/src/proxy/downstream/draining.rs
+++ b/src/proxy/downstream/draining.rs
@@ -44,7 +44,7 @@
     /// response.
     pub async fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
-        lock(&self.clients).values().for_each(|client| client.check_timeout.notify_one());
+        lock(&self.clients).values().for_each(|client| client.close_check_notify.notify_one());
         timeout(TIMEOUT_CHECK_INTERVAL + LINGER_TIMEOUT, self.wait_for_all_closed()).await.ok();
     }
 
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -34,7 +34,7 @@
     /// The configuration of this process.
     pub config: Arc<Config>,
     /// The sender of messages to the dispatcher.
-    pub dispatcher: UnboundedSender<DispatcherMessage>,
+    pub dispatcher_sender: UnboundedSender<DispatcherMessage>,
     /// Whether the balancer is ready to serve, as reported by health checks.
     pub ready: watch::Receiver<bool>,
     /// Turns true once the first request to discovery has succeeded or failed, or at once where discovery is polled.
@@ -66,14 +66,14 @@
     /// Creates a server that hands its requests to the dispatcher.
     pub fn new(
         config: Arc<Config>,
-        dispatcher: UnboundedSender<DispatcherMessage>,
+        dispatcher_sender: UnboundedSender<DispatcherMessage>,
         (ready, discovery_attempted): (watch::Receiver<bool>, watch::Receiver<bool>),
         counters: Arc<Counters>,
         body_memory: Arc<BodyMemory>,
     ) -> Self {
         Self {
             config,
-            dispatcher,
+            dispatcher_sender,
             ready,
             discovery_attempted,
             counters,
--- a/src/proxy/downstream/request_framing.rs
+++ b/src/proxy/downstream/request_framing.rs
@@ -13,7 +13,7 @@
 /// The response that is still due on a connection that is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingResponse {
-    /// No request has started, or the response to it has.
+    /// No response is due, such as before a request has started or after its response has.
     Nothing,
     /// The response to a request that was not received completely.
     ForPartialRequest,
@@ -51,7 +51,7 @@
 pub const READ_MERGE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The progress of the current request on a connection. The current request is the one that is being received or
-/// answered; without such a request, it is the next one.
+/// answered; without such a request, the next one is the current one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// The head was not received completely or not parsed yet; nothing of the request was handed to hyper.
@@ -75,7 +75,7 @@
     BetweenRequests,
     /// A part of a request head was received.
     PartialHead,
-    /// The last response is written, but the client has not read it yet.
+    /// The last response is written, and the connection stays open only for the client to read it.
     Lingering,
 }
 
@@ -129,9 +129,9 @@
     /// More bytes were received than the read buffer holds, and the excess was dropped. The connection is closed after
     /// the response, as part of the next request is missing.
     pub pipelined_bytes_dropped: bool,
-    /// The connection is reset instead of closed, as the response was aborted and only an RST can show that to the
-    /// client.
-    pub reset_on_close: bool,
+    /// The connection is to be reset instead of closed, as the response was aborted and only an RST can show that to
+    /// the client.
+    pub reset_requested: bool,
 }
 
 impl RequestFraming {
@@ -159,7 +159,7 @@
             has_both_lengths: false,
             read_waker: None,
             pipelined_bytes_dropped: false,
-            reset_on_close: false,
+            reset_requested: false,
         }
     }
 
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -144,7 +144,7 @@
         let (is_head_request, is_http_1_0) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
         let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
-        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.dispatcher);
+        let mut cancel_on_drop = CancelOnDrop(Some(id), &self.dispatcher_sender);
         let (response_sender, mut response_receiver) = oneshot::channel();
         let RequestParameters { class, tenant, work, budget, .. } = parameters;
         let mut complete_request = || {
@@ -155,14 +155,14 @@
         let client = connection.liveness();
         let client_request =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender };
-        self.dispatcher.send(DispatcherMessage::Request(Box::new(client_request))).ok();
+        self.dispatcher_sender.send(DispatcherMessage::Request(Box::new(client_request))).ok();
         let disconnected = Err((StatusCode::BAD_REQUEST, "the caller has left\n")); // the client cannot read this
         let early_response = match remainder_received {
             None => None,
             Some(remainder_received) => tokio::select! {
                 biased;
                 Ok(()) = remainder_received => {
-                    self.dispatcher.send(DispatcherMessage::RequestReceived(id, complete_request())).ok();
+                    self.dispatcher_sender.send(DispatcherMessage::RequestReceived(id, complete_request())).ok();
                     None
                 }
                 final_response = &mut response_receiver => Some(final_response),
@@ -195,7 +195,7 @@
                     // can show the client that the body was aborted.
                     if is_http_1_0 && response.body().size_hint().exact().is_none() {
                         let framing = framing.clone();
-                        response.body_mut().on_abort(move || lock(&framing).reset_on_close = true);
+                        response.body_mut().on_abort(move || lock(&framing).reset_requested = true);
                     }
                     response.body_mut().keep_until_end(guard);
                 }
--- a/src/proxy/downstream/serving.rs
+++ b/src/proxy/downstream/serving.rs
@@ -13,13 +13,13 @@
 
 impl DownstreamServer {
     /// Serves until a stop is requested and for the drain time after that. Returns when all requests are answered.
-    pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
+    pub async fn run(self, listener: TcpListener, mut stop_receiver: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let timeout_checks = tokio::spawn(server.clone().run_timeout_checks());
-        let (start_graceful_shutdown, graceful_shutdown) = watch::channel(false);
+        let (graceful_shutdown_sender, graceful_shutdown) = watch::channel(false);
         let shares_listener = server.config.listen_fd.is_some();
         let stop_accepting = async {
-            stopping.wait_for(|stop_requested| *stop_requested).await.ok();
+            stop_receiver.wait_for(|stop_requested| *stop_requested).await.ok();
             if !shares_listener {
                 sleep(server.drain_time()).await;
             }
@@ -42,7 +42,7 @@
             timeout(10 * BACKLOG_EMPTY_TIMEOUT, accept_task).await.ok();
         }
         server.draining.store(true, Ordering::Relaxed);
-        start_graceful_shutdown.send_replace(true);
+        graceful_shutdown_sender.send_replace(true);
         // Connections that were just accepted still get time to send a request.
         timeout(10 * BACKLOG_EMPTY_TIMEOUT, server.wait_for_all_closed()).await.ok();
         server.rejecting.store(true, Ordering::Relaxed);
