--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -39,7 +39,7 @@
     /// Turns true once an endpoint is in service.
     pub ready: watch::Receiver<bool>,
     /// The sender of messages to the dispatcher.
-    pub dispatcher: UnboundedSender<DispatcherMessage>,
+    pub dispatcher_sender: UnboundedSender<DispatcherMessage>,
 }
 
 type AdminResponse = Response<Full<Bytes>>;
@@ -175,7 +175,7 @@
     let claim = OrderClaim::default();
     let (outcome_sender, mut outcome_receiver) = oneshot::channel();
     context
-        .dispatcher
+        .dispatcher_sender
         .send(DispatcherMessage::OperatorOrder(OrderRequest { order, claim: claim.clone(), outcome_sender }))
         .ok();
     if let Ok(outcome) = timeout(ORDER_TIMEOUT, &mut outcome_receiver).await {
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -22,7 +22,7 @@
 
 /// How long discovery may delay the response to a watch until something changes.
 ///
-/// A watch whose connection has gone silent is noticed only after this wait. The balancer counts as notified of a
+/// That the connection of a watch has gone silent is noticed only after this wait. The balancer counts as notified of a
 /// change that it missed 6 s after the connection fell silent, or 2 s after the end of the wait if that is later. A
 /// short wait therefore leaves the most time to send another request.
 ///
@@ -50,24 +50,25 @@
 /// changes, the current request is dropped and the full list is requested from the new address, as revisions of two
 /// services cannot be compared.
 ///
-/// Where discovery pushes lists, `discovery_attempted` turns true once the first request has succeeded or failed: the
-/// balancer counts as notified of the agent's list from the start. Where discovery is polled, it is true at once.
+/// Where discovery pushes lists, `discovery_attempted_sender` is set to true once the first request has succeeded or
+/// failed: the balancer counts as notified of the agent's list from the start. Where discovery is polled, it is set to
+/// true at once.
 pub async fn run(
     config: Arc<Config>,
-    dispatcher: UnboundedSender<DispatcherMessage>,
+    dispatcher_sender: UnboundedSender<DispatcherMessage>,
     mut watch_requests: UnboundedReceiver<()>,
     mut addresses: watch::Receiver<SocketAddr>,
-    discovery_attempted: watch::Sender<bool>,
+    discovery_attempted_sender: watch::Sender<bool>,
 ) {
     let polls_discovery = config.settings.polls_discovery;
-    discovery_attempted.send_replace(polls_discovery);
+    discovery_attempted_sender.send_replace(polls_discovery);
     let mut known_revision = Some(config.known.rev);
     loop {
         let address = *addresses.borrow_and_update();
         let watcher = EndpointWatcher {
             polls_discovery,
-            dispatcher: &dispatcher,
-            discovery_attempted: &discovery_attempted,
+            dispatcher_sender: &dispatcher_sender,
+            discovery_attempted_sender: &discovery_attempted_sender,
         };
         tokio::select! {
             biased;
@@ -82,8 +83,8 @@
 struct EndpointWatcher<'a> {
     /// Discovery sends lists only on request, and is a service that all balancers share.
     polls_discovery: bool,
-    dispatcher: &'a UnboundedSender<DispatcherMessage>,
-    discovery_attempted: &'a watch::Sender<bool>,
+    dispatcher_sender: &'a UnboundedSender<DispatcherMessage>,
+    discovery_attempted_sender: &'a watch::Sender<bool>,
 }
 
 impl EndpointWatcher<'_> {
@@ -122,7 +123,8 @@
                 false => format!("/v1/servers?after={revision}&wait_ms={}", wait.as_millis()),
             };
             match client.fetch(&path, wait).await {
-                // A lower revision means that the service was replaced. Only the full list shows what it lists now.
+                // A lower revision means that the service was replaced. Only the full list shows what the new service
+                // lists.
                 Ok(listing) if listing.rev < revision && !listing.all => needs_full_list = true,
                 Ok(listing) => {
                     if failures > 0 {
@@ -132,10 +134,10 @@
                     }
                     let is_unchanged = listing.rev == revision && !may_have_missed;
                     (revision, needs_full_list, may_have_missed, failures) = (listing.rev, false, false, 0);
-                    if self.dispatcher.send(DispatcherMessage::EndpointList(listing)).is_err() {
+                    if self.dispatcher_sender.send(DispatcherMessage::EndpointList(listing)).is_err() {
                         return;
                     }
-                    self.discovery_attempted.send_replace(true);
+                    self.discovery_attempted_sender.send_replace(true);
                     if is_unchanged {
                         sleep(UNCHANGED_PAUSE).await;
                     }
@@ -146,7 +148,7 @@
                         crate::proxy::logging::log(format_args!("discovery failed at {address}: {error}"));
                     }
                     // Requests need not wait for a list that may never come.
-                    self.discovery_attempted.send_replace(true);
+                    self.discovery_attempted_sender.send_replace(true);
                     (may_have_missed, failures) = (true, failures.saturating_add(1));
                     if self.polls_discovery {
                         if !self
@@ -171,7 +173,7 @@
         watch_requests: &mut UnboundedReceiver<()>,
     ) -> bool {
         while watch_requests.try_recv().is_ok() {}
-        self.dispatcher.send(message).is_ok() && watch_requests.recv().await.is_some()
+        self.dispatcher_sender.send(message).is_ok() && watch_requests.recv().await.is_some()
     }
 }
 
@@ -203,8 +205,8 @@
         };
         // There are no other peers whose reachability could be compared with that of discovery.
         let tcp = connect(address, connect_deadline, &Reachability::default()).await?;
-        let (notify_received, received) = watch::channel(());
-        let tcp = InspectReader::new(tcp, move |_: &[u8]| notify_received.send_replace(()));
+        let (received_sender, received) = watch::channel(());
+        let tcp = InspectReader::new(tcp, move |_: &[u8]| received_sender.send_replace(()));
         let (sender, connection_task) = handshake(TokioIo::new(tcp)).await?;
         tokio::spawn(connection_task);
         Ok(Self { sender, received })
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -44,11 +44,11 @@
 
 /// Reads the configuration again and applies its discovery address; all other settings need a restart. A configuration
 /// that is invalid or cannot be read changes nothing.
-async fn reload(discovery_updates: watch::Sender<SocketAddr>) {
+async fn reload(discovery_address_sender: watch::Sender<SocketAddr>) {
     match Config::reload().await {
         Ok(config) => {
             logging::log(format_args!("configuration read again, discovery at {}", config.discovery));
-            discovery_updates.send_replace(config.discovery);
+            discovery_address_sender.send_replace(config.discovery);
         }
         Err(error) => logging::log(format_args!("configuration kept, as the new one is not sound: {error}")),
     }
@@ -80,12 +80,13 @@
 /// Opens the folder that is shared with the processes that this one replaces and is replaced by.
 fn open_shared_folder(
     config: &Config,
-    dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
+    dispatcher_sender: mpsc::UnboundedSender<DispatcherMessage>,
 ) -> Result<(SharedFolder, FolderState), String> {
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let name = format!("{}-{:x}", std::process::id(), config.seed);
     let report = move |event| {
-        dispatcher.send(DispatcherMessage::SharedFolder(event)).ok(); // fails only once the dispatcher has stopped
+        // Fails only once the dispatcher has stopped.
+        dispatcher_sender.send(DispatcherMessage::SharedFolder(event)).ok();
     };
     SharedFolder::open(folder, &name, report)
         .map_err(|error| format!("cannot start the thread of the shared folder: {error}"))
@@ -112,8 +113,8 @@
     let (dispatcher_sender, inbox) = mpsc::unbounded_channel();
     let (ready_sender, ready_receiver) = watch::channel(false);
     let (watch_request_sender, watch_requests) = mpsc::unbounded_channel();
-    let (stop, stopping) = watch::channel(false);
-    let (discovery_updates, discovery_address) = watch::channel(config.discovery);
+    let (stop_sender, stop_receiver) = watch::channel(false);
+    let (discovery_address_sender, discovery_address_receiver) = watch::channel(config.discovery);
     let (discovery_attempted_sender, discovery_attempted_receiver) = watch::channel(false);
 
     let counters = Arc::new(metrics::Counters::new(&config.proxy_settings.classes));
@@ -132,16 +133,16 @@
         shared_folder,
     )?;
     if let Some(address) = config.admin {
-        let (counters, ready, dispatcher) =
+        let (counters, ready, dispatcher_sender) =
             (counters.clone(), ready_receiver.clone(), dispatcher_sender.clone());
-        admin::start(address, admin::AdminContext { counters, ready, dispatcher })?;
+        admin::start(address, admin::AdminContext { counters, ready, dispatcher_sender })?;
     }
     let mut dispatcher_task = tokio::spawn(dispatcher.run(inbox));
     tokio::spawn(discovery::run(
         config.clone(),
         dispatcher_sender.clone(),
         watch_requests,
-        discovery_address,
+        discovery_address_receiver,
         discovery_attempted_sender,
     ));
     let server = downstream::DownstreamServer::new(
@@ -151,7 +152,7 @@
         counters,
         body_memory,
     );
-    let mut server_task = tokio::spawn(server.run(listener, stopping));
+    let mut server_task = tokio::spawn(server.run(listener, stop_receiver));
 
     // While the last clients are served, SIGHUP may still change discovery's address, and another SIGTERM or SIGINT
     // changes nothing.
@@ -163,11 +164,11 @@
             // Open requests, and those that are received until the server has stopped, get the response of a failure.
             Err(error) = &mut dispatcher_task, if outcome.is_ok() => {
                 outcome = Err(format!("the dispatcher stopped: {error}"));
-                stop.send_replace(true);
+                stop_sender.send_replace(true);
             }
-            _ = sigterm.recv() => { stop.send_replace(true); }
-            _ = sigint.recv() => { stop.send_replace(true); }
-            _ = sighup.recv() => drop(tokio::spawn(reload(discovery_updates.clone()))),
+            _ = sigterm.recv() => { stop_sender.send_replace(true); }
+            _ = sigint.recv() => { stop_sender.send_replace(true); }
+            _ = sighup.recv() => drop(tokio::spawn(reload(discovery_address_sender.clone()))),
         }
     }
 }
