--- a/src/proxy/body/request_body.rs
+++ b/src/proxy/body/request_body.rs
@@ -21,9 +21,9 @@
 }
 
 impl RequestBody {
-    /// Whether a part of the remainder has been consumed, so that the body cannot be sent again.
-    pub fn is_consumed(&self) -> bool {
-        self.remainder.as_ref().is_some_and(|remainder| remainder.consumed.load(Ordering::Relaxed))
+    /// Whether an attempt has started to read the remainder, so that the body cannot be sent again.
+    pub fn has_read_started(&self) -> bool {
+        self.remainder.as_ref().is_some_and(|remainder| remainder.read_started.load(Ordering::Relaxed))
     }
 }
 
@@ -35,11 +35,11 @@
     pub length: Option<u64>,
     /// How many more bytes may be received before the remainder exceeds [`MAX_BODY`].
     pub allowance: Mutex<u64>,
-    /// An attempt has started to read the remainder.
-    pub consumed: AtomicBool,
+    /// An attempt has started to read the remainder, even if nothing of it has been received yet.
+    pub read_started: AtomicBool,
     /// The body ended early or exceeded the size limit, which is the client's fault.
     pub aborted: AtomicBool,
-    /// Notified when the whole body has been received.
+    /// Notifies the receiver that [`new`](Self::new) returns; `None` once the whole body has been received.
     pub end_sender: Mutex<Option<oneshot::Sender<()>>>,
 }
 
@@ -49,16 +49,16 @@
         let (sender, end_receiver) = oneshot::channel();
         let (length, end_sender) = (body.size_hint().exact(), Mutex::new(Some(sender)));
         let allowance = Mutex::new(MAX_BODY);
-        let (consumed, aborted) = Default::default();
+        let (read_started, aborted) = Default::default();
         (
-            Arc::new(Self { body: Mutex::new(body), length, allowance, consumed, aborted, end_sender }),
+            Arc::new(Self { body: Mutex::new(body), length, allowance, read_started, aborted, end_sender }),
             end_receiver,
         )
     }
 
     /// Polls the next chunk. The body is marked as aborted if it ends early or exceeds the size limit.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
-        self.consumed.store(true, Ordering::Relaxed);
+        self.read_started.store(true, Ordering::Relaxed);
         let mut body = lock(&self.body);
         loop {
             return match Pin::new(&mut *body).poll_frame(cx) {
--- a/src/proxy/dispatcher/actions.rs
+++ b/src/proxy/dispatcher/actions.rs
@@ -39,7 +39,7 @@
                 let attempt = attempts
                     .and_then(|attempts| attempts.iter_mut().find(|attempt| attempt.number == number));
                 if let Some(attempt) = attempt {
-                    attempt.cancel = None;
+                    attempt.cancel_sender = None;
                 }
             }
             Action::QueryLoad(endpoint) => self.query_load(endpoint),
--- a/src/proxy/dispatcher/attempts.rs
+++ b/src/proxy/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to serve a request: their start, their response and their end.
+//! The attempts of requests: how each is started, how its response is received, and how it ends.
 
 use super::{AttemptInFlight, Dispatcher};
 use crate::proxy::body::request_body::{BodyRemainder, RequestBody};
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Dispatcher {
-    /// Starts an attempt. If it is too late or impossible to send it, queues its end as not sent.
+    /// Starts an attempt, or queues its end as not sent if it is too late or impossible to send it.
     pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
@@ -43,31 +43,34 @@
         pending_request.attempts += 1;
         let upstream = self.endpoints.get(&endpoint).copied();
         let client_deadline = pending_request.client_deadline;
-        let has_budget = upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
-        let in_time = has_budget && now < attempt_deadline && begin_by.is_none_or(|begin_by| now < begin_by);
+        let has_time_for_attempt =
+            upstream_budget(Duration::from_nanos(client_deadline.saturating_sub(now))).is_some();
+        let in_time =
+            has_time_for_attempt && now < attempt_deadline && begin_by.is_none_or(|begin_by| now < begin_by);
         let is_allowed = in_time && number < self.config.settings.max_attempts;
         let can_send = pending_request.response_sender.is_some()
             && is_allowed
-            && !pending_request.request.body().is_consumed();
+            && !pending_request.request.body().has_read_started();
         let target = upstream.filter(|_| can_send).and_then(|upstream| Some((upstream, upstream.address?)));
         let Some((upstream, address)) = target else { return self.queue_not_sent(id, number) };
         let Some(connection_source) = self.idle_pool.acquire(endpoint) else {
             return self.queue_not_sent(id, number);
         };
         let request = upstream_request(&pending_request.request, address);
-        let (cancel, cancelled) = oneshot::channel::<()>();
+        let (cancel_sender, cancelled) = oneshot::channel::<()>();
         let write_started = Arc::new(AtomicBool::new(false));
-        let write_started_flag = write_started.clone();
+        let task_write_started = write_started.clone(); // the same flag, for the task that runs the attempt
         pending_request.attempts_in_flight.push(AttemptInFlight {
             number,
             endpoint,
             upstream,
-            sent_at: now,
+            started_at: now,
             started_response: None,
             write_started,
-            cancel: Some(cancel),
+            cancel_sender: Some(cancel_sender),
         });
-        let remainder = pending_request
+        // Only while the request is still being received, when its deadline is not known yet.
+        let incomplete_remainder = pending_request
             .request
             .body()
             .remainder
@@ -75,9 +78,10 @@
             .filter(|_| pending_request.request_deadline.is_none());
         let expiry = wait_for_expiry(
             self.clock.instant(attempt_deadline),
-            remainder.map(|remainder| (pending_request.received_at.subscribe(), remainder)),
+            incomplete_remainder.map(|remainder| (pending_request.received_at.subscribe(), remainder)),
         );
-        let (messages, client) = (self.messages.clone(), Some(pending_request.client.clone()));
+        let (dispatcher_sender, client) =
+            (self.dispatcher_sender.clone(), Some(pending_request.client.clone()));
         let attempt_counter = Some(self.counters.attempt_counter());
         let begin_by = begin_by.map(|begin_by| self.clock.instant(begin_by));
         let request_deadline = pending_request.request_deadline.map(|deadline| self.clock.instant(deadline));
@@ -90,7 +94,7 @@
         let possible_local_failure = context.possible_local_failure.clone();
         let client_deadline = Some(self.clock.instant(client_deadline));
         let context = ExchangeContext {
-            write_started: write_started_flag.clone(),
+            write_started: task_write_started.clone(),
             request_deadline,
             begin_by,
             client,
@@ -100,7 +104,7 @@
         let exchange = exchange(request, context);
         let expiry = async move {
             expiry.await;
-            // An attempt that was delayed by possibly local connect errors may use the rest of its request's time.
+            // If connect errors that may be local delayed the attempt, it may run until the request's deadline.
             if let Some(deadline) =
                 request_deadline.filter(|_| possible_local_failure.load(Ordering::Relaxed))
             {
@@ -109,7 +113,7 @@
         };
         tokio::spawn(async move {
             let choose_outcome = |if_write_started, if_unwritten| {
-                if write_started_flag.load(Ordering::Relaxed) { if_write_started } else { if_unwritten }
+                if task_write_started.load(Ordering::Relaxed) { if_write_started } else { if_unwritten }
             };
             // Cancellation is checked first, as the response of a cancelled attempt is not needed. Expiry is checked
             // last, so that a response that has arrived by then counts.
@@ -123,14 +127,14 @@
                 ExchangeOutcome::Ended(result) => DispatcherMessage::AttemptEnded(id, number, result),
                 ExchangeOutcome::ClientDisconnected(result) => {
                     // Sent before the attempt's end, which could otherwise cause a retry.
-                    messages.send(DispatcherMessage::ClientDisconnected(id)).ok();
+                    dispatcher_sender.send(DispatcherMessage::ClientDisconnected(id)).ok();
                     DispatcherMessage::AttemptEnded(id, number, result)
                 }
                 ExchangeOutcome::ResponseStarted(started) => {
                     DispatcherMessage::ResponseStarted(id, number, started)
                 }
             };
-            messages.send(message).ok();
+            dispatcher_sender.send(message).ok();
         });
     }
 
@@ -165,7 +169,7 @@
         let request_closed =
             pending_request.is_none_or(|pending_request| pending_request.response_sender.is_none());
         let body_consumed =
-            pending_request.is_some_and(|pending_request| pending_request.request.body().is_consumed());
+            pending_request.is_some_and(|pending_request| pending_request.request.body().has_read_started());
         let end = AttemptEnd {
             attempt: number,
             outcome: AttemptOutcome::NotSent,
@@ -177,8 +181,8 @@
         self.queued_attempt_ends.push_back((id, end));
     }
 
-    /// Streams a response to the client while it is received. That may go on past the request's deadline, as long as
-    /// the response does not fall below the minimum rate.
+    /// Streams a response to the client while the response is received. That may go on past the request's deadline, as
+    /// long as the response does not fall below the minimum rate.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: u32, started: StartedResponse) {
         let request_deadline =
             self.requests.get(&id).and_then(|pending_request| pending_request.request_deadline);
@@ -191,9 +195,9 @@
         let attempt = pending_request.and_then(|pending_request| {
             pending_request.attempts_in_flight.iter_mut().find(|attempt| attempt.number == number)
         });
-        let messages = self.messages.clone();
+        let dispatcher_sender = self.dispatcher_sender.clone();
         let on_end = Box::new(move |result| {
-            messages.send(DispatcherMessage::AttemptEnded(id, number, result)).ok();
+            dispatcher_sender.send(DispatcherMessage::AttemptEnded(id, number, result)).ok();
         });
         let StartedResponse { head, body, connection, memory_permit } = started;
         let streamed = |buffered| {
@@ -219,11 +223,12 @@
             return;
         };
         let attempt = pending_request.attempts_in_flight.swap_remove(position);
-        let (class, body_consumed) = (pending_request.class, pending_request.request.body().is_consumed());
+        let (class, body_consumed) =
+            (pending_request.class, pending_request.request.body().has_read_started());
         // The time in which the request was still being received from the client does not count for the attempt.
         let received_at =
             pending_request.received_at.borrow().map_or(0, |received_at| self.clock.time(received_at));
-        let elapsed = now.saturating_sub(attempt.sent_at.max(received_at));
+        let elapsed = now.saturating_sub(attempt.started_at.max(received_at));
         // The connection is kept only if the endpoint is still in service with the same process.
         let is_reusable =
             attempt.upstream.in_service && self.endpoints.get(&attempt.endpoint) == Some(&attempt.upstream);
@@ -264,11 +269,12 @@
     }
 }
 
-/// Completes when an attempt times out, which is at `attempt_deadline` if its request is complete.
+/// Completes when an attempt times out. If the whole request was received before the attempt started (`receiving` is
+/// `None`), that is at `attempt_deadline`.
 ///
-/// While the request is still being received, only the duration from now to `attempt_deadline` applies: it is counted
-/// from the last byte of the request. Until then, the attempt times out if no part of the request has arrived for
-/// [`IDLE_TIMEOUT`].
+/// If the request is still being received, the attempt has as much time as there is from now to `attempt_deadline`, but
+/// this time runs only from the last byte of the request. Before the last byte, the attempt times out if no part of the
+/// request arrives for [`IDLE_TIMEOUT`].
 pub(super) async fn wait_for_expiry(
     attempt_deadline: Instant,
     receiving: Option<(watch::Receiver<Option<Instant>>, Arc<BodyRemainder>)>,
--- a/src/proxy/dispatcher/endpoint_list.rs
+++ b/src/proxy/dispatcher/endpoint_list.rs
@@ -22,7 +22,7 @@
         }
         self.remove_delisted_endpoints(&listing);
         if entries.iter().any(|entry| entry.state == EndpointState::InService) {
-            self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
+            self.ready_sender.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
         self.update_host_counts();
     }
@@ -68,8 +68,8 @@
         self.start_times.retain(|uid| endpoint_ids.contains_key(uid) || removed_uids.contains(uid));
     }
 
-    /// Cancels the attempts that still wait for a connection to an endpoint: otherwise they would be written once the
-    /// connection is established. Their tasks report them as not sent.
+    /// Cancels the attempts to an endpoint of which no byte has been written, such as those that wait for a connection:
+    /// otherwise they would be written once the connection is established. Their tasks report them as not sent.
     pub(super) fn cancel_unwritten_attempts(&mut self, endpoint: EndpointId) {
         let attempts =
             self.requests.values_mut().flat_map(|pending_request| &mut pending_request.attempts_in_flight);
--- a/src/proxy/dispatcher/load_queries.rs
+++ b/src/proxy/dispatcher/load_queries.rs
@@ -23,7 +23,7 @@
             request,
             self.exchange_context(connection_source, address, Instant::now() + LOAD_QUERY_TIMEOUT, None),
         );
-        let messages = self.messages.clone();
+        let dispatcher_sender = self.dispatcher_sender.clone();
         tokio::spawn(async move {
             let result = match timeout(LOAD_QUERY_TIMEOUT, exchange).await {
                 Ok(ExchangeOutcome::Ended(result) | ExchangeOutcome::ClientDisconnected(result)) => result,
@@ -31,7 +31,7 @@
                 Ok(ExchangeOutcome::ResponseStarted(_)) => AttemptOutcome::Error.into(),
                 Err(_) => AttemptOutcome::Timeout.into(),
             };
-            messages.send(DispatcherMessage::LoadQueryEnded(endpoint, result)).ok();
+            dispatcher_sender.send(DispatcherMessage::LoadQueryEnded(endpoint, result)).ok();
         });
     }
 
--- a/src/proxy/dispatcher/mod.rs
+++ b/src/proxy/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: owns the decision module, passes events to it and carries out its actions. That module
+//! The dispatcher: owns the decision module, passes events to it and carries out its actions. The decision module
 //! chooses endpoints, retries and rejections. The dispatcher refuses attempts that can no longer be sent, and fails
 //! requests that the decision module has left open past their deadline.
 
@@ -35,11 +35,12 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// How long after a request's deadline the dispatcher itself fails the request if it has no response yet, in
-/// nanoseconds. The decision module should have ended the request long before.
+/// How long after a request's deadline its deadline guard expires, in nanoseconds. The guard is a timer of the
+/// dispatcher, which fails the request if it has no response by then. The decision module should have ended the request
+/// long before.
 const DEADLINE_GUARD_DELAY: Time = 25_000_000;
 
-/// Interval at which idle connections are checked and the clocks are compared, in nanoseconds.
+/// Interval at which idle connections are checked and both clocks are read, in nanoseconds.
 const IDLE_SWEEP_INTERVAL: Time = 500_000_000;
 
 /// Interval at which the shared folder is checked and the host counts are updated, in nanoseconds.
@@ -67,7 +68,7 @@
     /// When a streamed request was received completely. The time limit of attempts that started earlier is counted from
     /// then on.
     received_at: watch::Sender<Option<Instant>>,
-    /// Receives the final response; `None` once that is sent or the client has disconnected.
+    /// Where the final response is sent; `None` once it is sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
     /// The number of attempts so far, including those that could not be sent.
     attempts: u32,
@@ -80,22 +81,22 @@
     endpoint: EndpointId,
     /// The process that the attempt is sent to.
     upstream: Upstream,
-    sent_at: Time,
+    started_at: Time,
     /// Set once the response is streamed to the client: the outcome that the request is counted with if the response
     /// completes, and the load report in the head of the response.
     started_response: Option<(metrics::RequestOutcome, Option<LoadReport>)>,
     /// Set right before the first byte of the request is written. Until then, the attempt can be cancelled as never
     /// sent.
     write_started: Arc<AtomicBool>,
-    /// Dropping the sender cancels the attempt.
-    cancel: Option<oneshot::Sender<()>>,
+    /// Dropping this sender cancels the attempt.
+    cancel_sender: Option<oneshot::Sender<()>>,
 }
 
 impl AttemptInFlight {
     /// Cancels the attempt unless a part of the request may have been written.
     fn cancel_if_unwritten(&mut self) {
         if !self.write_started.load(Ordering::Relaxed) {
-            self.cancel = None;
+            self.cancel_sender = None;
         }
     }
 }
@@ -119,12 +120,12 @@
     config: Arc<Config>,
     balancer: LoadBalancer,
     clock: Clock,
-    /// The dispatcher's own inbox, for the tasks that it spawns.
-    messages: UnboundedSender<DispatcherMessage>,
+    /// The sender of messages to this dispatcher, for the tasks that it spawns.
+    dispatcher_sender: UnboundedSender<DispatcherMessage>,
     /// Asks discovery to watch the endpoint list.
     watch_request_sender: UnboundedSender<()>,
     /// Set to true once an endpoint is in service.
-    ready: watch::Sender<bool>,
+    ready_sender: watch::Sender<bool>,
     counters: Arc<Counters>,
     /// The folder shared with the process before or after this one.
     shared_folder: Option<SharedFolder>,
@@ -146,7 +147,7 @@
     idle_pool: IdlePool,
     body_memory: Arc<BodyMemory>,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
-    /// When the deadline guard fails each request that has no response yet.
+    /// The deadline guards of the requests that have no response yet, by the time at which each guard expires.
     deadline_guards: BTreeSet<(Time, RequestId)>,
     /// An empty buffer for the decision module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
@@ -166,13 +167,13 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that starts with the configured endpoint list. `ready` turns true once an endpoint is in
-    /// service.
+    /// Creates a dispatcher that starts with the configured endpoint list. `ready_sender` is set to true once an
+    /// endpoint is in service.
     pub fn new(
         config: Arc<Config>,
-        messages: UnboundedSender<DispatcherMessage>,
+        dispatcher_sender: UnboundedSender<DispatcherMessage>,
         watch_request_sender: UnboundedSender<()>,
-        ready: watch::Sender<bool>,
+        ready_sender: watch::Sender<bool>,
         (counters, body_memory): (Arc<Counters>, Arc<BodyMemory>),
         shared_folder: Option<(SharedFolder, FolderState)>,
     ) -> Result<Self, String> {
@@ -185,9 +186,9 @@
         let mut dispatcher = Self {
             balancer,
             clock,
-            messages,
+            dispatcher_sender,
             watch_request_sender,
-            ready,
+            ready_sender,
             counters,
             shared_folder,
             offline: OfflineList::new(),
--- a/src/proxy/dispatcher/requests.rs
+++ b/src/proxy/dispatcher/requests.rs
@@ -20,6 +20,8 @@
             work: client_request.work,
             streaming,
         };
+        // The time of a streamed request runs from its last byte, so that its deadline is not known yet. Until then,
+        // the client is expected to wait as long as if the buffered part were the whole body.
         let client_deadline = deadline;
         let request_deadline = Some(deadline).filter(|_| !streaming);
         self.requests.insert(
@@ -65,8 +67,8 @@
     /// Takes the sender for the final response and the class of a request; `None` if the response was already sent or
     /// the client has disconnected.
     ///
-    /// Removes the deadline guard, and cancels the attempts that still wait for a connection. These were never sent, so
-    /// they are cancelled even if the settings do not allow attempts in flight to be cancelled.
+    /// Removes the request's deadline guard, and cancels the attempts of which no byte has been written. These were
+    /// never sent, so they are cancelled even if the settings do not allow attempts in flight to be cancelled.
     pub(super) fn take_response_sender(
         &mut self,
         id: RequestId,
--- a/src/proxy/dispatcher/timers.rs
+++ b/src/proxy/dispatcher/timers.rs
@@ -1,4 +1,5 @@
-//! Timers, and the deadline guard, which fails requests that the decision module has left open past their deadline.
+//! Timers, and the deadline guards: each is a timer that fails a request which the decision module has left open past
+//! its deadline.
 
 use super::{Dispatcher, IDLE_SWEEP_INTERVAL, SHARED_FOLDER_CHECK_INTERVAL, Timer};
 use crate::proxy::messages::FinalResponse;
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -28,7 +28,7 @@
     AttemptEnded(RequestId, u32, AttemptResult),
     /// A load query to an endpoint ended.
     LoadQueryEnded(EndpointId, AttemptResult),
-    /// Clients cannot be accepted for lack of file descriptors or socket memory, which closing idle connections frees.
+    /// Clients cannot be accepted for lack of file descriptors or socket memory. Closing idle connections frees both.
     ResourceShortage,
     /// Discovery returned a complete endpoint list or a change to it.
     EndpointList(Listing),
@@ -42,7 +42,7 @@
     SharedFolder(FolderEvent),
 }
 
-/// A client's request, with the channel that receives its final response.
+/// A client's request, with the sender of its final response.
 pub struct ClientRequest {
     pub id: RequestId,
     /// The request without the headers that concern only the client's connection.
