--- a/src/proxy/body/response_body.rs
+++ b/src/proxy/body/response_body.rs
@@ -49,9 +49,9 @@
 }
 
 impl ResponseBody {
-    /// Creates a body from its buffered start and the rest that is received over a connection. It is aborted if it
-    /// stops, or if it is slower than the minimum rate after `request_deadline`. `on_end` is called with the result of
-    /// the attempt.
+    /// Creates a body from its buffered start and the rest that is received over a connection. The body is aborted if
+    /// no more of it is received, or if it is slower than the minimum rate after `request_deadline`. `on_end` is called
+    /// with the result of the attempt.
     pub fn streamed(
         buffered: Bytes,
         body: Incoming,
@@ -114,7 +114,7 @@
             return match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
-                    self.rate.received(data.len());
+                    self.rate.record_received(data.len());
                     if self.body.is_end_stream() {
                         self.complete(); // if the length is known, hyper does not poll again
                     }
--- a/src/proxy/minimum_rate.rs
+++ b/src/proxy/minimum_rate.rs
@@ -16,8 +16,8 @@
 /// Delay between the end of a window and the recheck of its bytes. After a stall of the process, the end of the window
 /// is noticed before the bytes that were received meanwhile.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// Maximum time without bytes of a response, or of a request that is streamed upstream. It is then aborted, whatever
-/// its deadline.
+/// Maximum time without bytes of a response, or of a request that is streamed upstream. After that, the response or the
+/// attempt is aborted, whatever the deadline.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Monitors the rate of one response. Only the time spent waiting for the upstream counts: while the client does not
@@ -25,7 +25,7 @@
 pub struct MinimumRate {
     /// The window in which bytes are counted; `None` if the deadline of the request is not known.
     window: Option<Window>,
-    /// Start of the wait for the next bytes that is in progress; `None` if they are not waited for.
+    /// Start of the wait for the next bytes that is in progress; `None` if no bytes are waited for.
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
@@ -38,7 +38,7 @@
     }
 
     /// Records that `bytes` bytes of the response were received.
-    pub fn received(&mut self, bytes: usize) {
+    pub fn record_received(&mut self, bytes: usize) {
         let now = Instant::now();
         let waiting_since = self.waiting_since.take();
         let Some(window) = self.window.as_mut().filter(|window| window.start <= now) else { return };
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Becomes ready once the response is too slow. Must be polled whenever its next bytes are waited for.
+    /// Becomes ready once the response is too slow. Must be polled whenever the next bytes of the response are
+    /// waited for.
     pub fn poll_too_slow(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.waiting_since.get_or_insert_with(Instant::now);
         let idle_end = since + IDLE_TIMEOUT;
--- a/src/proxy/minimum_rate/tests.rs
+++ b/src/proxy/minimum_rate/tests.rs
@@ -14,7 +14,7 @@
     for _ in 0..3 {
         sleep(FIRST_WINDOW + RECHECK_DELAY).await;
         assert!(!is_too_slow(&mut rate).await, "the wait has just begun");
-        rate.received(1);
+        rate.record_received(1);
     }
 }
 
@@ -26,7 +26,7 @@
     std::thread::sleep(FIRST_WINDOW + 2 * RECHECK_DELAY); // blocks the runtime, which processes no events meanwhile
     tokio::task::yield_now().await;
     assert!(!is_too_slow(&mut rate).await, "the bytes may be in the kernel");
-    rate.received(1000);
+    rate.record_received(1000);
     assert!(!is_too_slow(&mut rate).await);
 }
 
@@ -36,7 +36,7 @@
     let time_left = Duration::from_millis(100);
     let started = Instant::now();
     let mut rate = MinimumRate::new(Some(started + time_left));
-    rate.received(100_000); // before the deadline
+    rate.record_received(100_000); // before the deadline
     poll_fn(|cx| rate.poll_too_slow(cx)).await;
     assert!(started.elapsed() >= time_left + FIRST_WINDOW + RECHECK_DELAY);
 }
--- a/src/proxy/send_check.rs
+++ b/src/proxy/send_check.rs
@@ -1,8 +1,8 @@
 //! Checks right before each write to an upstream that the client is still connected and has time left.
 //!
 //! Connecting, other tasks of the event loop and pauses of the process can delay the write after the upstream has been
-//! chosen. The clock is read first, and the kernel's state of the client connection after it: if the process is paused
-//! between the two, a disconnect during the pause is still noticed.
+//! chosen. The clock is read before the kernel's state of the client connection: if the process is paused between the
+//! two reads, a disconnect during the pause is still noticed.
 
 use crate::proxy::downstream::connection::ClientLiveness;
 use std::fmt;
@@ -63,8 +63,8 @@
     pub attempt_deadline: Instant,
     /// From this time on, no more of the request is written; `None` for no limit.
     pub begin_by: Option<Instant>,
-    /// The request body is streamed from the client, whose time runs only from its last byte. [`MAX_WRITE_TIME`] does
-    /// not apply.
+    /// The request body is streamed from the client, so that the client's time runs only from the last byte of the
+    /// body, and [`MAX_WRITE_TIME`] does not apply.
     pub streamed: bool,
 }
 
@@ -108,12 +108,12 @@
     /// Set before the first write that the checks allow.
     write_started: Arc<AtomicBool>,
     /// When the first write was tried, which is the time that the budget is computed for.
-    first_write: Option<Instant>,
+    first_write_at: Option<Instant>,
     bytes_written: usize,
     /// The `x-budget` field, with the budget as of the first write; `None` if the head has no such field.
     budget_field: Option<BudgetField>,
     /// Why a write was refused.
-    not_sent: Option<NotSentReason>,
+    not_sent_reason: Option<NotSentReason>,
 }
 
 /// Where the value of the `x-budget` field is in a request head, and what to write there.
@@ -130,16 +130,16 @@
         Self {
             conditions,
             write_started,
-            first_write: None,
+            first_write_at: None,
             bytes_written: 0,
             budget_field: None,
-            not_sent: None,
+            not_sent_reason: None,
         }
     }
 
     /// Why the request was not written, or not completely.
-    pub fn not_sent(&self) -> Option<NotSentReason> {
-        self.not_sent
+    pub fn not_sent_reason(&self) -> Option<NotSentReason> {
+        self.not_sent_reason
     }
 
     /// Records that `bytes` more bytes were written.
@@ -159,9 +159,9 @@
             0 => self.check_first_write(first_part, ends_request),
             _ => self.check_later_write(ends_request),
         };
-        if let Err(not_sent) = checked {
-            self.not_sent = Some(not_sent);
-            return Err(not_sent);
+        if let Err(not_sent_reason) = checked {
+            self.not_sent_reason = Some(not_sent_reason);
+            return Err(not_sent_reason);
         }
         self.write_started.store(true, Ordering::Relaxed);
         Ok(self.with_budget(first_part))
@@ -170,7 +170,7 @@
     fn check_first_write(&mut self, first_part: &[u8], ends_request: bool) -> Result<(), NotSentReason> {
         let now = Instant::now();
         let budget = self.conditions.budget_at(now).ok_or(NotSentReason::TooLate)?;
-        self.first_write = Some(now);
+        self.first_write_at = Some(now);
         self.budget_field = BudgetField::find(first_part, budget);
         self.conditions.check_client_connected(ends_request)
     }
@@ -179,7 +179,7 @@
     /// be completed either.
     fn check_later_write(&self, ends_request: bool) -> Result<(), NotSentReason> {
         let now = Instant::now();
-        let is_slow = self.first_write.is_some_and(|first_write| now > first_write + MAX_WRITE_TIME);
+        let is_slow = self.first_write_at.is_some_and(|first_write_at| now > first_write_at + MAX_WRITE_TIME);
         if !self.conditions.is_before_begin_by(now) || is_slow && !self.conditions.streamed {
             return Err(NotSentReason::TooLate);
         }
--- a/src/proxy/send_check/tests.rs
+++ b/src/proxy/send_check/tests.rs
@@ -54,7 +54,7 @@
 fn with_too_little_time_left_nothing_is_written() {
     let mut send_check = send_check(BUDGET_MARGIN + MIN_BUDGET - Duration::from_millis(1));
     assert_eq!(send_check.before_write(HEAD, true), Err(NotSentReason::TooLate));
-    assert_eq!(send_check.not_sent(), Some(NotSentReason::TooLate));
+    assert_eq!(send_check.not_sent_reason(), Some(NotSentReason::TooLate));
     assert!(!send_check.write_started.load(Ordering::Relaxed));
 }
 
@@ -75,6 +75,6 @@
     send_check.before_write(HEAD, false).unwrap();
     send_check.record_written(HEAD.len());
     assert_eq!(send_check.before_write(b"b", false), Ok(None));
-    send_check.first_write = Instant::now().checked_sub(2 * MAX_WRITE_TIME);
+    send_check.first_write_at = Instant::now().checked_sub(2 * MAX_WRITE_TIME);
     assert_eq!(send_check.before_write(b"b", true), Err(NotSentReason::TooLate));
 }
--- a/src/proxy/upstream/connect.rs
+++ b/src/proxy/upstream/connect.rs
@@ -11,18 +11,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Consecutive failures after which an error is considered persistent. If one try in three fails with such an error at
+/// Consecutive failed tries to connect after which the failure is considered persistent. If one try in three fails at
 /// random, one connection in 729 reaches this count.
 const PERSISTENT_FAILURE_COUNT: u32 = 6;
 
 /// Why a connection could not be established.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// A failure that is attributed to the local machine or network.
+    /// A failure that is attributed to the local machine or network, or a deadline that passed after a failure that may
+    /// be local.
     Local(io::Error),
     /// A failure that is attributed to the peer: it refused the connection or is unreachable.
     Peer(io::Error),
-    /// The peer did not accept the connection before the deadline, and no local failure took up part of that time.
+    /// The peer did not accept the connection before the deadline, and no earlier try failed.
     TimedOut,
 }
 
@@ -79,12 +80,14 @@
     pub possible_local_failure: &'a AtomicBool,
 }
 
-/// Connects to a peer before the deadline. A certain failure of the peer is returned at once. Errors that are or may be
-/// local are retried until the deadline, with increasing pauses.
+/// Connects to a peer before the deadline. An error that is certainly the peer's fault is returned at once. All other
+/// errors are or may be local, and are retried until the deadline, with increasing pauses.
 ///
-/// If other peers have been reached since the first failure, a persistent error of the route or of ambiguous origin is
-/// returned before the deadline, so that another peer can be used. An ambiguous error is attributed to this peer in
-/// that case, and to the local network if no other peer has been reached.
+/// Retries end early if the failure is persistent and other peers have been reached since the first failure, so that
+/// another peer can be used. Errors of origin [`ErrorOrigin::LocalMachine`] are excepted, as they concern all peers.
+///
+/// If retries end with an error of origin [`ErrorOrigin::Ambiguous`], it is attributed to this peer if others have been
+/// reached since the first failure. Otherwise, it is attributed to the local network, whose failures affect all peers.
 pub async fn connect(
     peer: SocketAddr,
     connect_deadline: ConnectDeadline<'_>,
@@ -94,13 +97,13 @@
     let (mut backoff, mut failures) = (Backoff::default(), 0_u32);
     let (mut first_failure, mut last_error) = (None, None);
     loop {
-        let ConnectFailure { origin, error } = match timeout_at(end, open_socket(peer)).await {
+        let ConnectFailure { origin, error } = match timeout_at(end, try_connect(peer)).await {
             Ok(Ok(tcp)) => {
                 reachability.record_contact(peer);
                 return Ok(tcp);
             }
             Ok(Err(failure)) => failure,
-            // After a failure that may be local, the peer did not have all the time to accept: it is not at fault.
+            // After a failure that may be local, the peer did not have all the time to accept, and is not at fault.
             Err(_) => return Err(last_error.map_or(ConnectError::TimedOut, ConnectError::Local)),
         };
         if origin == ErrorOrigin::Peer {
@@ -112,9 +115,9 @@
         let now = Instant::now();
         let next_try = now + backoff.pause();
         let others_reached = reachability.other_peer_reached(peer, *first_failure.get_or_insert(now));
-        let is_persistent =
+        let should_stop_retrying =
             failures >= PERSISTENT_FAILURE_COUNT && others_reached && origin != ErrorOrigin::LocalMachine;
-        if is_persistent || next_try >= end {
+        if should_stop_retrying || next_try >= end {
             return Err(match origin {
                 ErrorOrigin::Ambiguous if others_reached => ConnectError::Peer(error),
                 _ => ConnectError::Local(error),
@@ -132,7 +135,7 @@
 }
 
 /// Makes one try to connect.
-async fn open_socket(peer: SocketAddr) -> Result<TcpStream, ConnectFailure> {
+async fn try_connect(peer: SocketAddr) -> Result<TcpStream, ConnectFailure> {
     let connect_failure = |error| ConnectFailure { origin: error_origin(&error), error };
     let tcp = TcpStream::connect(peer).await.map_err(connect_failure)?;
     // The peer cannot cause an error of this call.
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -56,9 +56,9 @@
     }
 
     /// Waits after a response until the connection is ready for another request. Returns `None` if the request has not
-    /// been written completely, or if the upstream closes the connection, which it has announced by now.
+    /// been written completely, or if the upstream closes the connection, as its response has announced by now.
     pub async fn into_reusable(mut self) -> Option<Self> {
-        if !self.progress.written.load(Ordering::Relaxed) {
+        if !self.progress.request_written.load(Ordering::Relaxed) {
             return None;
         }
         self.sender.ready().await.is_ok().then_some(self)
@@ -84,7 +84,7 @@
     /// The whole request body has been handed to hyper.
     pub body_ended: AtomicBool,
     /// The last byte of the request is written: the upstream may run the request from now on.
-    pub written: AtomicBool,
+    pub request_written: AtomicBool,
     /// The counter that is incremented when the request is written completely; `None` afterwards and for a load query.
     pub attempt_counter: Mutex<Option<Arc<AtomicU64>>>,
     /// Checks whether each write of the request is still allowed; `None` once the request is written completely.
@@ -115,7 +115,7 @@
     /// Records that the request is written completely and counts the attempt.
     pub fn mark_written(&self) {
         lock(&self.send_check).take();
-        self.written.store(true, Ordering::Relaxed);
+        self.request_written.store(true, Ordering::Relaxed);
         if let Some(attempt_counter) = lock(&self.attempt_counter).take() {
             attempt_counter.fetch_add(1, Ordering::Relaxed);
         }
--- a/src/proxy/upstream/exchange.rs
+++ b/src/proxy/upstream/exchange.rs
@@ -1,8 +1,9 @@
 //! The exchange of one attempt: sends the request on an upstream connection and receives the response.
 //!
-//! Three types describe how that ends. [`ExchangeOutcome`] is what [`exchange`] returns: the result of an attempt that
-//! has ended, or a response whose body is still to be streamed. [`AttemptResult`] is the result of an ended attempt,
-//! with its response and connection. [`AttemptOutcome`] is the part of the result that the decision module receives.
+//! Three types describe how an exchange ends. [`ExchangeOutcome`] is what [`exchange`] returns: the result of an
+//! attempt that has ended, or a response whose body is still to be streamed. [`AttemptResult`] is the result of an
+//! ended attempt, with its response and connection. [`AttemptOutcome`] is the part of the result that the decision
+//! module receives.
 
 use crate::proxy::body::buffer::{BufferedBody, buffer_body};
 use crate::proxy::body::memory::{BodyMemory, MemoryPermit};
@@ -150,7 +151,7 @@
     }
     let progress = connection.progress.clone();
     progress.body_ended.store(false, Ordering::Relaxed);
-    progress.written.store(false, Ordering::Relaxed);
+    progress.request_written.store(false, Ordering::Relaxed);
     *lock(&progress.attempt_counter) = context.attempt_counter;
     *lock(&progress.send_check) = Some(SendCheck::new(conditions, context.write_started.clone()));
     let callback_progress = connection.progress.clone();
@@ -158,7 +159,7 @@
         Box::new(move || callback_progress.body_ended.store(true, Ordering::Relaxed));
     let client_disconnected = || context.client.as_ref().is_some_and(|client| client.is_disconnected(false));
     let on_connection_error = || -> ExchangeOutcome {
-        if let Some(reason) = lock(&progress.send_check).as_ref().and_then(SendCheck::not_sent) {
+        if let Some(reason) = lock(&progress.send_check).as_ref().and_then(SendCheck::not_sent_reason) {
             let write_started = context.write_started.load(Ordering::Relaxed);
             let outcome = if write_started && reason == NotSentReason::ClientDisconnected {
                 AttemptOutcome::Cancelled
@@ -167,7 +168,7 @@
             };
             return unsent_outcome(reason, outcome.into());
         }
-        match progress.written.load(Ordering::Relaxed) {
+        match progress.request_written.load(Ordering::Relaxed) {
             // The client aborted the request body or exceeded its size limit: the upstream is not at fault.
             _ if remainder.as_ref().is_some_and(|remainder| remainder.is_aborted()) => {
                 match client_disconnected() {
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -186,7 +186,7 @@
     let tcp = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let progress = Arc::new(WriteProgress::default());
     let mut socket = UpstreamSocket { tcp: Arc::new(tcp), progress: progress.clone() };
-    let is_written = || progress.written.load(Ordering::Relaxed);
+    let is_written = || progress.request_written.load(Ordering::Relaxed);
     socket.write_all(b"head").await.unwrap();
     assert!(!is_written(), "the body is not written yet");
     progress.body_ended.store(true, Ordering::Relaxed);
