--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -1,4 +1,5 @@
-//! Weighted round robin over a pool, skipping endpoints that are ejected, rejecting, at a limit, or cold.
+//! Weighted round robin over a pool, skipping endpoints that are ejected, rejecting, at a limit, out of
+//! slow-start budget, outside the deduplication group of a retried request, or the last one it was sent to.
 
 use super::endpoints::EndpointTable;
 use super::event::Time;
@@ -9,11 +10,12 @@
 use super::slow_start::{self, PoolCapacities, SlowStart};
 use super::statistics::TrafficStatistics;
 
-/// Unavailable endpoints that one selection skips before it uses the fallback, if there is one, as in Ribbon's
-/// availability-filtering rule.
+/// Unavailable candidates, counted again in each pass, that one selection skips before it stops searching, if
+/// it has a last resort; as in Ribbon's availability-filtering rule.
 const MAX_SKIPPED: u32 = 10;
-/// Passes over a pool before the fallback, as endpoints of a smaller capacity skip some of their turns.
-const MAX_ROUNDS: usize = 3;
+/// Maximum number of passes over a pool in one selection. Several, because an endpoint of smaller capacity skips
+/// some of its turns and may be available only in a later pass.
+const MAX_PASSES: usize = 3;
 /// An endpoint's in-flight limit is this multiple of its share of the baseline requests in flight.
 const IN_FLIGHT_LIMIT_MULTIPLE: f64 = 1.2;
 
@@ -36,44 +38,47 @@
         let start = self.endpoints.pools[pool].cursor;
         let limit_per_capacity = self.in_flight_limit_per_capacity(pool);
         let mut skipped = 0;
-        let mut at_limit = None;
-        let mut last_resort = None;
-        for member in (start + 1..).take(MAX_ROUNDS * count).map(|step| step % count) {
-            let position = self.endpoints.pools[pool].members[member];
+        let mut at_limit_member = None;
+        let mut last_resort_member = None;
+        for member_index in (start + 1..).take(MAX_PASSES * count).map(|step| step % count) {
+            let position = self.endpoints.pools[pool].members[member_index];
             if !self.is_candidate(pool, position, request) {
                 continue;
             }
             if !self.may_be_backlogged(position, request.class) {
-                last_resort = last_resort.or(Some(member));
+                last_resort_member = last_resort_member.or(Some(member_index));
             }
             if !self.take_turn(position) {
                 continue;
             }
             let rejecting = self.is_rejecting(position, request.class);
             if !rejecting && self.is_available(position, request.class, limit_per_capacity) {
-                return Some(self.advance_cursor(pool, member));
+                return Some(self.advance_cursor(pool, member_index));
             }
             if !rejecting && !self.endpoints[position].breaker.tripped {
-                at_limit = at_limit.or(Some(member));
+                at_limit_member = at_limit_member.or(Some(member_index));
             }
             skipped += 1;
-            if skipped > MAX_SKIPPED && last_resort.is_some() {
+            if skipped > MAX_SKIPPED && last_resort_member.is_some() {
                 break;
             }
         }
-        // The fallback only guarantees a quick return: an endpoint at its in-flight limit is better than a
-        // tripped or rejecting one, and one of another zone is better than those. An endpoint that may be
-        // backlogged is never chosen.
+        // The search is cut short only so that a selection returns quickly. Without an available endpoint, one at
+        // its in-flight limit is better than a tripped or rejecting one. An endpoint of another zone is also better
+        // than a tripped or rejecting one, so only the pool of all endpoints uses the last resort: the pool of a
+        // zone returns `None`, and the caller can try another pool. An endpoint that may be backlogged is never
+        // chosen.
         let allows_last_resort = pool == self.endpoints.all_endpoints_pool();
-        let fallback = if allows_last_resort { at_limit.or(last_resort)? } else { at_limit? };
+        let fallback =
+            if allows_last_resort { at_limit_member.or(last_resort_member)? } else { at_limit_member? };
         Some(self.advance_cursor(pool, fallback))
     }
 
     /// Makes a member the last one picked, and returns its position in the endpoint table.
-    fn advance_cursor(&mut self, pool: usize, member: usize) -> usize {
+    fn advance_cursor(&mut self, pool: usize, member_index: usize) -> usize {
         let pool = &mut self.endpoints.pools[pool];
-        pool.cursor = member;
-        pool.members[member]
+        pool.cursor = member_index;
+        pool.members[member_index]
     }
 
     /// Whether the endpoint may be sent the request at all. Draining and removed endpoints are in no pool.
@@ -85,12 +90,13 @@
             && self.slow_start_allows(pool, position, request.class)
     }
 
-    /// Whether the endpoint may get the request for its idempotency key: a keyed request that may have run
-    /// stays within the group that drops its repeats.
+    /// Whether the endpoint may get the request for its idempotency key: a keyed request that may have been
+    /// executed is retried only within the group that deduplicates it by that key.
     fn is_in_deduplication_group(&self, position: usize, request: &PendingRequest) -> bool {
         let endpoint = &self.endpoints[position];
-        let first_endpoint =
-            request.first_possible_run.map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
+        let first_endpoint = request
+            .first_possibly_executed_attempt
+            .map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
         match self.settings.classes[request.class].idempotency {
             Idempotency::Keyed(DeduplicationGroup::Zone, _) => first_endpoint.zone == endpoint.zone,
             Idempotency::Keyed(DeduplicationGroup::Cell, _) => first_endpoint.cell == endpoint.cell,
@@ -118,7 +124,8 @@
         endpoint.warm_up.allows(self.now, refill_rate * endpoint.capacity, class_cost)
     }
 
-    /// Whether the endpoint may be backlogged, and gets no request before the next trial of its breaker.
+    /// Whether the endpoint may be backlogged, and gets no request before the next trial request of its
+    /// half-open breaker.
     fn may_be_backlogged(&self, position: usize, class: usize) -> bool {
         self.endpoints[position].breaker.may_be_backlogged(self.now, self.settings.is_repeatable(class))
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -117,7 +117,8 @@
     pub elapsed: Duration,
     /// The request already has its final response, or its client has disconnected.
     pub request_closed: bool,
-    /// Part of the request body has been consumed, so the request cannot be sent again.
+    /// An attempt has started to read the part of the request body that is not buffered, so the request cannot be
+    /// sent again.
     pub body_consumed: bool,
     /// The load report that came with the response, if any.
     pub load: Option<LoadReport>,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -12,7 +12,7 @@
 
 /// Time constant of the mean work of a request: long, as heavy requests are rare at a small balancer.
 const TYPICAL_WORK_TIME_CONSTANT: Duration = 30 * SECOND;
-/// Smoothing factor of a class's estimated work where a response shows it to be lighter.
+/// Smoothing factor of a class's estimated work when its mean latency is below the estimate.
 const WORK_DECREASE_GAIN: f64 = 0.05;
 /// Time constant at which a class's estimated work rises: long, as in congestion all classes wait alike and
 /// would look equally heavy.
@@ -33,14 +33,14 @@
     budget: f64,
     budget_started_at: Time,
     budget_updated_at: Time,
-    /// Lowest budget at which a request is sent; the initial budget was drawn below it.
+    /// Minimum budget at which a request is sent. `restart` sets the initial budget to a random value below it.
     min_budget: f64,
 }
 
 impl WarmUp {
-    /// Restarts the budget at a random level, so that the first request is sent at a random time: on average
-    /// no sooner than later ones, and not from all replicas at once. `random_fraction` lies between 0 and 1;
-    /// `min_cost` is the cost of a request of the lightest class.
+    /// Restarts the budget at a random level, so that the first request is sent at a random time: the replicas
+    /// do not all send theirs at once, and together send first requests at no higher rate than later ones.
+    /// `random_fraction` lies between 0 and 1; `min_cost` is the cost of a request of the lightest class.
     pub fn restart(&mut self, now: Time, random_fraction: f64, min_cost: f64) {
         self.budget = random_fraction * min_cost;
         self.budget_started_at = now;
@@ -94,8 +94,9 @@
 pub(crate) struct SlowStart {
     work: WorkStatistics,
     own_zone_share: OwnZoneShare,
-    /// Until this time, a balancer that has just started also counts the work it admits.
-    startup_until: Time,
+    /// Until this time, a balancer that has just started uses the work it admits if that exceeds
+    /// the completed work.
+    startup_ends_at: Time,
 }
 
 /// Capacities that determine an endpoint's share of the work.
@@ -113,7 +114,7 @@
         Self {
             work: WorkStatistics::new(settings.classes.len(), now),
             own_zone_share: OwnZoneShare::new(settings.replicas, settings.zones),
-            startup_until: now.saturating_add(RATE_TIME_CONSTANT),
+            startup_ends_at: now.saturating_add(RATE_TIME_CONSTANT),
         }
     }
 
@@ -122,14 +123,20 @@
         self.work.admitted.add(now, class);
     }
 
-    /// Records a successfully completed request. `mean` is the mean latency of its class in nanoseconds, and
-    /// `declared_work` the request's own work, if known.
-    pub fn on_response(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
-        self.work.learn(now, class, mean, declared_work);
+    /// Records a successfully completed request. `mean_latency` is that of its class, in nanoseconds,
+    /// and `declared_work` the request's own work, if known.
+    pub fn on_response(
+        &mut self,
+        now: Time,
+        class: usize,
+        mean_latency: f64,
+        declared_work: Option<Duration>,
+    ) {
+        self.work.learn(now, class, mean_latency, declared_work);
     }
 
-    /// Updates the own zone's share with a response, while requests stay in the own zone: one from a warm
-    /// endpoint of that zone, or from another endpoint.
+    /// Updates the own zone's share with a response; `from_warm_own_zone` says whether a warm endpoint of the own
+    /// zone sent it. Not called while zone routing avoids the own zone.
     pub fn learn_own_zone_share(&mut self, now: Time, from_warm_own_zone: bool) {
         self.own_zone_share.learn(now, from_warm_own_zone);
     }
@@ -159,37 +166,39 @@
     ///
     /// Only some requests cross to another zone, yet they come from every zone: with a rate based on the
     /// capacity of that zone, the balancers together would send its cold endpoints many times their share.
-    /// The requests served in the own zone never exceed what its endpoints can do, however few balancers send
-    /// to it, so there its share of the requests applies as well.
+    /// In the own zone, the rate follows the share of this balancer's requests that the zone serves, if that is
+    /// larger: the requests served there never exceed the capacity of the zone's endpoints, however few balancers
+    /// send requests to the zone.
     pub fn budget_refill_rate(&self, now: Time, pool: PoolCapacities) -> f64 {
         let work_rate = self.expected_work_rate(now);
         let tier_refill_rate = work_rate / pool.tier_capacity.max(f64::MIN_POSITIVE);
         match pool.own_zone_capacity {
-            Some(capacity) => tier_refill_rate.max(work_rate * self.own_zone_share.get(capacity)),
+            Some(capacity) => tier_refill_rate.max(work_rate * self.own_zone_share.per_capacity(capacity)),
             None => tier_refill_rate,
         }
     }
 
     /// Work expected to be completed per second. A balancer that has just started has had none completed; if
-    /// all endpoints are cold too, after a release, none ever would be. The balancer therefore also counts
-    /// the work it admits, until `startup_until`.
+    /// all endpoints are cold too, after a release, none ever would be. The balancer therefore uses the
+    /// work it admits, if that is more, until `startup_ends_at`.
     fn expected_work_rate(&self, now: Time) -> f64 {
         let completed = self.work.completed_per_second(now);
-        if now >= self.startup_until {
+        if now >= self.startup_ends_at {
             return completed;
         }
         completed.max(self.work.admitted_per_second(now))
     }
 }
 
-/// Multiple by which the budgets of cold endpoints are refilled faster. Where endpoints report their load
-/// before they get a request, a busy cold one is detected: half the multiple that overloads it is safe, while
-/// its share alone would leave it idle.
+/// Factor by which the budget of a cold endpoint is refilled faster than at the endpoint's share. With load
+/// queries, a busy cold endpoint is detected before it gets a request, so half of `overload_multiple`, the
+/// multiple of its capacity that overloads it, is safe; refilling at its share alone would leave it idle.
 pub(crate) fn refill_multiple(settings: &Settings, queries_load: bool) -> f64 {
     if queries_load { (settings.overload_multiple / 2.0).max(1.0) } else { 1.0 }
 }
 
-/// Work of a class of requests, estimated from the latency of its responses at low load.
+/// Work of a class of requests, estimated from the mean latency of its responses. The estimate falls quickly and
+/// rises slowly, so that it reflects the latency at low load.
 #[derive(Clone, Debug, Default)]
 struct ClassWork {
     /// Estimated work in nanoseconds.
@@ -197,19 +206,20 @@
     responses: u32,
     last_response_at: Time,
     /// Exponentially decaying number of completed requests.
-    requests: f64,
+    decayed_requests: f64,
     /// Mean work of the requests that declared it, in nanoseconds.
     mean_declared_work: f64,
 }
 
 impl ClassWork {
     /// Updates the estimate with the current mean latency of the class.
-    fn learn(&mut self, now: Time, mean: f64, declared_work: Option<Duration>) {
+    fn learn(&mut self, now: Time, mean_latency: f64, declared_work: Option<Duration>) {
         self.responses = self.responses.saturating_add(1);
         let elapsed = now.saturating_sub(self.last_response_at) as f64;
         let increase_gain = (elapsed / WORK_INCREASE_TIME_CONSTANT as f64).min(WORK_DECREASE_GAIN);
-        let gain = if mean < self.estimated_work { WORK_DECREASE_GAIN } else { increase_gain };
-        self.estimated_work += gain.max(1.0 / f64::from(self.responses)) * (mean - self.estimated_work);
+        let gain = if mean_latency < self.estimated_work { WORK_DECREASE_GAIN } else { increase_gain };
+        self.estimated_work +=
+            gain.max(1.0 / f64::from(self.responses)) * (mean_latency - self.estimated_work);
         self.last_response_at = now;
         if let Some(work) = declared_work {
             let gain = if self.mean_declared_work > 0.0 { DECLARED_WORK_GAIN } else { 1.0 };
@@ -224,23 +234,23 @@
 struct ClassRates {
     started_at: Time,
     updated_at: Time,
-    requests: Vec<f64>,
+    decayed_requests: Vec<f64>,
 }
 
 impl ClassRates {
     fn new(classes: usize, now: Time) -> Self {
-        Self { started_at: now, updated_at: now, requests: vec![0.0; classes] }
+        Self { started_at: now, updated_at: now, decayed_requests: vec![0.0; classes] }
     }
 
     fn add(&mut self, now: Time, class: usize) {
         let decay_factor = (-(now.saturating_sub(self.updated_at) as f64) / RATE_TIME_CONSTANT as f64).exp();
         self.updated_at = now;
-        self.requests.iter_mut().for_each(|requests| *requests *= decay_factor);
-        self.requests[class] += 1.0;
+        self.decayed_requests.iter_mut().for_each(|requests| *requests *= decay_factor);
+        self.decayed_requests[class] += 1.0;
     }
 
     fn per_second(&self, now: Time, cost: impl Fn(usize) -> f64) -> f64 {
-        let requests = self.requests.iter().enumerate();
+        let requests = self.decayed_requests.iter().enumerate();
         let sum = requests.map(|(class, requests)| requests * cost(class)).sum();
         DecayingSum::new(sum, self.updated_at, self.started_at).per_second(now, RATE_TIME_CONSTANT)
     }
@@ -250,9 +260,10 @@
 #[derive(Debug)]
 struct WorkStatistics {
     classes: Vec<ClassWork>,
-    /// Mean work of a request over all classes in nanoseconds, and when it was last updated.
+    /// Mean work of a request over all classes, in nanoseconds.
     typical_work: f64,
-    averaged_at: Time,
+    /// When `typical_work` was last updated.
+    typical_work_updated_at: Time,
     admitted: ClassRates,
     completed: ClassRates,
 }
@@ -262,21 +273,22 @@
         Self {
             classes: vec![ClassWork::default(); classes],
             typical_work: 0.0,
-            averaged_at: now,
+            typical_work_updated_at: now,
             admitted: ClassRates::new(classes, now),
             completed: ClassRates::new(classes, now),
         }
     }
 
-    fn learn(&mut self, now: Time, class: usize, mean: f64, declared_work: Option<Duration>) {
-        self.classes[class].learn(now, mean, declared_work);
-        let decay_factor =
-            (-(now.saturating_sub(self.averaged_at) as f64) / TYPICAL_WORK_TIME_CONSTANT as f64).exp();
-        self.averaged_at = now;
-        self.classes.iter_mut().for_each(|class| class.requests *= decay_factor);
-        self.classes[class].requests += 1.0;
-        let requests: f64 = self.classes.iter().map(|class| class.requests).sum();
-        let work: f64 = self.classes.iter().map(|class| class.requests * class.estimated_work).sum();
+    fn learn(&mut self, now: Time, class: usize, mean_latency: f64, declared_work: Option<Duration>) {
+        self.classes[class].learn(now, mean_latency, declared_work);
+        let decay_factor = (-(now.saturating_sub(self.typical_work_updated_at) as f64)
+            / TYPICAL_WORK_TIME_CONSTANT as f64)
+            .exp();
+        self.typical_work_updated_at = now;
+        self.classes.iter_mut().for_each(|class| class.decayed_requests *= decay_factor);
+        self.classes[class].decayed_requests += 1.0;
+        let requests: f64 = self.classes.iter().map(|class| class.decayed_requests).sum();
+        let work: f64 = self.classes.iter().map(|class| class.decayed_requests * class.estimated_work).sum();
         self.typical_work = work / requests;
         self.completed.add(now, class);
     }
@@ -290,8 +302,10 @@
     }
 
     fn cost(&self, class: usize, declared_work: Option<Duration>) -> f64 {
-        let mean = self.classes[class].mean_declared_work;
-        let relative_work = declared_work.filter(|_| mean > 0.0).map_or(1.0, |work| work as f64 / mean);
+        let mean_declared_work = self.classes[class].mean_declared_work;
+        let relative_work = declared_work
+            .filter(|_| mean_declared_work > 0.0)
+            .map_or(1.0, |work| work as f64 / mean_declared_work);
         self.class_cost(class) * relative_work
     }
 
@@ -325,9 +339,9 @@
         Self { expected_share, share_per_capacity: None, warm_capacity: 0.0, cold_endpoints: Vec::new() }
     }
 
-    /// Fraction of the requests served per unit of capacity by an endpoint of a zone with this capacity; at
-    /// most the endpoint's proportional part.
-    fn get(&self, zone_capacity: f64) -> f64 {
+    /// Fraction of the balancer's requests that an endpoint serves per unit of its capacity, in a zone of this
+    /// capacity; at most 1 / `zone_capacity`, as the zone cannot serve more than all requests.
+    fn per_capacity(&self, zone_capacity: f64) -> f64 {
         let capacity = zone_capacity.max(f64::MIN_POSITIVE);
         self.share_per_capacity.map_or(self.expected_share / capacity, |share| share.min(1.0 / capacity))
     }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -47,13 +47,13 @@
     /// Waits until the client has closed or reset the connection, while its request is still being received.
     /// `PRIORITY` interest reports this even behind unread bytes. It would also report urgent data, which is not
     /// expected.
-    pub async fn wait_for_hangup(&self) {
+    pub async fn wait_for_disconnect_while_receiving(&self) {
         self.tcp.ready(Interest::PRIORITY).await.ok(); // an error also means that the connection is closed
     }
 
     /// Waits until the client has disconnected, while its request, which was received completely, has no response.
     /// hyper does not detect a disconnect while it has pipelined bytes.
-    pub async fn wait_for_disconnect(&self) {
+    pub async fn wait_for_disconnect_after_receiving(&self) {
         while self.tcp.readable().await.is_ok() {
             let read = {
                 let mut framing = lock(&self.framing);
--- a/src/proxy/downstream/requests.rs
+++ b/src/proxy/downstream/requests.rs
@@ -102,13 +102,14 @@
             return Err((StatusCode::BAD_REQUEST, "Content-Length beside Transfer-Encoding\n"));
         }
         let parameters = self.parse_parameters(&request)?;
-        let size = request.body().size_hint();
-        if size.lower() > MAX_BODY {
+        let size_hint = request.body().size_hint();
+        if size_hint.lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"));
         }
-        let size = size.exact().and_then(|size| usize::try_from(size).ok());
-        let Some(memory_permit) =
-            self.body_memory.try_reserve(size.map_or(MAX_BUFFERED_BODY, |size| size.min(MAX_BUFFERED_BODY)))
+        let exact_size = size_hint.exact().and_then(|size| usize::try_from(size).ok());
+        let Some(memory_permit) = self
+            .body_memory
+            .try_reserve(exact_size.map_or(MAX_BUFFERED_BODY, |size| size.min(MAX_BUFFERED_BODY)))
         else {
             return Ok(self.reject(parameters.class));
         };
@@ -119,14 +120,14 @@
             return Err((StatusCode::CONFLICT, "a request with this X-Call-Id is open\n"));
         };
         let (mut head, mut body) = request.into_parts();
-        let (buffered, complete) =
+        let (buffered, body_complete) =
             match timeout(REQUEST_READ_TIMEOUT, buffer_body(&mut body, MAX_BUFFERED_BODY, None)).await {
                 Ok(Ok(BufferedBody { buffered, complete })) => (buffered, complete || body.is_end_stream()),
                 Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body broke off\n")),
                 Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n")),
             };
         let provisional_deadline = Instant::now() + parameters.budget;
-        // The body is read before this wait, so that the budget of the request runs meanwhile.
+        // The body is buffered before this wait, so that the budget already runs during the wait.
         let is_discovery_attempted =
             timeout(parameters.budget, self.wait_for_discovery_attempt()).await.is_ok();
         if !is_discovery_attempted || self.rejecting.load(Ordering::Relaxed) {
@@ -140,18 +141,19 @@
             _memory_permit: memory_permit,
         };
         let (remainder, remainder_received) =
-            if complete { (None, None) } else { Some(BodyRemainder::new(body)).unzip() };
+            if body_complete { (None, None) } else { Some(BodyRemainder::new(body)).unzip() };
         let (is_head_request, is_http_1_0) = (head.method == Method::HEAD, head.version < Version::HTTP_11);
         let request = Request::from_parts(head, RequestBody { buffered, remainder });
         let id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let mut cancel_on_drop = CancelOnDrop(Some(id), &self.dispatcher_sender);
         let (response_sender, mut response_receiver) = oneshot::channel();
         let RequestParameters { class, tenant, work, budget, .. } = parameters;
-        let mut complete_request = || {
+        // Counts the completely received request as in flight, and returns its deadline.
+        let mut on_request_received = || {
             guard._in_flight = Some(self.counters.start_request());
             lock(framing).mark_request_complete() + budget
         };
-        let deadline = if complete { complete_request() } else { provisional_deadline };
+        let deadline = if body_complete { on_request_received() } else { provisional_deadline };
         let client = connection.liveness();
         let client_request =
             ClientRequest { id, request, client, class, tenant, work, deadline, response_sender };
@@ -162,13 +164,13 @@
             Some(remainder_received) => tokio::select! {
                 biased;
                 Ok(()) = remainder_received => {
-                    self.dispatcher_sender.send(DispatcherMessage::RequestReceived(id, complete_request())).ok();
+                    self.dispatcher_sender.send(DispatcherMessage::RequestReceived(id, on_request_received())).ok();
                     None
                 }
                 final_response = &mut response_receiver => Some(final_response),
-                // While an attempt waits for its connection, nobody reads the body, and a disconnect would go
-                // unnoticed.
-                () = connection.wait_for_hangup() => return disconnected,
+                // While an attempt waits for its connection, the body is not read, so that a disconnect would go
+                // unnoticed without this check of the connection.
+                () = connection.wait_for_disconnect_while_receiving() => return disconnected,
             },
         };
         let final_response = match early_response {
@@ -176,7 +178,8 @@
             None => tokio::select! {
                 biased;
                 final_response = response_receiver => final_response,
-                () = connection.wait_for_disconnect() => return disconnected, // the dropped guard cancels the request
+                // Dropping `cancel_on_drop` cancels the request.
+                () = connection.wait_for_disconnect_after_receiving() => return disconnected,
             },
         };
         cancel_on_drop.0 = None;
