--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -94,9 +94,8 @@
     /// executed is retried only within the group that deduplicates it by that key.
     fn is_in_deduplication_group(&self, position: usize, request: &PendingRequest) -> bool {
         let endpoint = &self.endpoints[position];
-        let first_endpoint = request
-            .first_possibly_executed_attempt
-            .map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
+        let first_endpoint =
+            request.first_possible_execution.map_or(endpoint, |attempt| &self.endpoints[attempt.endpoint]);
         match self.settings.classes[request.class].idempotency {
             Idempotency::Keyed(DeduplicationGroup::Zone, _) => first_endpoint.zone == endpoint.zone,
             Idempotency::Keyed(DeduplicationGroup::Cell, _) => first_endpoint.cell == endpoint.cell,
--- a/src/decision/request_lifecycle.rs
+++ b/src/decision/request_lifecycle.rs
@@ -325,8 +325,7 @@
             return self.on_request_ended(request.load_weight, true);
         }
         if !end.outcome.never_ran() {
-            request.first_possibly_executed_attempt =
-                request.first_possibly_executed_attempt.or(request.last_attempt);
+            request.first_possible_execution = request.first_possible_execution.or(request.last_attempt);
         }
         if !end.body_consumed && self.try_retry(&request) {
             self.start_attempt(id, request);
@@ -368,7 +367,7 @@
     }
 
     fn give_up(&mut self, id: RequestId, request: &PendingRequest) {
-        self.on_request_ended(request.load_weight, request.first_possibly_executed_attempt.is_some());
+        self.on_request_ended(request.load_weight, request.first_possible_execution.is_some());
         self.reject_or_fail(id, request);
     }
 
@@ -377,7 +376,7 @@
         let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         let max_retry_after = self.settings.max_retry_after;
         let retry_after = max_retry_after / 2 + self.rng.u64(..=max_retry_after / 2);
-        let may_repeat = is_idempotent || request.first_possibly_executed_attempt.is_none();
+        let may_repeat = is_idempotent || request.first_possible_execution.is_none();
         self.actions.push(if may_repeat { Action::Reject { id, retry_after } } else { Action::Fail(id) });
     }
 
--- a/src/decision/request_table.rs
+++ b/src/decision/request_table.rs
@@ -54,7 +54,7 @@
     /// How long the connection of the attempt in flight had been idle before.
     pub idle_bucket: IdleTimeBucket,
     /// The first attempt that may have executed the request.
-    pub first_possibly_executed_attempt: Option<SentAttempt>,
+    pub first_possible_execution: Option<SentAttempt>,
     /// The request has its final response, or its client has disconnected.
     pub closed: bool,
     /// The body was still being received when the request arrived. The client then determines when an attempt ends, so
@@ -67,7 +67,7 @@
 impl PendingRequest {
     /// End of the idempotency window, in which endpoints drop repeats, if the request has a key and may have run.
     pub fn idempotency_window_end(&self, settings: &Settings) -> Option<Time> {
-        match (settings.classes[self.class].idempotency, self.first_possibly_executed_attempt) {
+        match (settings.classes[self.class].idempotency, self.first_possible_execution) {
             (Idempotency::Keyed(_, window), Some(first)) => Some(first.sent_at.saturating_add(window)),
             _ => None,
         }
@@ -75,13 +75,13 @@
 
     /// Whether another attempt is safe, provided that it goes to an endpoint of the deduplication group.
     pub fn is_safe_to_send(&self, settings: &Settings, now: Time) -> bool {
-        let may_repeat = settings.is_repeatable(self.class) || self.first_possibly_executed_attempt.is_none();
+        let may_repeat = settings.is_repeatable(self.class) || self.first_possible_execution.is_none();
         may_repeat && self.idempotency_window_end(settings).is_none_or(|end| now < end)
     }
 
     /// Positions of the endpoints that the request refers to.
     pub fn referenced_endpoints(&self) -> impl Iterator<Item = usize> {
-        let attempts = [self.last_attempt, self.first_possibly_executed_attempt];
+        let attempts = [self.last_attempt, self.first_possible_execution];
         attempts.into_iter().flatten().map(|attempt| attempt.endpoint)
     }
 }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -49,7 +49,7 @@
         now: Time,
         settings: &Settings,
     ) {
-        let may_be_repeat = request.first_possibly_executed_attempt.is_some();
+        let may_be_repeat = request.first_possible_execution.is_some();
         let change = match outcome {
             AttemptOutcome::Success if may_be_repeat => -1.0, // the retry succeeded
             AttemptOutcome::Success => -BUDGET_PER_REQUEST,
@@ -79,7 +79,7 @@
         let has_attempts_left = request.attempts < settings.max_attempts;
         // A request that never ran causes no work at deeper tiers that could multiply, and a failure to reach an
         // endpoint that restarts says nothing about the next endpoint.
-        let may_help = request.first_possibly_executed_attempt.is_none()
+        let may_help = request.first_possible_execution.is_none()
             || !self.has_futile_retries(request.class, now, settings);
         let is_safe = request.is_safe_to_send(settings, now);
         if !(is_safe && has_time_left && has_attempts_left && may_help && self.budget >= 1.0) {
