--- a/emulator/src/cli.rs
+++ b/emulator/src/cli.rs
@@ -142,7 +142,7 @@
         write_reports(out, &run.markdown(), &run.json())?;
     }
     common.print(&run.markdown(), &run.json())?;
-    Ok(report_broken(run.broken_messages()))
+    Ok(report_broken(run.broken_expectation_messages()))
 }
 
 /// Runs a sweep. Its report is written also if a run failed or was interrupted.
@@ -173,7 +173,7 @@
     common.print(&report.markdown(), &report.json())?;
     match first_error {
         Some(error) => Err(error),
-        None => Ok(report_broken(report.broken_messages())),
+        None => Ok(report_broken(report.broken_expectation_messages())),
     }
 }
 
--- a/emulator/src/engine.rs
+++ b/emulator/src/engine.rs
@@ -20,7 +20,7 @@
 
 /// Width of a calendar bucket as a power of two of nanoseconds: 2^18 ns, about a quarter of a millisecond.
 const BUCKET_WIDTH_BITS: u32 = 18;
-/// Number of calendar buckets: together they span over four seconds, in which nearly all timers fall.
+/// Number of calendar buckets: together they span 4.3 s, in which nearly all timers fall.
 const BUCKET_COUNT: u64 = 1 << 14;
 
 /// An event and the time at which it is due.
@@ -62,7 +62,7 @@
 /// A calendar queue: returns events in order of time, and in insertion order where the times are equal.
 ///
 /// Only the events of the current bucket are kept sorted. With hundreds of thousands of pending timers, a single
-/// heap would cause a cache miss at each step.
+/// heap would cause a cache miss at each level of a push or pop.
 #[derive(Debug)]
 pub struct Queue<E> {
     now: Time,
@@ -141,8 +141,8 @@
                 self.overflow.pop();
                 self.enqueue(entry);
             }
-            // The bucket's buffer is freed: buffers kept in all buckets would take many times the memory of the
-            // events that are ever queued at once.
+            // Takes the bucket's buffer out, so that it is freed: if every bucket kept its capacity, the buckets would
+            // take many times the memory of the most events queued at one time.
             let bucket = std::mem::take(&mut self.calendar[(self.next_bucket % BUCKET_COUNT) as usize]);
             self.calendar_len -= bucket.len();
             self.current.extend(bucket);
@@ -151,7 +151,8 @@
     }
 }
 
-/// Identifies a value in a [`Slab`]. Once the value is removed, the key is invalid, also after its slot is reused.
+/// Identifies a value in a [`Slab`]. Once the value is removed, the key is invalid, and stays invalid when its slot is
+/// reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -30,7 +30,8 @@
 pub type Progress<'a> = &'a (dyn Fn(f64) + Sync);
 
 impl Setup {
-    /// Runs a scenario in its mode.
+    /// Runs a scenario in its mode: hollow (simulated in this process on virtual time) or real (with balancer
+    /// processes).
     pub fn run(
         &self,
         scenario: &Scenario,
@@ -111,24 +112,24 @@
     /// Plans a run for every combination of the axes' values and each of `seeds` seeds, counted up from the scenario's
     /// seed. All combinations are checked before any run starts.
     pub fn plan(scenario_file: &ScenarioFile, axes: Vec<Axis>, seeds: u32) -> Result<Self, ScenarioError> {
-        let mut points: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
+        let mut combinations: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
         for axis in &axes {
-            let extend_point = |point: &Vec<(String, toml::Value)>| {
+            let extend_combination = |combination: &Vec<(String, toml::Value)>| {
                 let with_value = |value: &toml::Value| {
-                    let mut point = point.clone();
-                    point.push((axis.key.clone(), value.clone()));
-                    point
+                    let mut combination = combination.clone();
+                    combination.push((axis.key.clone(), value.clone()));
+                    combination
                 };
                 axis.values.iter().map(with_value).collect::<Vec<_>>()
             };
-            points = points.iter().flat_map(extend_point).collect();
+            combinations = combinations.iter().flat_map(extend_combination).collect();
         }
         let mut plan = Vec::new();
-        for point in points {
-            let scenario = scenario_file.with_values(&point)?;
-            for seed in 0..u64::from(seeds) {
-                let (scenario, values) = (scenario.clone(), point.iter().cloned().collect());
-                let seed = scenario.seed.wrapping_add(seed);
+        for combination in combinations {
+            let scenario = scenario_file.with_values(&combination)?;
+            for offset in 0..u64::from(seeds) {
+                let (scenario, values) = (scenario.clone(), combination.iter().cloned().collect());
+                let seed = scenario.seed.wrapping_add(offset);
                 plan.push(PlannedRun { scenario, values, seed });
             }
         }
@@ -220,19 +221,19 @@
 
 impl SweepReport {
     /// Returns one message for each broken expectation of each run.
-    pub fn broken_messages(&self) -> impl Iterator<Item = String> {
-        self.runs
-            .iter()
-            .flat_map(|run| run.broken_messages().map(|line| format!("{}: {line}", describe(run))))
+    pub fn broken_expectation_messages(&self) -> impl Iterator<Item = String> {
+        self.runs.iter().flat_map(|run| {
+            run.broken_expectation_messages().map(|line| format!("{}: {line}", describe(run)))
+        })
     }
 
     /// Formats the report in Markdown.
     pub fn markdown(&self) -> String {
         let mut text = format!("# {}: a sweep over {}\n\n", self.scenario, self.swept_keys());
         let _ = writeln!(text, "Mode {}, {} of {} runs finished.", self.mode, self.runs.len(), self.planned);
-        self.points().write_markdown(&mut text);
+        self.figures_table().write_markdown(&mut text);
         self.fits().write_markdown(&mut text);
-        let rows = self.broken_messages().map(|line| vec![line]);
+        let rows = self.broken_expectation_messages().map(|line| vec![line]);
         Table::new("Broken promises", ["broken"], rows.collect()).write_markdown(&mut text);
         self.environment.write_markdown(&mut text);
         text
@@ -241,8 +242,8 @@
     /// Returns the report as JSON, including the run environments.
     pub fn json(&self) -> serde_json::Value {
         let environments: Vec<_> = self.runs.iter().map(|run| &run.environment).collect();
-        let (points, fits) = (self.points(), self.fits());
-        serde_json::json!({"sweep": self, "points": points, "fits": fits, "circumstances": self.environment,
+        let (figures_table, fits) = (self.figures_table(), self.fits());
+        serde_json::json!({"sweep": self, "points": figures_table, "fits": fits, "circumstances": self.environment,
             "circumstances_of_runs": environments})
     }
 
@@ -255,15 +256,15 @@
     }
 
     /// Groups the runs by their values, in the order of the plan.
-    fn runs_by_point(&self) -> Vec<(&BTreeMap<String, toml::Value>, Vec<&Run>)> {
-        let mut points: Vec<(&BTreeMap<String, toml::Value>, Vec<&Run>)> = Vec::new();
+    fn runs_by_combination(&self) -> Vec<(&BTreeMap<String, toml::Value>, Vec<&Run>)> {
+        let mut combinations: Vec<(&BTreeMap<String, toml::Value>, Vec<&Run>)> = Vec::new();
         for run in &self.runs {
-            match points.last_mut() {
+            match combinations.last_mut() {
                 Some((values, runs)) if **values == run.values => runs.push(run),
-                _ => points.push((&run.values, vec![run])),
+                _ => combinations.push((&run.values, vec![run])),
             }
         }
-        points
+        combinations
     }
 
     /// Returns the names of all figures that any run has measured, sorted.
@@ -275,8 +276,8 @@
 
     /// Table with a row for each figure and a column for each combination of values: the mean over its seeds,
     /// then the minimum and the maximum.
-    fn points(&self) -> Table {
-        let points = self.runs_by_point();
+    fn figures_table(&self) -> Table {
+        let combinations = self.runs_by_combination();
         let column = |(values, runs): &(&BTreeMap<String, toml::Value>, Vec<&Run>)| {
             let values = self.keys.iter().filter_map(|key| values.get(key));
             let values: Vec<_> = values.map(|value| value.to_string().trim_matches('"').to_owned()).collect();
@@ -298,23 +299,30 @@
                     }
                 }
             };
-            std::iter::once(name.clone()).chain(points.iter().map(cell)).collect()
+            std::iter::once(name.clone()).chain(combinations.iter().map(cell)).collect()
         };
         Table {
             title: format!("Figures by {}", self.swept_keys()),
-            columns: std::iter::once("figure".into()).chain(points.iter().map(column)).collect(),
+            columns: std::iter::once("figure".into()).chain(combinations.iter().map(column)).collect(),
             rows: self.figure_names().into_iter().map(row).collect(),
         }
     }
 
     /// Table of linear fits of the figures, for sweeps over one numeric key with at least three different values.
+    /// Column `spread` is the standard deviation of the residuals, and `residual at the largest` the mean residual at
+    /// the largest value of the key.
     fn fits(&self) -> Table {
         let row = |name: &String| {
             let [key] = &self.keys[..] else { return None };
             let point = |run: &Run| Some((as_number(run.values.get(key)?)?, *run.outcome.figures.get(name)?));
             let fit = Fit::of(&self.runs.iter().filter_map(point).collect::<Vec<_>>())?;
-            let figures =
-                [fit.slope, fit.slope_error, fit.intercept, fit.residual_deviation, fit.last_residual];
+            let figures = [
+                fit.slope,
+                fit.slope_error,
+                fit.intercept,
+                fit.residual_deviation,
+                fit.residual_at_largest_x,
+            ];
             Some(std::iter::once(name.clone()).chain(figures.map(format_figure)).collect())
         };
         let columns = [
@@ -352,7 +360,7 @@
     /// Standard deviation of the residuals, with two degrees of freedom subtracted.
     pub residual_deviation: f64,
     /// Mean residual of the runs at the largest value of the key.
-    pub last_residual: f64,
+    pub residual_at_largest_x: f64,
 }
 
 impl Fit {
@@ -371,14 +379,16 @@
         let residual = |(x, y): &(f64, f64)| y - intercept - slope * x;
         let residual_deviation =
             (points.iter().map(|point| residual(point).powi(2)).sum::<f64>() / (count - 2.0)).sqrt();
-        let last_residuals: Vec<f64> = points.iter().filter(|(x, _)| *x == largest_x).map(residual).collect();
-        let last_residual = last_residuals.iter().sum::<f64>() / last_residuals.len() as f64;
+        let residuals_at_largest_x: Vec<f64> =
+            points.iter().filter(|(x, _)| *x == largest_x).map(residual).collect();
+        let residual_at_largest_x =
+            residuals_at_largest_x.iter().sum::<f64>() / residuals_at_largest_x.len() as f64;
         Some(Self {
             slope,
             slope_error: residual_deviation / sum_of_squares.sqrt(),
             intercept,
             residual_deviation,
-            last_residual,
+            residual_at_largest_x,
         })
     }
 }
--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -31,8 +31,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use upstream::Upstreams;
 
-/// Time limit for the propagation of the last list changes after the requests have ended; later changes count as not
-/// followed. The limit is generous because the propagation delay of each change is reported as a figure.
+/// Time limit, after the requests have ended, for the balancers to acknowledge the last list changes; a change that is
+/// not acknowledged by then counts as not followed. The limit is far longer than propagation should take, since slow
+/// propagation is to be measured and reported as a figure rather than cut off.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limit for a balancer to exit after SIGTERM, in addition to the longest deadline.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
@@ -257,8 +258,9 @@
     discovery.set_down(false);
 }
 
-/// Replaces every balancer, one after another: sends SIGTERM, lets the front route requests to it for the front lag,
-/// waits for its exit, and adds the new process to the front once it is ready. Returns the startup times.
+/// Replaces every balancer, one after another: sends SIGTERM, keeps the balancer in the front (which routes the clients'
+/// requests to the balancers) for `front_lag_s`, the time that the front takes to notice the stop, waits for its exit,
+/// and adds the new process to the front once it is ready. Returns the startup times.
 async fn rolling_restart(
     config: &Config,
     program: &Program<'_>,
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -153,7 +153,7 @@
 
 impl Run {
     /// Returns one message for each broken expectation.
-    pub fn broken_messages(&self) -> impl Iterator<Item = String> {
+    pub fn broken_expectation_messages(&self) -> impl Iterator<Item = String> {
         self.expectations.iter().filter_map(Expectation::broken_message)
     }
 
--- a/emulator/tests/real.rs
+++ b/emulator/tests/real.rs
@@ -57,7 +57,7 @@
     let mut process_ids = Vec::new();
     for entry in std::fs::read_dir("/proc").unwrap().filter_map(Result::ok) {
         let Ok(process_id) = entry.file_name().to_string_lossy().parse() else { continue };
-        // Empty for a process that has ended, and unreadable for another user's.
+        // `environ` is empty for a process that has ended, and unreadable for another user's process.
         let environment = std::fs::read(entry.path().join("environ")).unwrap_or_default();
         if environment.split(|byte| *byte == 0).any(|variable| variable.starts_with(config_prefix.as_bytes()))
         {
@@ -122,7 +122,8 @@
 
 #[test]
 fn a_rolling_restart_replaces_every_balancer() {
-    // Without a front lag, the test does not depend on how long a busy machine takes for it.
+    // Without a front lag, the front removes each balancer right after SIGTERM, and the test does not depend on how
+    // far a busy machine would prolong the lag.
     let restart = "[real.rolling_restart]\nat_s = 0.1\nfront_lag_s = 0\n";
     let folder = scenario(&format!("rate = 50\ndirect_rate = 0\nload_s = 2\n{restart}"));
     let figures = figures(&emulator_command(folder.path(), &["run", "s.toml", "--json"]).output().unwrap());
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -9,14 +9,14 @@
 fn a_fit_has_its_residual_deviation_and_the_residual_at_the_largest_value() {
     let exact = Fit::of(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!((exact.slope - 2.0).abs() < 1e-9 && (exact.intercept - 3.0).abs() < 1e-9, "{exact:?}");
-    assert!(exact.residual_deviation < 1e-9 && exact.last_residual.abs() < 1e-9, "{exact:?}");
+    assert!(exact.residual_deviation < 1e-9 && exact.residual_at_largest_x.abs() < 1e-9, "{exact:?}");
     // The points have y = 0, 0, 3, 3 at x = 0, 1, 2, 3: the line is 1.2 x - 0.3 and the squared
     // residuals add up to 1.8.
     let fit = Fit::of(&[(0.0, 0.0), (1.0, 0.0), (2.0, 3.0), (3.0, 3.0)]).unwrap();
     assert!((fit.slope - 1.2).abs() < 1e-9 && (fit.intercept + 0.3).abs() < 1e-9, "{fit:?}");
     assert!((fit.residual_deviation - 0.9_f64.sqrt()).abs() < 1e-9, "{fit:?}");
     assert!((fit.slope_error - (0.9_f64 / 5.0).sqrt()).abs() < 1e-9, "{fit:?}");
-    assert!((fit.last_residual + 0.3).abs() < 1e-9, "{fit:?}");
+    assert!((fit.residual_at_largest_x + 0.3).abs() < 1e-9, "{fit:?}");
     assert_eq!(
         Fit::of(&[(1.0, 1.0), (1.0, 2.0), (2.0, 3.0), (2.0, 4.0)]),
         None,
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery of a tier by itself: overload states that could persist after their cause is over.
+//! Recovery of a tier without intervention: overload must not persist as a metastable failure after its cause has
+//! ended.
 
 mod common;
 use balancer::decision::*;
@@ -24,8 +25,9 @@
 }
 
 /// Endpoints process every attempt that they were sent, including those that were given up. When all
-/// endpoints of a tier lag behind with such work, new requests are given up as well and replace the old ones
-/// in the queues: no request is ever served again.
+/// endpoints of a tier are backlogged with such attempts and the balancers keep sending, new requests are given
+/// up as well and replace the old ones in the queues, so that no request is ever served again. The balancers must
+/// prevent this.
 #[test]
 fn a_tier_recovers_from_a_burst_that_filled_its_queues() {
     for seed in 0..12 {
@@ -53,7 +55,7 @@
     (0..60).for_each(|_| assert!(balancer.serve(NON_IDEMPOTENT, 20 * MS).is_some()));
     fail_burst(&mut balancer, AttemptOutcome::Timeout, 500 * MS);
     assert_eq!(balancer.load_balancer.unavailable_count(), 3);
-    assert!(is_rejected(&balancer.request(IDEMPOTENT).1), "all endpoints lag behind with the burst");
+    assert!(is_rejected(&balancer.request(IDEMPOTENT).1), "all endpoints may be backlogged by the burst");
     balancer.now += 20 * SECOND; // longer than any breaker stays open
     let trials: Vec<(RequestId, Vec<Action>)> = (0..3).map(|_| balancer.request(IDEMPOTENT)).collect();
     let mut tried: Vec<u32> = trials.iter().filter_map(|(_, actions)| sent_to(actions)).collect();
@@ -69,8 +71,8 @@
     );
 }
 
-/// An endpoint that responds, even with an error, has no work left over, so sending to it is better than
-/// rejecting the request.
+/// An endpoint that responds, even with an error, has no backlog, so sending to it is better than rejecting the
+/// request.
 #[test]
 fn endpoints_that_answer_with_errors_are_used_though_all_breakers_are_open() {
     let mut balancer = TestBalancer::new(settings(), &endpoints_in_zones(1, 3));
