--- a/emulator/src/real.rs
+++ b/emulator/src/real.rs
@@ -258,9 +258,9 @@
     discovery.set_down(false);
 }
 
-/// Replaces every balancer, one after another: sends SIGTERM, keeps the balancer in the front (which routes the clients'
-/// requests to the balancers) for `front_lag_s`, the time that the front takes to notice the stop, waits for its exit,
-/// and adds the new process to the front once it is ready. Returns the startup times.
+/// Replaces every balancer, one after another: sends SIGTERM, keeps the balancer in the front (the router before the
+/// balancers) for `front_lag_s`, the time that the front takes to notice the stop, waits for the balancer's exit, and
+/// adds the new process to the front once it is ready. Returns the startup times.
 async fn rolling_restart(
     config: &Config,
     program: &Program<'_>,
